--- a/sidecar/doubt.go
+++ b/sidecar/doubt.go
@@ -101,7 +101,7 @@
 // with the same precondition the engine begins one.
 func (d doubt) settled(now time.Time, model string, r Report, serving int, grace time.Duration) string {
 	switch {
-	case !fleet.SameLife(d.born, r.Born):
+	case !fleet.SameLife(d.born, r.StartTimeMs):
 		return "engine_restarted"
 	case r.Sequence > d.sequence:
 		return "begun"
@@ -140,7 +140,7 @@
 // review closes the doubt if the engine's report settles it.
 func (s *Sidecar) review(now time.Time, o order, r Report) {
 	if !s.reached {
-		s.doubt.sequence, s.doubt.born = r.Sequence, r.Born // the agent before may have ordered something on it
+		s.doubt.sequence, s.doubt.born = r.Sequence, r.StartTimeMs // the agent before may have ordered something on it
 	}
 	if !s.doubt.open {
 		return
@@ -167,12 +167,12 @@
 // that an order with the precondition 0 that is still on its way fits once more.
 // What is staged whole is then loaded first, which ends that.
 func (s *Sidecar) revive(now time.Time, r Report) {
-	reborn := !fleet.SameLife(s.born, r.Born)
+	reborn := !fleet.SameLife(s.born, r.StartTimeMs)
 	restarted := !s.up || reborn || r.Sequence < s.sequence
-	s.sequence, s.born = r.Sequence, r.Born
+	s.sequence, s.born = r.Sequence, r.StartTimeMs
 	if reborn {
 		s.stage = nil // what lies there is checked again
-		s.log.WithFields(logrus.Fields{"engine": s.engineAddr, "born": r.Born}).Info("Engine was started anew.")
+		s.log.WithFields(logrus.Fields{"engine": s.engineAddr, "born": r.StartTimeMs}).Info("Engine was started anew.")
 	}
 	if !restarted || r.Sequence != 0 || s.doubt.earlier() || now.Sub(s.sentAtZero) >= s.cfg.OrderGrace {
 		return
@@ -180,7 +180,7 @@
 	if s.doubt.open {
 		s.settle(now, "engine_restarted")
 	}
-	s.doubt = doubt{open: true, last: s.sentAtZero, again: now, born: r.Born}
+	s.doubt = doubt{open: true, last: s.sentAtZero, again: now, born: r.StartTimeMs}
 	s.log.WithField("engine", s.engineAddr).Info("Orders in doubt again.")
 }
 
--- a/sidecar/plan.go
+++ b/sidecar/plan.go
@@ -14,7 +14,7 @@
 	// Sequence counts the orders that the engine has begun since its start; an
 	// engine that does not count them reports 0.
 	Sequence int64
-	Born     int64 // Unix time of the engine's start in ms; 0 if it does not tell
+	StartTimeMs     int64 // Unix time of the engine's start in ms; 0 if it does not tell
 	Running  int
 	Waiting  int
 }
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -134,7 +134,7 @@
 		return s.cfg.Poll
 	}
 	serves := r.serves(o.Model, o.Layers)
-	s.tell(o.Model, serves, r.Busy, r.Born)
+	s.tell(o.Model, serves, r.Busy, r.StartTimeMs)
 	step := s.cfg.Plan(now, r, o, s.holdings(now))
 	if step != s.step {
 		s.log.WithFields(logrus.Fields{"step": step.Action.String(), "from": s.step.Action.String(), "model": o.Model,
@@ -285,7 +285,7 @@
 		return 0 // the next step stages what is bad
 	}
 	if !s.doubt.ours() { // an engine whose order is repeated may serve on for long
-		s.tell(o.Model, r.serves(o.Model, o.Layers), true, r.Born)
+		s.tell(o.Model, r.serves(o.Model, o.Layers), true, r.StartTimeMs)
 	}
 	order := s.newOrder(o.Model, version, r)
 	fields := logrus.Fields{"model": o.Model, "version": version, "running": r.Running, "sequence": order.Precondition, "token": order.Token}
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -61,7 +61,7 @@
 	if e.down {
 		return Report{}, errors.New("refused")
 	}
-	r := Report{Busy: time.Now().Before(e.loading), Sequence: e.sequence, Born: e.born}
+	r := Report{Busy: time.Now().Before(e.loading), Sequence: e.sequence, StartTimeMs: e.born}
 	if e.serves > 0 {
 		r.Models = []fleet.ModelVersion{{Model: "m", Version: e.serves, Layers: 16}}
 	}
@@ -632,8 +632,8 @@
 // An order is not settled by what a later life of the engine has begun.
 func TestOrderIsNotSettledByTheCountOfAnotherLife(t *testing.T) {
 	d := doubt{open: true, model: "m", version: 2, sequence: 0, born: 1000, last: start}
-	assert.Equal(t, d.settled(start, "m", Report{Sequence: 1, Born: 2000}, 0, time.Minute), "engine_restarted")
-	assert.Equal(t, d.settled(start, "m", Report{Sequence: 1, Born: 1000}, 0, time.Minute), "begun")
+	assert.Equal(t, d.settled(start, "m", Report{Sequence: 1, StartTimeMs: 2000}, 0, time.Minute), "engine_restarted")
+	assert.Equal(t, d.settled(start, "m", Report{Sequence: 1, StartTimeMs: 1000}, 0, time.Minute), "begun")
 	assert.Equal(t, d.settled(start, "m", Report{Sequence: 1}, 0, time.Minute), "begun", "it does not tell")
 }
 
