--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -87,9 +87,9 @@
 	}
 }
 
-// Unassign forgets what an entry said that is not heard any more: whether it can read
+// RemoveEntry forgets what an entry said that is not heard any more: whether it can read
 // a version may have changed. The versions themselves stay.
-func (s *Sidecar) Unassign(entry string) {
+func (s *Sidecar) RemoveEntry(entry string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.order = s.order.without(entry)
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -707,9 +707,9 @@
 	a.Entry, a.Withheld = "entry-1", true
 	s.Assign(start, a)
 	assert.Assert(t, s.assigned().withheld())
-	s.Unassign("entry-2")
+	s.RemoveEntry("entry-2")
 	assert.Assert(t, s.assigned().withheld())
-	s.Unassign("entry-1")
+	s.RemoveEntry("entry-1")
 	assert.Assert(t, !s.assigned().withheld())
 	assert.Equal(t, s.assigned().Version, 2, "the version stays")
 }
