--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -19,9 +19,9 @@
 	Report(ctx context.Context, addr string) (Report, error)
 	PutPiece(ctx context.Context, addr, model string, index int, data []byte) error
 	StagedPiece(ctx context.Context, addr, model string, index int) ([]byte, error)
-	// Start orders the engine to load what is staged, after what is running. The
+	// StartLoad orders the engine to load what is staged, after what is running. The
 	// errors say what is known of the order.
-	Start(ctx context.Context, addr string, o LoadOrder) error
+	StartLoad(ctx context.Context, addr string, o LoadOrder) error
 }
 
 // Sidecar is the agent of one engine. Run owns its state.
@@ -323,7 +323,7 @@
 func (s *Sidecar) start(ctx context.Context, order LoadOrder) error {
 	ctx, cancel := clock.WithTimeout(ctx, s.cfg.OrderTimeout)
 	defer cancel()
-	err := s.engine.Start(ctx, s.engineAddr, order)
+	err := s.engine.StartLoad(ctx, s.engineAddr, order)
 	if errors.Is(err, ErrOrderInDoubt) && order.Precondition == 0 {
 		s.sentAtZero = clock.Now()
 	}
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -99,7 +99,7 @@
 	return []byte(e.staged[index]), nil
 }
 
-func (e *fakeEngine) Start(ctx context.Context, _ string, o LoadOrder) error {
+func (e *fakeEngine) StartLoad(ctx context.Context, _ string, o LoadOrder) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.down || len(e.late) == 0 || o.Version == e.serves && !e.loseAll {
--- a/sidecar/stage_test.go
+++ b/sidecar/stage_test.go
@@ -37,11 +37,11 @@
 	return w.fakeEngine.PutPiece(ctx, addr, model, index, data)
 }
 
-func (w watchedEngine) Start(ctx context.Context, addr string, o LoadOrder) error {
+func (w watchedEngine) StartLoad(ctx context.Context, addr string, o LoadOrder) error {
 	if w.ordered != nil {
 		w.ordered(o)
 	}
-	return w.fakeEngine.Start(ctx, addr, o)
+	return w.fakeEngine.StartLoad(ctx, addr, o)
 }
 
 func stagedWhole(version int) map[int]string {
@@ -179,9 +179,9 @@
 	sent    *atomic.Int64
 }
 
-func (r refusingEngine) Start(ctx context.Context, addr string, o LoadOrder) error {
+func (r refusingEngine) StartLoad(ctx context.Context, addr string, o LoadOrder) error {
 	if o.Version != r.version {
-		return r.fakeEngine.Start(ctx, addr, o)
+		return r.fakeEngine.StartLoad(ctx, addr, o)
 	}
 	if r.sent.Add(1) == 1 {
 		return ErrOrderInDoubt
