--- a/sidecar/config.go
+++ b/sidecar/config.go
@@ -1,7 +1,6 @@
-// Package sidecar is the agent on a host where callers' requests go straight to the engine, in
-// the mode of `springgate gateway`: it stages the weights that the engine is to serve, orders the
-// engine to load them when it is its turn, and tells the entries what the
-// engine serves.
+// Package sidecar implements the agent of `springgate gateway` mode, in which callers' requests go
+// directly to the engine. It stages the weights that the engine is to serve, orders the engine to
+// load them in its turn of the rollout, and reports to the entries what the engine serves.
 package sidecar
 
 import (
@@ -11,68 +10,73 @@
 	"github.com/springgate/springgate/mechanism"
 )
 
-// Config holds the times of a sidecar.
+// Config holds the time-outs, intervals and limits of a sidecar.
 type Config struct {
-	// Off are mechanisms that are switched off.
+	// Off lists the mechanisms that are disabled.
 	Off mechanism.Off
-	// Poll is the time between two reads of the engine's report while nothing
-	// is to be done; PollBusy while an order or a change is in progress, and
-	// PollDown while the engine does not answer. Defaults 400 ms, 40 ms and
-	// 100 ms.
+	// Poll is the interval between reads of the engine's report while the
+	// sidecar is idle, PollBusy while an order or a version change is in
+	// progress, and PollDown while the engine does not answer. Defaults 400 ms,
+	// 40 ms and 100 ms.
 	Poll, PollBusy, PollDown time.Duration
-	// FirstStart is true when the whole fleet starts for the first time: its
-	// engines hold weights already.
+	// FirstStart is true when the whole fleet starts for the first time. Its
+	// engines already hold weights then.
 	FirstStart bool
-	// Lead is when the first engine's turn comes after an announcement. It is
-	// what staging takes at the least: two links of 2 s each, overlapping.
-	// Default 2.5 s.
+	// Lead is the time from the announcement of a version to the first engine's
+	// turn. It is the minimum staging time: the weights pass two links, 2 s each,
+	// that transfer at overlapping times. Default 2.5 s.
 	Lead time.Duration
-	// Margin is how long before the end of the time allowed the last turn
-	// comes. Default 1.3 s: entries stop using older versions 0.7 s before
-	// the end.
+	// Margin is the time from the last engine's turn to the deadline by which all
+	// engines must serve the version. Default 1.3 s: entries stop routing to older
+	// versions 0.7 s before the deadline.
 	Margin time.Duration
-	// Fetches is how many pieces are fetched at once for an engine that does
-	// not serve yet, and FetchesServing for one that does: live requests share
-	// the link. One at a time leaves the link idle between two pieces. Defaults 3
-	// and 2.
+	// Fetches is the number of concurrent piece fetches for an engine that does
+	// not serve yet, and FetchesServing for one that does, whose live requests
+	// share the link. A single fetch leaves the link idle between two pieces.
+	// Defaults 3 and 2.
 	Fetches, FetchesServing int
-	// FetchRound is how long pieces of a newer version are begun before the next
-	// step is decided anew: the engine's turn to load the older one may have come.
-	// FetchWait bounds the wait for those that were begun. Defaults 250 ms, a few
-	// pieces, and 1 s.
+	// FetchRound is the time during which fetches of a newer version's pieces are
+	// started before the next step is planned again, since the engine's turn to
+	// load the older version may have come. FetchWait bounds the whole round,
+	// including the fetches already started. Defaults 250 ms, which is enough for
+	// a few pieces, and 1 s.
 	FetchRound, FetchWait time.Duration
-	// FetchTimeout bounds one piece. Default 6 s.
+	// FetchTimeout bounds the fetch of one piece. Default 6 s.
 	FetchTimeout time.Duration
 	// CallTimeout bounds a call to the engine. Default 2 s.
 	CallTimeout time.Duration
-	// OrderTimeout is how long an order's answer is waited for. Engines answer
-	// within some ms; an order without an answer holds up newer versions, so it is
-	// to be repeated soon. Default 500 ms.
+	// OrderTimeout bounds the wait for the answer to an order. Engines answer
+	// within milliseconds. An unanswered order delays newer versions, so it must be
+	// repeated soon. Default 500 ms.
 	OrderTimeout time.Duration
-	// RepeatMin is the pause before an order without an answer is repeated; it
-	// doubles up to RepeatMax. What is staged is checked before each repeat, and
-	// pieces that went bad must be noticed within 3 s. Defaults 100 ms and 1 s.
+	// RepeatMin is the back-off before an unanswered order is repeated. It doubles
+	// with each attempt up to RepeatMax. The staged pieces are checked before each
+	// repeat, and corruption of them must be detected within 3 s. Defaults 100 ms
+	// and 1 s.
 	RepeatMin, RepeatMax time.Duration
-	// RepairTimeout bounds the fetch of pieces that went bad while an order is in
-	// doubt; after it the order is shut out. Bytes that went bad are excused for
-	// 3 s, of which finding them takes up to RepeatMax and shutting out two orders,
-	// OrderTimeout each. A piece takes 35 ms on the slowest links. Default 500 ms.
+	// RepairTimeout bounds the fetch of replacements for corrupt pieces while an
+	// order is in doubt. After it the order is fenced. A load of corrupt bytes is
+	// tolerated for 3 s after the corruption. Of these, detection takes up to
+	// RepeatMax and fencing two orders of up to OrderTimeout each. A piece takes
+	// 35 ms on the slowest links. Default 500 ms.
 	RepairTimeout time.Duration
-	// OrderGrace is how long after it was sent an order or a piece without an
-	// answer may still reach the engine, where nothing else tells. Default 15 s.
+	// OrderGrace is the time after which an unanswered order or put of a piece is
+	// assumed not to reach the engine any more, if nothing else settles it.
+	// Default 15 s.
 	OrderGrace time.Duration
-	// StallFor is how long a version of which a piece could not be had is put
-	// behind an older one that must be served too. Default 3 s.
+	// StallFor is how long a version with a piece that could not be fetched is
+	// deferred in favour of an older version that must be served too. Default 3 s.
 	StallFor time.Duration
-	// VerifyAge is how old the check of staged pieces may be when the load is
-	// ordered, because staged bytes may go bad. Default 1 s.
+	// VerifyAge is the age from which the check of a staged piece is repeated
+	// before a load is ordered, because staged bytes may become corrupt.
+	// Default 1 s.
 	VerifyAge time.Duration
-	// OrderAge is how old the oldest check of a staged piece may be at most when
-	// the order is sent: bytes that went bad must be noticed within 3 s, and the
-	// order may take 0.5 s to be given up. Default 0.5 s more than VerifyAge.
+	// OrderAge is the maximum age of the oldest check of a staged piece when the
+	// order is sent. Corruption must be detected within 3 s, and the order may take
+	// 0.5 s to time out. Default 0.5 s more than VerifyAge.
 	OrderAge time.Duration
-	// InspectTimeout bounds the reads of all manifests that tell what an agent
-	// before has staged. Default 2 s.
+	// InspectTimeout bounds the reads of all manifests that are needed to identify
+	// what a previous agent has staged. Default 2 s.
 	InspectTimeout time.Duration
 }
 
--- a/sidecar/doubt.go
+++ b/sidecar/doubt.go
@@ -8,189 +8,196 @@
 	"github.com/springgate/springgate/fleet"
 )
 
-// LoadOrder tells an engine to load what is staged there.
+// LoadOrder instructs an engine to load the pieces that are staged on it.
 type LoadOrder struct {
 	Model   string
 	Version int
-	// Precondition is the Sequence of the report that the order was decided on.
-	// An engine that has begun another order since refuses it.
+	// Precondition is the Sequence of the report on which the order is based. An
+	// engine that has begun another order since refuses it.
 	Precondition int64
-	// Token is the fencing token: it rises with each order. An engine that has
-	// seen a higher one refuses the order.
+	// Token is the fencing token, which increases with each order. An engine that
+	// has seen a higher one refuses the order.
 	Token uint64
 }
 
-// Answers to a LoadOrder other than that it is in effect. Any other error says
-// that it has no effect and never will.
+// Errors of a LoadOrder. Any other error means that the order has not taken effect
+// and never will.
 var (
-	// ErrOrderInDoubt is no answer: the order may have taken effect, or may yet.
+	// ErrOrderInDoubt is returned if the outcome is unknown, for example because no
+	// answer was received. The order may have taken effect, or may still do so.
 	ErrOrderInDoubt = errors.New("sidecar: no answer to the order")
-	// ErrOrderStale is returned if the engine's state is not the one that the
-	// order was decided on.
+	// ErrOrderStale is returned if the engine's state differs from the one on which
+	// the order is based.
 	ErrOrderStale = errors.New("sidecar: order does not fit the engine's state")
 	// ErrOrderFenced is returned if the engine has seen a higher token. No order
-	// with a lower one can take effect any more.
+	// with a lower token can take effect any more.
 	ErrOrderFenced = errors.New("sidecar: fencing token is too low")
 )
 
-// fenceAhead is how far ahead of the clock the tokens are from the first attempt
-// to shut out the agent before on, in ms. Its orders may be unknown to the engine
-// and their tokens higher than the clock, if that was ahead then. Clocks are
+// fenceAheadMs is how far the tokens are ahead of the clock from the first attempt
+// to fence the previous agent on. That agent's orders may not have reached the engine
+// yet, and their tokens exceed the current time if its clock was ahead. Clocks are
 // stepped by seconds.
-const fenceAhead = 60_000
+const fenceAheadMs = 60_000
 
-// earlierTries is how often it is tried to shut out or to find out the orders of
-// the agent before, until the next best is done: engines may not heed tokens, and
-// what they hold may be too old for a manifest.
-const earlierTries = 3
+// previousAgentAttempts is the number of attempts to fence the previous agent's orders,
+// or to identify them from the staged pieces, before the sidecar falls back to the next
+// method. Engines may ignore tokens, and the staged version may be so old that its
+// manifest is no longer available.
+const previousAgentAttempts = 3
 
-// firstLift is how far a token is raised when it was too low, in ms; each
-// further time it is twice as far. An agent whose clock was stepped back by
-// seconds gets past the tokens of the one before it in a few attempts.
-const firstLift = 1000
+// firstRaiseMs is how far the tokens are raised when one was too low. The step doubles
+// each time, so that an agent whose clock was stepped back by seconds exceeds the
+// tokens of the previous agent in a few attempts.
+const firstRaiseMs = 1000
 
-// tokens hands out fencing tokens. They follow the time of day in ms, so those
-// of an agent are higher than those of the agent before it.
-type tokens struct{ last, lifted uint64 }
+// tokens generates fencing tokens. They follow the Unix time in ms, so the tokens of
+// an agent are higher than those of the previous agent.
+type tokens struct{ last, raisedBy uint64 }
 
 func (t *tokens) next(now time.Time) uint64 {
 	t.last = max(t.last+1, uint64(now.UnixMilli()))
 	return t.last
 }
 
-// aheadOf raises the tokens to come over those of the agent before.
-func (t *tokens) aheadOf(now time.Time) { t.last = max(t.last, uint64(now.UnixMilli())+fenceAhead) }
+// raiseAbovePrevious raises the following tokens above those of the previous agent.
+func (t *tokens) raiseAbovePrevious(now time.Time) {
+	t.last = max(t.last, uint64(now.UnixMilli())+fenceAheadMs)
+}
 
-// lift raises the tokens to come.
-func (t *tokens) lift() {
-	t.lifted = max(2*t.lifted, firstLift)
-	t.last += t.lifted
+// raise increases the following tokens after one was refused as too low.
+func (t *tokens) raise() {
+	t.raisedBy = max(2*t.raisedBy, firstRaiseMs)
+	t.last += t.raisedBy
 }
 
-// doubt is an order that may still take effect at the engine: one of the agent's
-// own that got no answer, or one that the agent before it may have given. What
-// is staged is what such an order refers to, so it must not become another
-// version's until the order is settled.
-type doubt struct {
-	open     bool
-	model    string
-	version  int   // 0: what the agent before ordered, if it did, is not known
-	sequence int64 // its precondition
-	born     int64 // of the engine that it was sent to
-	first    time.Time
-	last     time.Time // when it was sent, or repeated
-	tries    int
-	again    time.Time // not to be repeated or fenced off sooner
-	adopted  bool      // the agent before gave it, if it was given
-	looked   bool      // what is staged was looked at and is of no known version
-	shut     uint64    // a token below one that the engine took to shut out older orders; 0: none yet
-	unfenced bool      // the engine does not heed fencing tokens
+// inDoubtOrder is an order that may still take effect at the engine: an unanswered
+// order of this agent, or one that the previous agent may have sent. Such an order
+// refers to the staged pieces, so they must not be replaced by those of another
+// version until the order is settled.
+type inDoubtOrder struct {
+	open          bool
+	model         string
+	version       int   // 0: unknown whether and what the previous agent ordered
+	sequence      int64 // precondition of the order
+	startTimeMs   int64 // start of the engine process that the order was sent to
+	firstSent     time.Time
+	lastSent      time.Time // time of the last attempt
+	attempts      int
+	nextAttempt   time.Time // earliest time of the next repeat or fencing attempt
+	adopted       bool      // a previous agent sent it, if it was sent at all
+	inspected     bool      // the staged pieces were read and belong to no known version
+	probeToken    uint64    // token below that of a fencing order which the engine accepted; 0: none yet
+	ignoresTokens bool      // the engine does not enforce fencing tokens
 }
 
-// ours reports whether it is known what was ordered.
-func (d doubt) ours() bool { return d.open && d.version != 0 }
+// known reports whether it is known which version was ordered.
+func (d inDoubtOrder) known() bool { return d.open && d.version != 0 }
 
-// fenceable reports whether the order can be shut out at an engine that serves a
-// version, or none.
-func (d doubt) fenceable(serving int) bool { return d.ours() && serving != 0 && !d.unfenced }
+// fenceable reports whether the order can be fenced, given the version that the engine
+// serves or 0. Fencing needs an order that changes nothing, and so a served version.
+func (d inDoubtOrder) fenceable(serving int) bool {
+	return d.known() && serving != 0 && !d.ignoresTokens
+}
 
-// earlier reports whether it is about the orders of the agent before.
-func (d doubt) earlier() bool { return d.open && d.version == 0 }
+// fromPreviousAgent reports whether the order is a possible, unidentified one of the
+// previous agent.
+func (d inDoubtOrder) fromPreviousAgent() bool { return d.open && d.version == 0 }
 
-// settled returns why the order can no longer take effect, or "". Of all orders
-// with the same precondition the engine begins one.
-func (d doubt) settled(now time.Time, model string, r Report, serving int, grace time.Duration) string {
+// settled returns the reason why the order can no longer take effect, or "". The engine
+// begins only one of all orders with the same precondition.
+func (d inDoubtOrder) settled(now time.Time, model string, r Report, serving int, grace time.Duration) string {
 	switch {
-	case !fleet.SameLife(d.born, r.StartTimeMs):
+	case !fleet.SameLife(d.startTimeMs, r.StartTimeMs):
 		return "engine_restarted"
 	case r.Sequence > d.sequence:
 		return "begun"
 	case r.Sequence < d.sequence:
 		return "engine_restarted"
-	case d.ours() && d.model != model:
+	case d.known() && d.model != model:
 		return "other_model"
-	case d.ours() && serving >= d.version:
+	case d.known() && serving >= d.version:
 		return "served"
-	case now.Sub(d.last) >= grace:
+	case now.Sub(d.lastSent) >= grace:
 		return "expired"
 	}
 	return ""
 }
 
-// tried notes that the order was sent and got no answer.
-func (d *doubt) tried(now time.Time, cfg Config) {
-	d.last = now
-	d.putOff(now, cfg)
+// recordUnanswered records that the order was sent and got no answer.
+func (d *inDoubtOrder) recordUnanswered(now time.Time, cfg Config) {
+	d.lastSent = now
+	d.backOff(now, cfg)
 }
 
-// putOff notes one more attempt to settle the doubt, and when the next may be made.
-func (d *doubt) putOff(now time.Time, cfg Config) {
-	wait := cfg.RepeatMin << min(d.tries, 16) // far beyond the longest pause
-	d.tries++
-	d.again = now.Add(min(wait, cfg.RepeatMax))
+// backOff records one more attempt to settle the order, and schedules the next.
+func (d *inDoubtOrder) backOff(now time.Time, cfg Config) {
+	wait := cfg.RepeatMin << min(d.attempts, 16) // keeps the shift from overflowing; far above RepeatMax
+	d.attempts++
+	d.nextAttempt = now.Add(min(wait, cfg.RepeatMax))
 }
 
-// fencedBy reports whether the order cannot take effect any more because one of
-// this agent's was refused for its token: the tokens of the agent before may be
-// higher still.
-func (d doubt) fencedBy(err error) bool {
-	return d.ours() && !d.adopted && errors.Is(err, ErrOrderFenced)
+// fencedBy reports whether the order cannot take effect any more because an order of
+// this agent was refused for its token. That proves nothing about orders of the previous
+// agent, whose tokens may be even higher.
+func (d inDoubtOrder) fencedBy(err error) bool {
+	return d.known() && !d.adopted && errors.Is(err, ErrOrderFenced)
 }
 
-// review closes the doubt if the engine's report settles it.
-func (s *Sidecar) review(now time.Time, o order, r Report) {
+// settleFromReport settles the order in doubt if the engine's report allows it.
+func (s *Sidecar) settleFromReport(now time.Time, as assignmentState, r Report) {
 	if !s.reached {
-		s.doubt.sequence, s.doubt.born = r.Sequence, r.StartTimeMs // the agent before may have ordered something on it
+		s.inDoubt.sequence, s.inDoubt.startTimeMs = r.Sequence, r.StartTimeMs // a previous agent may have based an order on this state
 	}
-	if !s.doubt.open {
+	if !s.inDoubt.open {
 		return
 	}
-	if how := s.doubt.settled(now, o.Model, r, r.serves(o.Model, o.Layers), s.cfg.OrderGrace); how != "" {
-		s.settle(now, how)
+	if reason := s.inDoubt.settled(now, as.Model, r, r.serves(as.Model, as.Layers), s.cfg.OrderGrace); reason != "" {
+		s.settle(now, reason)
 	}
 }
 
-// settle closes the doubt.
-func (s *Sidecar) settle(now time.Time, how string) {
-	if s.doubt.ours() {
+// settle clears the order in doubt.
+func (s *Sidecar) settle(now time.Time, reason string) {
+	if s.inDoubt.known() {
 		s.stats.ordersSettled.Inc(1)
-		s.log.WithFields(logrus.Fields{"model": s.doubt.model, "version": s.doubt.version, "sequence": s.doubt.sequence,
-			"tries": s.doubt.tries, "ms": now.Sub(s.doubt.first).Milliseconds(), "how": how}).Info("Order settled.")
+		s.log.WithFields(logrus.Fields{"model": s.inDoubt.model, "version": s.inDoubt.version, "sequence": s.inDoubt.sequence,
+			"tries": s.inDoubt.attempts, "ms": now.Sub(s.inDoubt.firstSent).Milliseconds(), "how": reason}).Info("Order settled.")
 	} else {
-		s.log.WithField("how", how).Info("Earlier orders settled.")
+		s.log.WithField("how", reason).Info("Earlier orders settled.")
 	}
-	s.doubt = doubt{}
+	s.inDoubt = inDoubtOrder{}
 }
 
-// revive opens the doubt anew, as if an agent before had given the order, if the
-// engine has been started anew since: it counts from 0 and knows no tokens, so
-// that an order with the precondition 0 that is still on its way fits once more.
-// What is staged whole is then loaded first, which ends that.
-func (s *Sidecar) revive(now time.Time, r Report) {
-	reborn := !fleet.SameLife(s.born, r.StartTimeMs)
-	restarted := !s.up || reborn || r.Sequence < s.sequence
-	s.sequence, s.born = r.Sequence, r.StartTimeMs
-	if reborn {
-		s.stage = nil // what lies there is checked again
+// reopenAfterRestart marks orders as in doubt again if the engine was restarted, as if a
+// previous agent had sent them. A restarted engine counts from 0 and knows no tokens, so a
+// delayed order with precondition 0 is acceptable to it once more. If the staged version is
+// complete, it is loaded first, which settles this.
+func (s *Sidecar) reopenAfterRestart(now time.Time, r Report) {
+	newProcess := !fleet.SameLife(s.startTimeMs, r.StartTimeMs)
+	restarted := !s.up || newProcess || r.Sequence < s.sequence
+	s.sequence, s.startTimeMs = r.Sequence, r.StartTimeMs
+	if newProcess {
+		s.stage = nil // the staged pieces are checked again
 		s.log.WithFields(logrus.Fields{"engine": s.engineAddr, "born": r.StartTimeMs}).Info("Engine was started anew.")
 	}
-	if !restarted || r.Sequence != 0 || s.doubt.earlier() || now.Sub(s.sentAtZero) >= s.cfg.OrderGrace {
+	if !restarted || r.Sequence != 0 || s.inDoubt.fromPreviousAgent() || now.Sub(s.sentAtZero) >= s.cfg.OrderGrace {
 		return
 	}
-	if s.doubt.open {
+	if s.inDoubt.open {
 		s.settle(now, "engine_restarted")
 	}
-	s.doubt = doubt{open: true, last: s.sentAtZero, again: now, born: r.StartTimeMs}
+	s.inDoubt = inDoubtOrder{open: true, lastSent: s.sentAtZero, nextAttempt: now, startTimeMs: r.StartTimeMs}
 	s.log.WithField("engine", s.engineAddr).Info("Orders in doubt again.")
 }
 
-// doubtful notes that an order got no answer.
-func (s *Sidecar) doubtful(now time.Time, o LoadOrder, err error) {
-	if !s.doubt.ours() {
-		s.doubt = doubt{open: true, model: o.Model, version: o.Version, sequence: o.Precondition, born: s.born, first: now, unfenced: s.doubt.unfenced}
+// recordInDoubt records that an order got no answer.
+func (s *Sidecar) recordInDoubt(now time.Time, o LoadOrder, err error) {
+	if !s.inDoubt.known() {
+		s.inDoubt = inDoubtOrder{open: true, model: o.Model, version: o.Version, sequence: o.Precondition, startTimeMs: s.startTimeMs, firstSent: now, ignoresTokens: s.inDoubt.ignoresTokens}
 		s.stats.ordersInDoubt.Inc(1)
 		s.log.WithError(err).WithFields(logrus.Fields{"model": o.Model, "version": o.Version, "sequence": o.Precondition,
 			"token": o.Token}).Warn("Order in doubt.")
 	}
-	s.doubt.tried(now, s.cfg)
+	s.inDoubt.recordUnanswered(now, s.cfg)
 }
--- a/sidecar/fetch.go
+++ b/sidecar/fetch.go
@@ -9,8 +9,8 @@
 	"github.com/springgate/springgate/weights"
 )
 
-// fetchMissing fetches and stages the pieces that are missing, until a newer
-// version is announced or more pieces may be fetched at once than when it began.
+// fetchMissing fetches and stages the missing pieces. It stops early if a newer version
+// is announced or if the limit of concurrent fetches rises.
 func (s *Sidecar) fetchMissing(ctx context.Context, parallel func() int) error {
 	var missing []int
 	for i, ok := range s.stage.staged {
@@ -18,24 +18,25 @@
 			missing = append(missing, i)
 		}
 	}
-	announced, atOnce := s.assigned().Version, parallel()
-	goOn := func() bool { return s.assigned().Version == announced && parallel() <= atOnce }
-	return each(ctx, missing, atOnce, goOn, func(i int) (func(), error) {
+	announced, concurrency := s.assigned().Version, parallel()
+	proceed := func() bool { return s.assigned().Version == announced && parallel() <= concurrency }
+	return forEachIndex(ctx, missing, concurrency, proceed, func(i int) (func(), error) {
 		err := s.fetch(ctx, i)
-		return func() { s.mark(i, true, clock.Now()) }, err
+		return func() { s.recordCheck(i, true, clock.Now()) }, err
 	})
 }
 
-// each does something for all indexes, some at once, while goOn allows. Of the
-// results, done is called for one at a time. It returns the first error.
-func each(ctx context.Context, indexes []int, atOnce int, goOn func() bool, do func(i int) (done func(), err error)) error {
+// forEachIndex calls do for the indexes, up to concurrency at once, while proceed returns
+// true. The done functions of successful calls are called one at a time. It returns the
+// first error.
+func forEachIndex(ctx context.Context, indexes []int, concurrency int, proceed func() bool, do func(i int) (done func(), err error)) error {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	var firstErr error
-	slots := make(chan struct{}, atOnce)
+	slots := make(chan struct{}, concurrency)
 	for _, i := range indexes {
 		slots <- struct{}{}
-		if !goOn() || ctx.Err() != nil {
+		if !proceed() || ctx.Err() != nil {
 			break
 		}
 		wg.Add(1)
@@ -56,75 +57,75 @@
 	return firstErr
 }
 
-// fetch fetches one piece, unless that was done before, and stages it.
+// fetch fetches one piece, unless it is already in memory, and stages it.
 func (s *Sidecar) fetch(ctx context.Context, index int) error {
 	ctx, cancel := clock.WithTimeout(ctx, s.cfg.FetchTimeout)
 	defer cancel()
 	if s.stage.pieces[index] == nil {
-		if err := s.keep(ctx, s.stage, index); err != nil {
+		if err := s.fetchToMemory(ctx, s.stage, index); err != nil {
 			return err
 		}
 	}
-	if s.doubt.earlier() {
-		return errEarlierOrder
+	if s.inDoubt.fromPreviousAgent() {
+		return errPreviousAgentOrder
 	}
 	began := clock.Now()
 	if err := s.engine.PutPiece(ctx, s.engineAddr, s.stage.model, index, s.stage.pieces[index]); err != nil {
-		s.unsure.add(index, clock.Now().Add(s.cfg.OrderGrace))
+		s.unconfirmedPuts.add(index, clock.Now().Add(s.cfg.OrderGrace))
 		return err
 	}
-	s.stage.spent.staging.Add(int64(clock.Since(began)))
-	s.stage.pieces[index] = nil // it lies at the engine; memory is paid for
+	s.stage.transferTimes.staging.Add(int64(clock.Since(began)))
+	s.stage.pieces[index] = nil // staged at the engine; release the memory
 	return nil
 }
 
-// keep fetches one piece into memory.
-func (s *Sidecar) keep(ctx context.Context, st *stage, index int) error {
+// fetchToMemory fetches one piece into the agent's memory.
+func (s *Sidecar) fetchToMemory(ctx context.Context, st *stage, index int) error {
 	began := clock.Now()
-	data, err := s.pieceInTime(ctx, st.manifest, index)
+	data, err := s.pieceWithContext(ctx, st.manifest, index)
 	if err != nil {
 		return err
 	}
-	st.spent.fetching.Add(int64(clock.Since(began)))
+	st.transferTimes.fetching.Add(int64(clock.Since(began)))
 	st.pieces[index] = data
 	s.stats.fetched.Inc(1)
 	return nil
 }
 
-// pieceInTime asks the source for a piece and returns when ctx ends, also while the
-// source is still opening a connection, which may take it seconds.
-func (s *Sidecar) pieceInTime(ctx context.Context, m *weights.Manifest, index int) ([]byte, error) {
-	type answer struct {
+// pieceWithContext requests a piece from the source and returns as soon as ctx ends, even
+// while the source is still dialling, which may take seconds.
+func (s *Sidecar) pieceWithContext(ctx context.Context, m *weights.Manifest, index int) ([]byte, error) {
+	type result struct {
 		data []byte
 		err  error
 	}
-	answered := make(chan answer, 1)
-	s.asking.Go(func() {
+	results := make(chan result, 1)
+	s.sourceCalls.Go(func() {
 		data, err := s.source.Piece(ctx, m, index)
-		answered <- answer{data, err}
+		results <- result{data, err}
 	})
 	select {
-	case a := <-answered:
-		return a.data, a.err
+	case r := <-results:
+		return r.data, r.err
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-// fetchAhead keeps pieces of the newest version in memory while an older one
-// lies staged. After a while it begins no more of them, so that the next step is
-// decided anew.
-func (s *Sidecar) fetchAhead(ctx context.Context, o order, version, atOnce int) error {
+// prefetch fetches pieces of the newest version into memory while an older version is
+// staged. After FetchRound it starts no more fetches, so that the next step is planned
+// again.
+func (s *Sidecar) prefetch(ctx context.Context, as assignmentState, version, concurrency int) error {
 	ctx, cancel := clock.WithTimeout(ctx, s.cfg.FetchWait)
 	defer cancel()
-	if !s.ahead.is(o.Model, version) {
-		m, err := s.manifest(ctx, o.Model, version)
+	if !s.prefetched.isFor(as.Model, version) {
+		m, err := s.manifest(ctx, as.Model, version)
 		if err != nil {
 			return err
 		}
-		s.ahead = newStage(m)
+		s.prefetched = newStage(m)
 	}
-	st := s.ahead
+	st := s.prefetched
 	var missing []int
 	for i, data := range st.pieces {
 		if data == nil {
@@ -132,11 +133,11 @@
 		}
 	}
 	until := clock.Now().Add(s.cfg.FetchRound)
-	err := each(ctx, missing, atOnce, func() bool { return clock.Now().Before(until) }, func(i int) (func(), error) {
-		return func() {}, s.keep(ctx, st, i)
+	err := forEachIndex(ctx, missing, concurrency, func() bool { return clock.Now().Before(until) }, func(i int) (func(), error) {
+		return func() {}, s.fetchToMemory(ctx, st, i)
 	})
-	if st.fetchedProgress().whole {
-		s.log.WithFields(logrus.Fields{"model": o.Model, "version": version, "pieces": len(st.pieces),
+	if st.fetchedProgress().complete {
+		s.log.WithFields(logrus.Fields{"model": as.Model, "version": version, "pieces": len(st.pieces),
 			"ms": clock.Since(st.started).Milliseconds()}).Info("Fetched ahead.")
 	}
 	return err
--- a/sidecar/inspect.go
+++ b/sidecar/inspect.go
@@ -11,20 +11,20 @@
 	"github.com/springgate/springgate/weights"
 )
 
-// sampled returns the indexes of pieces that tell what is staged, where a version
-// has n pieces: one of them may be missing or spoilt.
-func sampled(n int) []int { return slices.Compact([]int{0, n / 2, max(n-1, 0)}) }
+// sampleIndexes returns the indexes of the pieces that identify the staged version, for
+// versions of n pieces. There are several, since one may be missing or corrupt.
+func sampleIndexes(n int) []int { return slices.Compact([]int{0, n / 2, max(n-1, 0)}) }
 
-// sample reads some staged pieces. One that is not staged has no entry. It returns
-// an error if a read got no answer, along with the others.
-func (s *Sidecar) sample(ctx context.Context, o order) (map[int][]byte, error) {
+// sample reads some staged pieces. The result has no key for a piece that is not staged.
+// If a read got no answer, it returns an error along with the pieces that were read.
+func (s *Sidecar) sample(ctx context.Context, as assignmentState) (map[int][]byte, error) {
 	ctx, cancel := clock.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
 	found := map[int][]byte{}
-	indexes := sampled(o.Pieces)
+	indexes := sampleIndexes(as.Pieces)
 	always := func() bool { return true }
-	err := each(ctx, indexes, len(indexes), always, func(i int) (func(), error) {
-		data, err := s.engine.StagedPiece(ctx, s.engineAddr, o.Model, i)
+	err := forEachIndex(ctx, indexes, len(indexes), always, func(i int) (func(), error) {
+		data, err := s.engine.StagedPiece(ctx, s.engineAddr, as.Model, i)
 		if errors.Is(err, ErrNotStaged) {
 			return func() {}, nil
 		}
@@ -33,21 +33,21 @@
 	return found, err
 }
 
-// manifests reads those of several versions at once. A version of which it could
-// not be had has no entry.
+// manifests reads the manifests of several versions concurrently. The result has no key
+// for a version whose manifest could not be read.
 func (s *Sidecar) manifests(ctx context.Context, model string, versions []int) map[int]*weights.Manifest {
 	ctx, cancel := clock.WithTimeout(ctx, s.cfg.InspectTimeout)
 	defer cancel()
 	found := map[int]*weights.Manifest{}
 	always := func() bool { return true }
-	_ = each(ctx, versions, len(versions), always, func(v int) (func(), error) {
+	_ = forEachIndex(ctx, versions, len(versions), always, func(v int) (func(), error) {
 		m, err := s.manifest(ctx, model, v)
 		return func() { found[v] = m }, err
 	})
 	return found
 }
 
-// matching counts the pieces that are of a manifest's version.
+// matching returns the number of sampled pieces that match the manifest.
 func matching(m *weights.Manifest, sample map[int][]byte) int {
 	n := 0
 	for i, data := range sample {
@@ -58,13 +58,13 @@
 	return n
 }
 
-// inspect finds out of which version the pieces are that an agent before has
-// staged at the engine. An order that it gave is of that version, because it let
-// no other be staged while the order was in doubt: so that order is repeated
-// first. If nothing or too little is staged, it gave none. A read without an
-// answer says nothing and is tried again.
-func (s *Sidecar) inspect(ctx context.Context, o order, version int, r Report) time.Duration {
-	sample, err := s.sample(ctx, o)
+// inspect identifies the version of the pieces that a previous agent has staged at the
+// engine. Any order in doubt of that agent is for this version, because it staged no other
+// one while the order was in doubt. So an order for this version is repeated first. If
+// nothing or too little is staged, the agent sent no order. A read without an answer is
+// inconclusive and is retried.
+func (s *Sidecar) inspect(ctx context.Context, as assignmentState, version int, r Report) time.Duration {
+	sample, err := s.sample(ctx, as)
 	if len(sample) == 0 {
 		if err == nil {
 			s.settle(clock.Now(), "nothing_staged")
@@ -72,8 +72,8 @@
 		}
 		return s.cfg.PollBusy
 	}
-	candidates := o.candidates(version)
-	manifests := s.manifests(ctx, o.Model, candidates)
+	candidates := as.candidates(version)
+	manifests := s.manifests(ctx, as.Model, candidates)
 	var best *weights.Manifest
 	for _, v := range candidates {
 		if m := manifests[v]; m != nil && matching(m, sample) > 0 && (best == nil || matching(m, sample) > matching(best, sample)) {
@@ -81,51 +81,51 @@
 		}
 	}
 	if best != nil {
-		return s.adopt(ctx, o, best, r)
+		return s.adopt(ctx, as, best, r)
 	}
 	if err == nil {
-		s.strange(o, version, manifests, len(candidates))
+		s.recordUnknownStage(as, version, manifests, len(candidates))
 	}
 	return s.cfg.PollBusy
 }
 
-// strange notes that the staged pieces are of no version whose manifest could be
-// had.
-func (s *Sidecar) strange(o order, version int, manifests map[int]*weights.Manifest, candidates int) {
+// recordUnknownStage records that the staged pieces match no manifest that could be read.
+func (s *Sidecar) recordUnknownStage(as assignmentState, version int, manifests map[int]*weights.Manifest, candidates int) {
 	if manifests[version] == nil {
 		s.stall(version)
 	}
-	if s.stage.is(o.Model, version) {
-		s.stage, s.ahead = nil, s.stage // pieces that were fetched while the engine started
+	if s.stage.isFor(as.Model, version) {
+		s.stage, s.prefetched = nil, s.stage // pieces fetched while the engine was starting
 	}
 	unread := candidates - len(manifests)
-	s.doubt.putOff(clock.Now(), s.cfg)
-	s.doubt.looked = unread == 0 || s.doubt.tries >= earlierTries
-	s.log.WithFields(logrus.Fields{"version": version, "unread": unread, "tries": s.doubt.tries}).Warn("Pieces of an unknown version are staged.")
+	s.inDoubt.backOff(clock.Now(), s.cfg)
+	s.inDoubt.inspected = unread == 0 || s.inDoubt.attempts >= previousAgentAttempts
+	s.log.WithFields(logrus.Fields{"version": version, "unread": unread, "tries": s.inDoubt.attempts}).Warn("Pieces of an unknown version are staged.")
 }
 
-// adopt takes over what an agent before has staged, and its order. It settles the
-// doubt only on what the engine answered, and returns the pause.
-func (s *Sidecar) adopt(ctx context.Context, o order, m *weights.Manifest, r Report) time.Duration {
-	if !s.stage.is(m.Model, m.Version) {
+// adopt takes over the pieces that a previous agent has staged, and its order. It settles
+// the order only on reads that the engine answered. It returns the time until the next
+// reconcile.
+func (s *Sidecar) adopt(ctx context.Context, as assignmentState, m *weights.Manifest, r Report) time.Duration {
+	if !s.stage.isFor(m.Model, m.Version) {
 		if s.stage != nil {
-			s.ahead = s.stage // pieces that were fetched while the engine started
+			s.prefetched = s.stage // pieces fetched while the engine was starting
 		}
 		s.stage = newStage(m)
 	}
-	unanswered := s.readBack(ctx, 0, readsAtOnce).unanswered
+	unanswered := s.readBack(ctx, 0, concurrentReads).unanswered
 	least := s.stage.stagedProgress().share
 	most := least + float64(unanswered)/float64(len(s.stage.staged))
 	switch {
-	case m.Version <= r.serves(o.Model, o.Layers), most < mostly:
+	case m.Version <= r.serves(as.Model, as.Layers), most < commitShare:
 		s.settle(clock.Now(), "not_ordered")
 		return 0
-	case least < mostly:
-		s.doubt.putOff(clock.Now(), s.cfg)
+	case least < commitShare:
+		s.inDoubt.backOff(clock.Now(), s.cfg)
 		s.log.WithField("version", m.Version).WithField("unanswered", unanswered).Info("Staged pieces not all read.")
 		return s.cfg.PollBusy
 	}
-	s.doubt.adopted, s.doubt.model, s.doubt.version, s.doubt.first = true, m.Model, m.Version, clock.Now()
+	s.inDoubt.adopted, s.inDoubt.model, s.inDoubt.version, s.inDoubt.firstSent = true, m.Model, m.Version, clock.Now()
 	s.stats.ordersInDoubt.Inc(1)
 	s.log.WithFields(logrus.Fields{"model": m.Model, "version": m.Version, "missing": s.stage.missing}).Info("Staged pieces taken over.")
 	return 0
--- a/sidecar/plan.go
+++ b/sidecar/plan.go
@@ -7,37 +7,37 @@
 	"github.com/springgate/springgate/mechanism"
 )
 
-// Report is an engine's account of itself.
+// Report is an engine's status report.
 type Report struct {
 	Models []fleet.ModelVersion
 	Busy   bool // an order is in progress
-	// Sequence counts the orders that the engine has begun since its start; an
-	// engine that does not count them reports 0.
-	Sequence int64
-	StartTimeMs     int64 // Unix time of the engine's start in ms; 0 if it does not tell
-	Running  int
-	Waiting  int
+	// Sequence is the number of orders that the engine has begun since its start.
+	// An engine that does not count them reports 0.
+	Sequence    int64
+	StartTimeMs int64 // Unix time of the engine's start; 0 if not reported
+	Running     int
+	Waiting     int
 }
 
-// serves returns the version that the engine holds whole, or zero.
+// serves returns the version that the engine holds with all layers, or 0.
 func (r Report) serves(model string, layers int) int {
 	i := fleet.Instance{Models: r.Models}
 	return i.Holds(&fleet.EngineModel{Model: model, Layers: layers})
 }
 
-// Action is what a sidecar does next.
+// Action is a kind of step of a sidecar.
 type Action uint8
 
-// Actions of a sidecar.
+// Actions.
 const (
 	Rest    Action = iota // nothing to do
 	Watch                 // an order is in progress
-	Stage                 // pieces are missing at the engine
-	Fetch                 // an older version is staged; pieces of a newer one are kept in memory
-	Await                 // staged; its turn has not come
-	Load                  // staged, and its turn has come
-	Fence                 // an older order is to be shut out before the stage is changed
-	Inspect               // what an agent before has staged is to be found out
+	Stage                 // stage the missing pieces at the engine
+	Fetch                 // fetch pieces of a version into memory while another one must stay staged
+	Await                 // staged; wait for the engine's turn
+	Load                  // staged, and the engine's turn has come
+	Fence                 // fence older orders before other pieces are staged
+	Inspect               // identify the version that a previous agent has staged
 )
 
 // String returns the name of the action.
@@ -45,128 +45,128 @@
 	return [...]string{"rest", "watch", "stage", "fetch", "await", "load", "fence", "inspect"}[a]
 }
 
-// Step is an action and the version that it is about; zero for Rest and Watch.
+// Step is an action and its version, which is 0 for Rest and Watch.
 type Step struct {
 	Action  Action
 	Version int
 }
 
-// progress is what an agent has of one version.
+// progress is the share of a version's pieces that is available in one place.
 type progress struct {
-	version int
-	whole   bool
-	share   float64 // of the pieces
+	version  int
+	complete bool
+	share    float64 // of the pieces
 }
 
-// is reports whether all of a version is there.
-func (p progress) is(version int) bool { return p.version == version && p.whole }
+// isComplete reports whether all pieces of a version are available.
+func (p progress) isComplete(version int) bool { return p.version == version && p.complete }
 
-// holdings is what an agent has in all.
+// holdings summarizes the pieces available to an agent and its order in doubt.
 type holdings struct {
 	staged  progress // at the engine
 	fetched progress // in the agent's memory
-	stalled int      // version of which a piece could not be had lately; 0 is none
-	doubt   doubt
+	stalled int      // version with a recent failure to fetch a piece; 0 if none
+	inDoubt inDoubtOrder
 }
 
-// mostly is the share of a version's pieces from which on the rest is waited
-// for: it comes sooner than all of another version.
-const mostly = 0.5
+// commitShare is the share of a version's pieces from which on the sidecar waits for the
+// remaining ones, since they arrive sooner than all pieces of another version.
+const commitShare = 0.5
 
-// Plan decides the next step.
-func (c Config) Plan(now time.Time, r Report, o order, h holdings) Step {
-	serving := r.serves(o.Model, o.Layers)
-	pending := o.pending(serving)
+// Plan returns the next step.
+func (c Config) Plan(now time.Time, r Report, as assignmentState, h holdings) Step {
+	serving := r.serves(as.Model, as.Layers)
+	pending := as.pending(serving)
 	switch {
-	case o.Model == "" || len(pending) == 0:
+	case as.Model == "" || len(pending) == 0:
 		return Step{}
 	case r.Busy:
 		return Step{Action: Watch}
 	}
-	if h.doubt.ours() {
-		return c.planDoubt(now, serving, pending, h)
+	if h.inDoubt.known() {
+		return c.planInDoubt(now, serving, pending, h)
 	}
-	step := c.planVersions(now, serving, pending, o, h)
-	if h.doubt.earlier() && step.Action == Stage {
-		return planEarlier(now, serving, step, h)
+	step := c.planVersions(now, serving, pending, as, h)
+	if h.inDoubt.fromPreviousAgent() && step.Action == Stage {
+		return planPreviousAgent(now, serving, step, h)
 	}
 	return step
 }
 
-// planDoubt decides while an order may still take effect. It is repeated, since
-// it was due anyway, and the engine begins only one of those with the same
-// precondition. Until then what is staged stays that order's version; newer ones
-// are kept in memory.
-func (c Config) planDoubt(now time.Time, serving int, pending []wanted, h holdings) Step {
-	d, newest := h.doubt, pending[len(pending)-1].version
-	whole := h.staged.is(d.version)
-	due := !now.Before(d.again)
+// planInDoubt plans while a known order may still take effect. The order is repeated,
+// since it was due anyway, and the engine begins only one of several orders with the same
+// precondition. Until it is settled, the order's version stays staged, and newer versions
+// are fetched into memory.
+func (c Config) planInDoubt(now time.Time, serving int, pending []announcedVersion, h holdings) Step {
+	d, newest := h.inDoubt, pending[len(pending)-1].version
+	complete := h.staged.isComplete(d.version)
+	due := !now.Before(d.nextAttempt)
 	switch {
-	case whole && due:
+	case complete && due:
 		return Step{Load, d.version}
-	case !whole && h.stalled != d.version:
+	case !complete && h.stalled != d.version:
 		return Step{Stage, d.version}
-	case !whole && due && d.fenceable(serving):
+	case !complete && due && d.fenceable(serving):
 		return Step{Fence, serving}
-	case d.version != newest && !h.fetched.is(newest):
+	case d.version != newest && !h.fetched.isComplete(newest):
 		return Step{Fetch, newest}
 	}
 	return Step{Await, d.version}
 }
 
-// planEarlier decides in place of staging while an order of the agent before may
-// still take effect. An engine that serves a version can be made to refuse such
-// orders by one that changes nothing; else what is staged tells what the order
-// was, or it is waited for.
-func planEarlier(now time.Time, serving int, step Step, h holdings) Step {
-	fence, due := serving != 0 && !h.doubt.unfenced, !now.Before(h.doubt.again)
+// planPreviousAgent plans instead of staging while an order of the previous agent may still
+// take effect. An engine that serves a version can be fenced against such orders by an order
+// that changes nothing. Otherwise the staged pieces show which version was ordered. If
+// neither is possible, the sidecar waits until the order has expired.
+func planPreviousAgent(now time.Time, serving int, step Step, h holdings) Step {
+	fence, due := serving != 0 && !h.inDoubt.ignoresTokens, !now.Before(h.inDoubt.nextAttempt)
 	switch {
 	case fence && due:
 		return Step{Fence, serving}
-	case !fence && due && !h.doubt.looked:
+	case !fence && due && !h.inDoubt.inspected:
 		return Step{Inspect, step.Version}
-	case !h.fetched.is(step.Version):
+	case !h.fetched.isComplete(step.Version):
 		return Step{Fetch, step.Version}
 	}
 	return Step{Await, step.Version}
 }
 
-// planVersions decides between the versions that are pending.
-func (c Config) planVersions(now time.Time, serving int, pending []wanted, o order, h holdings) Step {
+// planVersions plans the next step for the pending versions, regardless of orders in doubt.
+func (c Config) planVersions(now time.Time, serving int, pending []announcedVersion, as assignmentState, h holdings) Step {
 	newest := pending[len(pending)-1]
-	if h.staged.is(newest.version) {
-		if serving == 0 || !now.Before(c.turnsOf(o, pending, newest).at(o.Turn, o.Turns)) {
+	if h.staged.isComplete(newest.version) {
+		if serving == 0 || !now.Before(c.turnWindowOf(as, pending, newest).at(as.Turn, as.Turns)) {
 			return Step{Load, newest.version}
 		}
 		return Step{Await, newest.version}
 	}
-	if len(pending) == 1 || c.Off.Has(mechanism.OlderVersion) || h.fetched.is(newest.version) {
+	if len(pending) == 1 || c.Off.Has(mechanism.OlderVersion) || h.fetched.isComplete(newest.version) {
 		return Step{Stage, newest.version}
 	}
-	return c.planTwo(now, serving, pending, o, h)
+	return c.planTwoPending(now, serving, pending, as, h)
 }
 
-// planTwo decides while a version is announced before the engine has changed to
-// the one before. Changing once is better than twice, so the newest goes first.
-// But it still has to come from the origin, which may go away: while it cannot be
-// had, or not in time, the engine changes to the older one in time. What is staged of
-// that stays where it is until the newest is whole in the agent's memory.
-func (c Config) planTwo(now time.Time, serving int, pending []wanted, o order, h holdings) Step {
+// planTwoPending plans when a version was announced before the engine loaded the preceding
+// one. One load is better than two, so the newest version takes precedence. But it still has
+// to be fetched from the origin, which may become unavailable: if it cannot be fetched, or not
+// in time, the engine loads the older one by its deadline. The staged pieces of the older
+// version are kept until the newest is complete in the agent's memory.
+func (c Config) planTwoPending(now time.Time, serving int, pending []announcedVersion, as assignmentState, h holdings) Step {
 	newest := pending[len(pending)-1]
-	older := olderGoal(pending[:len(pending)-1], h)
-	withheld := o.withheld() || h.stalled == newest.version
+	older := olderCandidate(pending[:len(pending)-1], h)
+	withheld := as.withheld() || h.stalled == newest.version
 	staged := progress{}
 	if h.staged.version == older.version {
 		staged = h.staged
 	}
 	switch {
-	case staged.whole && (serving == 0 || !now.Before(c.loadOlderAt(o, pending, older, withheld, h))):
+	case staged.complete && (serving == 0 || !now.Before(c.loadOlderAt(as, pending, older, withheld, h))):
 		return Step{Load, older.version}
-	case staged.whole:
+	case staged.complete:
 		return Step{Fetch, newest.version}
-	case h.staged.version == newest.version && h.staged.share >= mostly:
+	case h.staged.version == newest.version && h.staged.share >= commitShare:
 		return Step{Stage, newest.version}
-	case withheld, staged.share >= mostly && (serving == 0 || c.tooLate(now, o, pending, h)):
+	case withheld, staged.share >= commitShare && (serving == 0 || c.tooLate(now, as, pending, h)):
 		return Step{Stage, older.version}
 	case staged.share > 0:
 		return Step{Fetch, newest.version}
@@ -174,34 +174,34 @@
 	return Step{Stage, newest.version}
 }
 
-// tooLate reports whether what is missing of the newest version takes longer than until the
-// oldest pending one must be served: then engines would stand without a version that may be.
-func (c Config) tooLate(now time.Time, o order, pending []wanted, h holdings) bool {
+// tooLate reports whether fetching the rest of the newest version would take until after the
+// deadline of the oldest pending one. The engine would then have no version that it may serve.
+func (c Config) tooLate(now time.Time, as assignmentState, pending []announcedVersion, h holdings) bool {
 	missing := time.Duration((1 - h.fetched.share) * float64(c.Lead))
-	due := pending[0].announced.Add(time.Duration(o.TimeoutMs)*time.Millisecond - c.Margin)
+	due := pending[0].announced.Add(time.Duration(as.TimeoutMs)*time.Millisecond - c.Margin)
 	return now.Add(missing).After(due)
 }
 
-// loadOlderAt returns when the engine loads an older version that is staged
-// whole: at its turn while the newest cannot be had; else when it would be late,
-// if the newest is not near its end.
-func (c Config) loadOlderAt(o order, pending []wanted, older wanted, withheld bool, h holdings) time.Time {
-	t := c.turnsOf(o, pending, older)
+// loadOlderAt returns when the engine loads an older version that is completely staged: at
+// the engine's turn while the newest version is unavailable, otherwise at the end of the turn
+// window, or Margin later if at least commitShare of the newest version has been fetched.
+func (c Config) loadOlderAt(as assignmentState, pending []announcedVersion, older announcedVersion, withheld bool, h holdings) time.Time {
+	t := c.turnWindowOf(as, pending, older)
 	switch {
 	case withheld:
-		return t.at(o.Turn, o.Turns)
-	case h.fetched.share >= mostly:
+		return t.at(as.Turn, as.Turns)
+	case h.fetched.share >= commitShare:
 		return t.end.Add(c.Margin)
 	}
 	return t.end
 }
 
-// olderGoal returns the version before the newest that may be loaded first: the
-// one that is staged, or else the last.
-func olderGoal(older []wanted, h holdings) wanted {
-	for _, w := range older {
-		if w.version == h.staged.version {
-			return w
+// olderCandidate returns the version before the newest that may be loaded first: the staged
+// one if there is one, otherwise the most recent.
+func olderCandidate(older []announcedVersion, h holdings) announcedVersion {
+	for _, av := range older {
+		if av.version == h.staged.version {
+			return av
 		}
 	}
 	return older[len(older)-1]
--- a/sidecar/plan_test.go
+++ b/sidecar/plan_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(1_800_000_000, 0)
 
-func assignment(version, turn, turns int) peer.Assignment {
+func newAssignment(version, turn, turns int) peer.Assignment {
 	return peer.Assignment{Model: "m", Version: version, Layers: 16, Pieces: 4, TimeoutMs: 8000, Turn: turn, Turns: turns}
 }
 
@@ -20,131 +20,130 @@
 	return Report{Models: []fleet.ModelVersion{{Model: "m", Version: version, Layers: 16}}}
 }
 
-// ordered is what an agent knows after an assignment, and after one of an
-// earlier version if earlier is not zero; each version is announced a second
-// after the one before.
-func ordered(a peer.Assignment, earlier int) order {
-	o := order{Assignment: a}
+// stateOf returns the state after an assignment, preceded by one of the version earlier unless
+// that is 0. The versions are announced one second apart.
+func stateOf(a peer.Assignment, earlier int) assignmentState {
+	as := assignmentState{Assignment: a}
 	if earlier > 0 {
-		o.add(wanted{version: earlier, announced: start})
-		o.add(wanted{version: a.Version, announced: start.Add(time.Second)})
-		return o
+		as.add(announcedVersion{version: earlier, announced: start})
+		as.add(announcedVersion{version: a.Version, announced: start.Add(time.Second)})
+		return as
 	}
-	o.add(wanted{version: a.Version, announced: start})
-	return o
+	as.add(announcedVersion{version: a.Version, announced: start})
+	return as
 }
 
-func withheld(o order) order {
-	o.failing = map[string]bool{"one": false, "other": true}
-	return o
+func withheld(as assignmentState) assignmentState {
+	as.failing = map[string]bool{"one": false, "other": true}
+	return as
 }
 
 func TestPlan(t *testing.T) {
 	cfg := Config{}.applyDefaults()
 	busy := serving(1)
 	busy.Busy = true
-	whole := func(version int) holdings { return holdings{staged: progress{version, true, 1}} }
+	complete := func(version int) holdings { return holdings{staged: progress{version, true, 1}} }
 	last := 8*time.Second - cfg.Margin
 	inDoubt := func(version int, h holdings) holdings {
-		h.doubt = doubt{open: true, model: "m", version: version, last: start, again: start}
+		h.inDoubt = inDoubtOrder{open: true, model: "m", version: version, lastSent: start, nextAttempt: start}
 		return h
 	}
-	before := doubt{open: true, last: start, again: start}
-	unfenced, looked := before, before
-	unfenced.unfenced, looked.looked = true, true
+	before := inDoubtOrder{open: true, lastSent: start, nextAttempt: start}
+	ignoresTokens, inspected := before, before
+	ignoresTokens.ignoresTokens, inspected.inspected = true, true
 	for _, c := range []struct {
 		name   string
 		report Report
-		o      order
+		as     assignmentState
 		h      holdings
 		after  time.Duration
 		want   Step
 	}{
-		{"nothing assigned", Report{}, order{}, holdings{}, 0, Step{}},
-		{"served already", serving(2), ordered(assignment(2, 0, 3), 0), holdings{}, 0, Step{}},
-		{"newer than assigned", serving(3), ordered(assignment(2, 0, 3), 0), holdings{}, 0, Step{}},
-		{"order in progress", busy, ordered(assignment(2, 0, 3), 0), whole(2), 0, Step{Action: Watch}},
-		{"pieces missing", serving(1), ordered(assignment(2, 0, 3), 0), holdings{}, 0, Step{Stage, 2}},
-		{"some layers only", Report{Models: []fleet.ModelVersion{{Model: "m", Version: 2, Layers: 8}}}, ordered(assignment(2, 0, 3), 0), whole(2), 0, Step{Load, 2}},
-		{"empty engine does not wait", Report{}, ordered(assignment(2, 2, 3), 0), whole(2), 0, Step{Load, 2}},
-		{"first turn not come", serving(1), ordered(assignment(2, 0, 3), 0), whole(2), cfg.Lead - 1, Step{Await, 2}},
-		{"first turn", serving(1), ordered(assignment(2, 0, 3), 0), whole(2), cfg.Lead, Step{Load, 2}},
-		{"last turn not come", serving(1), ordered(assignment(2, 2, 3), 0), whole(2), cfg.Lead, Step{Await, 2}},
-		{"last turn", serving(1), ordered(assignment(2, 2, 3), 0), whole(2), last, Step{Load, 2}},
+		{"nothing assigned", Report{}, assignmentState{}, holdings{}, 0, Step{}},
+		{"served already", serving(2), stateOf(newAssignment(2, 0, 3), 0), holdings{}, 0, Step{}},
+		{"newer than assigned", serving(3), stateOf(newAssignment(2, 0, 3), 0), holdings{}, 0, Step{}},
+		{"order in progress", busy, stateOf(newAssignment(2, 0, 3), 0), complete(2), 0, Step{Action: Watch}},
+		{"pieces missing", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{}, 0, Step{Stage, 2}},
+		{"some layers only", Report{Models: []fleet.ModelVersion{{Model: "m", Version: 2, Layers: 8}}}, stateOf(newAssignment(2, 0, 3), 0), complete(2), 0, Step{Load, 2}},
+		{"empty engine does not wait", Report{}, stateOf(newAssignment(2, 2, 3), 0), complete(2), 0, Step{Load, 2}},
+		{"first turn not come", serving(1), stateOf(newAssignment(2, 0, 3), 0), complete(2), cfg.Lead - 1, Step{Await, 2}},
+		{"first turn", serving(1), stateOf(newAssignment(2, 0, 3), 0), complete(2), cfg.Lead, Step{Load, 2}},
+		{"last turn not come", serving(1), stateOf(newAssignment(2, 2, 3), 0), complete(2), cfg.Lead, Step{Await, 2}},
+		{"last turn", serving(1), stateOf(newAssignment(2, 2, 3), 0), complete(2), last, Step{Load, 2}},
 
-		{"newer in place of one not begun", serving(1), ordered(assignment(3, 0, 3), 2), holdings{staged: progress{2, false, 0}}, time.Second, Step{Stage, 3}},
-		{"what is staged of the older stays", serving(1), ordered(assignment(3, 0, 3), 2), holdings{staged: progress{2, false, 0.2}}, time.Second, Step{Fetch, 3}},
-		{"empty engine finishes the older", Report{}, ordered(assignment(3, 0, 3), 2), holdings{staged: progress{2, false, 0.7}}, time.Second, Step{Stage, 2}},
-		{"newer is fetched while the older waits", serving(1), ordered(assignment(3, 2, 3), 2), whole(2), 2 * time.Second, Step{Fetch, 3}},
-		{"also at the turn of the older", serving(1), ordered(assignment(3, 0, 3), 2), whole(2), cfg.Lead, Step{Fetch, 3}},
-		{"newer whole in time", serving(1), ordered(assignment(3, 2, 3), 2),
+		{"newer in place of one not begun", serving(1), stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{2, false, 0}}, time.Second, Step{Stage, 3}},
+		{"what is staged of the older stays", serving(1), stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{2, false, 0.2}}, time.Second, Step{Fetch, 3}},
+		{"empty engine finishes the older", Report{}, stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{2, false, 0.7}}, time.Second, Step{Stage, 2}},
+		{"newer is fetched while the older waits", serving(1), stateOf(newAssignment(3, 2, 3), 2), complete(2), 2 * time.Second, Step{Fetch, 3}},
+		{"also at the turn of the older", serving(1), stateOf(newAssignment(3, 0, 3), 2), complete(2), cfg.Lead, Step{Fetch, 3}},
+		{"newer whole in time", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, true, 1}, fetched: progress{3, true, 1}}, 2 * time.Second, Step{Stage, 3}},
-		{"turn of the newer not come", serving(1), ordered(assignment(3, 0, 3), 2), whole(3), cfg.Lead, Step{Await, 3}},
-		{"turn of the newer", serving(1), ordered(assignment(3, 0, 3), 2), whole(3), cfg.Lead + time.Second, Step{Load, 3}},
-		{"newer not begun at the last turn", serving(1), ordered(assignment(3, 2, 3), 2),
+		{"turn of the newer not come", serving(1), stateOf(newAssignment(3, 0, 3), 2), complete(3), cfg.Lead, Step{Await, 3}},
+		{"turn of the newer", serving(1), stateOf(newAssignment(3, 0, 3), 2), complete(3), cfg.Lead + time.Second, Step{Load, 3}},
+		{"newer not begun at the last turn", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, true, 1}, fetched: progress{3, false, 0.2}}, last, Step{Load, 2}},
-		{"newer near its end at the last turn", serving(1), ordered(assignment(3, 2, 3), 2),
+		{"newer near its end at the last turn", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, true, 1}, fetched: progress{3, false, 0.9}}, last, Step{Fetch, 3}},
-		{"older in time at the latest", serving(1), ordered(assignment(3, 2, 3), 2),
+		{"older in time at the latest", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, true, 1}, fetched: progress{3, false, 0.9}}, last + cfg.Margin, Step{Load, 2}},
-		{"the older is served, the newer is next", serving(2), ordered(assignment(3, 2, 3), 2),
+		{"the older is served, the newer is next", serving(2), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, true, 1}}, last, Step{Stage, 3}},
-		{"empty engine takes what it can have", Report{}, ordered(assignment(3, 2, 3), 2), whole(2), 0, Step{Load, 2}},
-		{"newer cannot be had in time, the rest of the older can", serving(1), ordered(assignment(3, 2, 3), 2),
+		{"empty engine takes what it can have", Report{}, stateOf(newAssignment(3, 2, 3), 2), complete(2), 0, Step{Load, 2}},
+		{"newer cannot be had in time, the rest of the older can", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, false, 0.86}, fetched: progress{3, false, 0.1}}, last - cfg.Lead/2, Step{Stage, 2}},
-		{"newer can be had in time", serving(1), ordered(assignment(3, 2, 3), 2),
+		{"newer can be had in time", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, false, 0.86}, fetched: progress{3, false, 0.6}}, last - cfg.Lead/2, Step{Fetch, 3}},
-		{"neither can be had in time", serving(1), ordered(assignment(3, 2, 3), 2),
+		{"neither can be had in time", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, false, 0.2}, fetched: progress{3, false, 0.1}}, last - cfg.Lead/2, Step{Fetch, 3}},
-		{"newer withheld, the older is staged", serving(1), withheld(ordered(assignment(3, 2, 3), 2)), holdings{staged: progress{2, false, 0.2}}, 0, Step{Stage, 2}},
-		{"newer withheld, turn of the older not come", serving(1), withheld(ordered(assignment(3, 2, 3), 2)), whole(2), cfg.Lead, Step{Fetch, 3}},
-		{"newer withheld, turn of the older", serving(1), withheld(ordered(assignment(3, 0, 3), 2)), whole(2), cfg.Lead, Step{Load, 2}},
-		{"newer withheld, there is no older", serving(1), withheld(ordered(assignment(3, 2, 3), 0)), holdings{}, 0, Step{Stage, 3}},
-		{"newer stalls, the older is staged", serving(1), ordered(assignment(3, 2, 3), 2), holdings{stalled: 3}, 0, Step{Stage, 2}},
-		{"newer stalls near its end", serving(1), ordered(assignment(3, 0, 3), 2), holdings{staged: progress{3, false, 0.9}, stalled: 3}, time.Second, Step{Stage, 3}},
+		{"newer withheld, the older is staged", serving(1), withheld(stateOf(newAssignment(3, 2, 3), 2)), holdings{staged: progress{2, false, 0.2}}, 0, Step{Stage, 2}},
+		{"newer withheld, turn of the older not come", serving(1), withheld(stateOf(newAssignment(3, 2, 3), 2)), complete(2), cfg.Lead, Step{Fetch, 3}},
+		{"newer withheld, turn of the older", serving(1), withheld(stateOf(newAssignment(3, 0, 3), 2)), complete(2), cfg.Lead, Step{Load, 2}},
+		{"newer withheld, there is no older", serving(1), withheld(stateOf(newAssignment(3, 2, 3), 0)), holdings{}, 0, Step{Stage, 3}},
+		{"newer stalls, the older is staged", serving(1), stateOf(newAssignment(3, 2, 3), 2), holdings{stalled: 3}, 0, Step{Stage, 2}},
+		{"newer stalls near its end", serving(1), stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{3, false, 0.9}, stalled: 3}, time.Second, Step{Stage, 3}},
 
-		{"order in doubt, newest version", serving(1), ordered(assignment(2, 0, 3), 0), inDoubt(2, whole(2)), 0, Step{Load, 2}},
-		{"not to be repeated yet", serving(1), ordered(assignment(2, 0, 3), 0), inDoubt(2, whole(2)), -1, Step{Await, 2}},
-		{"older order is repeated", serving(1), ordered(assignment(3, 0, 3), 2), inDoubt(2, whole(2)), 0, Step{Load, 2}},
-		{"even if the newer is whole", serving(1), ordered(assignment(3, 0, 3), 2),
+		{"order in doubt, newest version", serving(1), stateOf(newAssignment(2, 0, 3), 0), inDoubt(2, complete(2)), 0, Step{Load, 2}},
+		{"not to be repeated yet", serving(1), stateOf(newAssignment(2, 0, 3), 0), inDoubt(2, complete(2)), -1, Step{Await, 2}},
+		{"older order is repeated", serving(1), stateOf(newAssignment(3, 0, 3), 2), inDoubt(2, complete(2)), 0, Step{Load, 2}},
+		{"even if the newer is whole", serving(1), stateOf(newAssignment(3, 0, 3), 2),
 			inDoubt(2, holdings{staged: progress{2, true, 1}, fetched: progress{3, true, 1}}), 0, Step{Load, 2}},
-		{"newer is kept in memory meanwhile", serving(1), ordered(assignment(3, 0, 3), 2), inDoubt(2, whole(2)), -1, Step{Fetch, 3}},
-		{"newer is whole in memory", serving(1), ordered(assignment(3, 0, 3), 2),
+		{"newer is kept in memory meanwhile", serving(1), stateOf(newAssignment(3, 0, 3), 2), inDoubt(2, complete(2)), -1, Step{Fetch, 3}},
+		{"newer is whole in memory", serving(1), stateOf(newAssignment(3, 0, 3), 2),
 			inDoubt(2, holdings{staged: progress{2, true, 1}, fetched: progress{3, true, 1}}), -1, Step{Await, 2}},
-		{"spoilt piece of what is in doubt", serving(1), ordered(assignment(3, 0, 3), 2),
+		{"spoilt piece of what is in doubt", serving(1), stateOf(newAssignment(3, 0, 3), 2),
 			inDoubt(2, holdings{staged: progress{2, false, 0.9}, fetched: progress{3, true, 1}}), 0, Step{Stage, 2}},
-		{"what was staged is not known any more", serving(1), ordered(assignment(3, 0, 3), 2), inDoubt(2, holdings{}), 0, Step{Stage, 2}},
-		{"spoilt piece cannot be had", serving(1), ordered(assignment(3, 0, 3), 2),
+		{"what was staged is not known any more", serving(1), stateOf(newAssignment(3, 0, 3), 2), inDoubt(2, holdings{}), 0, Step{Stage, 2}},
+		{"spoilt piece cannot be had", serving(1), stateOf(newAssignment(3, 0, 3), 2),
 			inDoubt(2, holdings{staged: progress{2, false, 0.9}, stalled: 2}), 0, Step{Fence, 1}},
-		{"nor shut out at an engine that serves nothing", Report{}, ordered(assignment(3, 0, 3), 2),
+		{"nor shut out at an engine that serves nothing", Report{}, stateOf(newAssignment(3, 0, 3), 2),
 			inDoubt(2, holdings{staged: progress{2, false, 0.9}, stalled: 2}), 0, Step{Fetch, 3}},
-		{"order in doubt in progress", busy, ordered(assignment(3, 0, 3), 2), inDoubt(2, whole(2)), 0, Step{Action: Watch}},
+		{"order in doubt in progress", busy, stateOf(newAssignment(3, 0, 3), 2), inDoubt(2, complete(2)), 0, Step{Action: Watch}},
 
-		{"agent before at a serving engine", serving(1), ordered(assignment(2, 0, 3), 0), holdings{doubt: before}, 0, Step{Fence, 1}},
-		{"not shut out yet", serving(1), ordered(assignment(2, 0, 3), 0), holdings{doubt: before}, -1, Step{Fetch, 2}},
-		{"engine heeds no tokens", serving(1), ordered(assignment(2, 0, 3), 0), holdings{doubt: unfenced}, 0, Step{Inspect, 2}},
-		{"agent before at an empty engine", Report{}, ordered(assignment(2, 0, 3), 0), holdings{doubt: before}, 0, Step{Inspect, 2}},
-		{"its pieces are unknown", Report{}, ordered(assignment(2, 0, 3), 0), holdings{doubt: looked}, 0, Step{Fetch, 2}},
-		{"its pieces are unknown, newest in memory", Report{}, ordered(assignment(2, 0, 3), 0),
-			holdings{doubt: looked, fetched: progress{2, true, 1}}, 0, Step{Await, 2}},
-		{"what it staged is the newest", Report{}, ordered(assignment(2, 0, 3), 0), holdings{doubt: before, staged: progress{2, true, 1}}, 0, Step{Load, 2}},
-		{"nothing to do", serving(2), ordered(assignment(2, 0, 3), 0), holdings{doubt: before}, 0, Step{}},
+		{"agent before at a serving engine", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, 0, Step{Fence, 1}},
+		{"not shut out yet", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, -1, Step{Fetch, 2}},
+		{"engine heeds no tokens", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: ignoresTokens}, 0, Step{Inspect, 2}},
+		{"agent before at an empty engine", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, 0, Step{Inspect, 2}},
+		{"its pieces are unknown", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: inspected}, 0, Step{Fetch, 2}},
+		{"its pieces are unknown, newest in memory", Report{}, stateOf(newAssignment(2, 0, 3), 0),
+			holdings{inDoubt: inspected, fetched: progress{2, true, 1}}, 0, Step{Await, 2}},
+		{"what it staged is the newest", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before, staged: progress{2, true, 1}}, 0, Step{Load, 2}},
+		{"nothing to do", serving(2), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, 0, Step{}},
 	} {
-		got := cfg.Plan(start.Add(c.after), c.report, c.o, c.h)
+		got := cfg.Plan(start.Add(c.after), c.report, c.as, c.h)
 		assert.Equal(t, got, c.want, c.name)
 	}
 }
 
-func TestDoubtIsSettledByTheReport(t *testing.T) {
+func TestOrderInDoubtIsSettledByReport(t *testing.T) {
 	report := func(sequence int64, serves int) Report {
 		r := serving(serves)
 		r.Sequence = sequence
 		return r
 	}
-	own := doubt{open: true, model: "m", version: 2, sequence: 5, last: start}
-	before := doubt{open: true, sequence: 5, last: start}
+	own := inDoubtOrder{open: true, model: "m", version: 2, sequence: 5, lastSent: start}
+	before := inDoubtOrder{open: true, sequence: 5, lastSent: start}
 	for _, c := range []struct {
-		d     doubt
+		d     inDoubtOrder
 		model string
 		r     Report
 		after time.Duration
@@ -167,13 +166,13 @@
 	}
 }
 
-// A refusal for the token shuts out the orders of this agent, not those of the
-// agent before, whose tokens may be higher.
-func TestRefusalForTheTokenSettlesOwnOrders(t *testing.T) {
-	own, before := doubt{open: true, version: 2}, doubt{open: true}
-	adopted := doubt{open: true, version: 2, adopted: true}
+// A refusal for the token proves that this agent's orders are fenced, but not those of the
+// previous agent, whose tokens may be higher.
+func TestTokenRefusalSettlesOwnOrders(t *testing.T) {
+	own, before := inDoubtOrder{open: true, version: 2}, inDoubtOrder{open: true}
+	adopted := inDoubtOrder{open: true, version: 2, adopted: true}
 	for _, c := range []struct {
-		d    doubt
+		d    inDoubtOrder
 		err  error
 		want bool
 	}{
@@ -181,111 +180,112 @@
 		{own, ErrOrderStale, false},
 		{adopted, ErrOrderFenced, false},
 		{before, ErrOrderFenced, false},
-		{doubt{}, ErrOrderFenced, false},
+		{inDoubtOrder{}, ErrOrderFenced, false},
 	} {
 		assert.Equal(t, c.d.fencedBy(c.err), c.want, "%+v", c)
 	}
 }
 
-func TestRepeatsArePausedLongerEachTime(t *testing.T) {
+func TestRepeatBackOffIncreases(t *testing.T) {
 	cfg := Config{}.applyDefaults()
-	var d doubt
+	var d inDoubtOrder
 	for i, want := range []time.Duration{100, 200, 400, 800, 1000, 1000} {
 		now := start.Add(time.Duration(i) * time.Minute)
-		d.tried(now, cfg)
-		assert.Equal(t, d.again.Sub(now), want*time.Millisecond)
+		d.recordUnanswered(now, cfg)
+		assert.Equal(t, d.nextAttempt.Sub(now), want*time.Millisecond)
 	}
 	for range 100 {
-		d.tried(start, cfg)
+		d.recordUnanswered(start, cfg)
 	}
-	assert.Equal(t, d.again.Sub(start), time.Second)
+	assert.Equal(t, d.nextAttempt.Sub(start), time.Second)
 }
 
-// A version that only an entry knows which started after it was named does not
-// hurry the engines, if the announcement of a newer one was seen: it was named
-// while the store was away.
-func TestGuessedAgeGivesWayToASeenOne(t *testing.T) {
-	guess := assignment(2, 0, 0)
+// A version known only to an entry that started after its announcement does not make the
+// engines overdue if the announcement of a newer version was observed: it was announced while
+// the store was unavailable.
+func TestObservedAnnouncementTakesPrecedenceOverGuessed(t *testing.T) {
+	guess := newAssignment(2, 0, 0)
 	guess.AgeMs, guess.Guessed = 8000, true
-	seen := assignment(3, 19, 20)
-	o := order{}.merge(start, guess)
+	seen := newAssignment(3, 19, 20)
+	as := assignmentState{}.merge(start, guess)
 	cfg := Config{}.applyDefaults()
-	assert.Equal(t, cfg.Plan(start, serving(1), o, holdings{}), Step{Stage, 2}, "nobody knows better")
-	o = o.merge(start, seen)
-	pending := o.pending(1)
+	assert.Equal(t, cfg.Plan(start, serving(1), as, holdings{}), Step{Stage, 2}, "nobody knows better")
+	as = as.merge(start, seen)
+	pending := as.pending(1)
 	assert.Equal(t, len(pending), 1)
-	assert.Equal(t, cfg.turnsOf(o, pending, pending[0]).at(19, 20), start.Add(8*time.Second-cfg.Margin))
-	known := assignment(2, 0, 20)
+	assert.Equal(t, cfg.turnWindowOf(as, pending, pending[0]).at(19, 20), start.Add(8*time.Second-cfg.Margin))
+	known := newAssignment(2, 0, 20)
 	known.AgeMs = 3000
-	o = o.merge(start, known)
-	assert.Equal(t, o.pending(1)[0], wanted{version: 2, announced: start.Add(-3 * time.Second)}, "another entry saw it")
-	o = o.merge(start, guess)
-	assert.Equal(t, o.pending(1)[0].announced, start.Add(-3*time.Second))
+	as = as.merge(start, known)
+	assert.Equal(t, as.pending(1)[0], announcedVersion{version: 2, announced: start.Add(-3 * time.Second)}, "another entry saw it")
+	as = as.merge(start, guess)
+	assert.Equal(t, as.pending(1)[0].announced, start.Add(-3*time.Second))
 }
 
-func TestTurnsAreSpreadOverTheTimeAllowed(t *testing.T) {
+func TestTurnsAreSpreadOverWindow(t *testing.T) {
 	cfg := Config{}.applyDefaults()
 	at := func(a peer.Assignment, earlier, k int) time.Duration {
-		o := ordered(a, earlier)
-		return cfg.turnsOf(o, o.versions, o.versions[k]).at(a.Turn, a.Turns).Sub(start)
+		as := stateOf(a, earlier)
+		return cfg.turnWindowOf(as, as.versions, as.versions[k]).at(a.Turn, a.Turns).Sub(start)
 	}
 	last := time.Duration(0)
 	for turn := range 12 {
-		at := at(assignment(2, turn, 12), 0, 0)
+		at := at(newAssignment(2, turn, 12), 0, 0)
 		assert.Assert(t, at > last || turn == 0)
 		last = at
 	}
 	assert.Equal(t, last, 8*time.Second-cfg.Margin)
-	short := assignment(2, 1, 2)
+	short := newAssignment(2, 1, 2)
 	short.TimeoutMs = 1000
 	assert.Equal(t, at(short, 0, 0), time.Duration(0), "no time for turns")
-	assert.Equal(t, at(assignment(2, 0, 1), 0, 0), time.Duration(0), "alone")
-	assert.Equal(t, at(assignment(3, 0, 12), 2, 0), cfg.Lead, "the older version keeps its time")
-	assert.Equal(t, at(assignment(3, 0, 12), 2, 1), time.Second+cfg.Lead)
+	assert.Equal(t, at(newAssignment(2, 0, 1), 0, 0), time.Duration(0), "alone")
+	assert.Equal(t, at(newAssignment(3, 0, 12), 2, 0), cfg.Lead, "the older version keeps its time")
+	assert.Equal(t, at(newAssignment(3, 0, 12), 2, 1), time.Second+cfg.Lead)
 	for k := range 2 {
-		assert.Equal(t, at(assignment(3, 11, 12), 2, k), 8*time.Second-cfg.Margin, "until the older must be served")
+		assert.Equal(t, at(newAssignment(3, 11, 12), 2, k), 8*time.Second-cfg.Margin, "until the older must be served")
 	}
 }
 
 func TestAssignmentsOfAllEntriesAreMerged(t *testing.T) {
-	one := assignment(2, 1, 3)
+	one := newAssignment(2, 1, 3)
 	one.AgeMs = 500
-	o := order{}.merge(start, one)
-	two := assignment(3, 2, 3)
+	as := assignmentState{}.merge(start, one)
+	two := newAssignment(3, 2, 3)
 	two.Earlier = []peer.AnnouncedVersion{{Version: 2, AgeMs: 900}}
-	o = o.merge(start, two)
-	assert.Equal(t, o.Version, 3)
-	o = o.merge(start, one)
-	assert.Equal(t, o.Version, 3, "an older assignment does not undo a newer one")
-	assert.Equal(t, len(o.pending(1)), 2)
-	assert.Equal(t, o.pending(1)[0], wanted{version: 2, announced: start.Add(-900 * time.Millisecond)})
-	assert.Equal(t, o.pending(1)[1], wanted{version: 3, announced: start})
-	assert.Equal(t, len(o.pending(2)), 1)
-	assert.Equal(t, len(o.pending(3)), 0)
+	as = as.merge(start, two)
+	assert.Equal(t, as.Version, 3)
+	as = as.merge(start, one)
+	assert.Equal(t, as.Version, 3, "an older assignment does not undo a newer one")
+	assert.Equal(t, len(as.pending(1)), 2)
+	assert.Equal(t, as.pending(1)[0], announcedVersion{version: 2, announced: start.Add(-900 * time.Millisecond)})
+	assert.Equal(t, as.pending(1)[1], announcedVersion{version: 3, announced: start})
+	assert.Equal(t, len(as.pending(2)), 1)
+	assert.Equal(t, len(as.pending(3)), 0)
 	two.Entry, two.Withheld = "a", true
-	o = o.merge(start, two)
+	as = as.merge(start, two)
 	two.Entry, two.Withheld = "b", false
-	o = o.merge(start, two)
-	assert.Assert(t, o.withheld(), "one entry fails to read it")
+	as = as.merge(start, two)
+	assert.Assert(t, as.withheld(), "one entry fails to read it")
 	two.Entry = "a"
-	assert.Assert(t, !o.merge(start, two).withheld())
-	other := assignment(1, 0, 0)
+	assert.Assert(t, !as.merge(start, two).withheld())
+	other := newAssignment(1, 0, 0)
 	other.Model = "other"
-	assert.Equal(t, len(o.merge(start, other).versions), 1, "another model starts anew")
+	assert.Equal(t, len(as.merge(start, other).versions), 1, "another model starts anew")
 	for v := range 10 {
-		o = o.merge(start, assignment(v, 0, 0))
+		as = as.merge(start, newAssignment(v, 0, 0))
 	}
-	assert.Equal(t, len(o.versions), wantedKept)
+	assert.Equal(t, len(as.versions), maxAnnouncedVersions)
 }
 
-// An entry that does not know the engines yet leaves the turn that others told.
-func TestAssignmentWithoutTurnsKeepsTheTurn(t *testing.T) {
-	o := order{}.merge(start, assignment(2, 7, 9))
-	unknown := assignment(2, 0, 0)
+// An assignment from an entry that does not know the engines yet keeps the turn that other
+// entries sent.
+func TestAssignmentWithoutTurnsKeepsTurn(t *testing.T) {
+	as := assignmentState{}.merge(start, newAssignment(2, 7, 9))
+	unknown := newAssignment(2, 0, 0)
 	unknown.Entry = "starting"
-	o = o.merge(start, unknown)
-	assert.Equal(t, o.Turn, 7)
-	assert.Equal(t, o.Turns, 9)
-	o = o.merge(start, assignment(3, 0, 0))
-	assert.Equal(t, o.Turns, 0, "of another version")
+	as = as.merge(start, unknown)
+	assert.Equal(t, as.Turn, 7)
+	assert.Equal(t, as.Turns, 9)
+	as = as.merge(start, newAssignment(3, 0, 0))
+	assert.Equal(t, as.Turns, 0, "of another version")
 }
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -11,73 +11,74 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// ErrNotStaged is returned by an engine at which a piece does not lie.
+// ErrNotStaged is returned by an engine on which a piece is not staged.
 var ErrNotStaged = errors.New("sidecar: piece is not staged")
 
-// Engine is the engine beside the agent.
+// Engine is the client of the engine that the agent manages.
 type Engine interface {
 	Report(ctx context.Context, addr string) (Report, error)
 	PutPiece(ctx context.Context, addr, model string, index int, data []byte) error
 	StagedPiece(ctx context.Context, addr, model string, index int) ([]byte, error)
-	// StartLoad orders the engine to load what is staged, after what is running. The
-	// errors say what is known of the order.
+	// StartLoad orders the engine to load the staged pieces once its running requests
+	// have ended. The errors of LoadOrder tell whether the order may still take effect.
 	StartLoad(ctx context.Context, addr string, o LoadOrder) error
 }
 
-// Sidecar is the agent of one engine. Run owns its state.
+// Sidecar is the agent of one engine. Run owns its state, except for the fields guarded by mu.
 type Sidecar struct {
 	cfg        Config
 	engine     Engine
 	engineAddr string
 	source     Source
-	say        func(peer.EngineState)
+	publish    func(peer.EngineState)
 	stats      *Stats
 	log        logrus.FieldLogger
 
-	stage   *stage // what lies at the engine
-	ahead   *stage // what is kept in memory of a newer version
-	said    peer.EngineState
-	up      bool // the engine answered the last report
-	asked   bool // a report was asked for before
-	reached bool // the engine has answered a report
-	step    Step
-	doubt   doubt
-	tokens  tokens
-	unsure  unsure
+	stage           *stage // version being staged or staged at the engine
+	prefetched      *stage // pieces of a newer version in memory
+	published       peer.EngineState
+	up              bool // the last report was successful
+	polled          bool // a report has been requested before
+	reached         bool // a report was successful at least once
+	step            Step
+	inDoubt         inDoubtOrder
+	tokens          tokens
+	unconfirmedPuts unconfirmedPuts
 
-	sequence   int64     // of the last report
-	born       int64     // likewise
-	sentAtZero time.Time // when an order with the precondition 0 got no answer
+	sequence    int64     // of the last report
+	startTimeMs int64     // likewise
+	sentAtZero  time.Time // time of the last unanswered order with precondition 0
 
-	stalled      int // version of which a piece could not be had
+	stalled      int // version with a piece that could not be fetched
 	stalledUntil time.Time
 
-	asking sync.WaitGroup // questions to the source, also those not waited for
+	sourceCalls sync.WaitGroup // calls to the source, including abandoned ones
 
-	mu    sync.Mutex
-	order order
-	wake  chan struct{}
+	mu         sync.Mutex
+	assignment assignmentState
+	wake       chan struct{}
 }
 
-// New returns a sidecar of the engine at addr. say tells the entries.
-func New(cfg Config, engine Engine, addr string, source Source, say func(peer.EngineState), stats *Stats,
+// New returns a sidecar for the engine at addr. publish sends the engine's state to the
+// entries.
+func New(cfg Config, engine Engine, addr string, source Source, publish func(peer.EngineState), stats *Stats,
 	log logrus.FieldLogger) *Sidecar {
 	cfg = cfg.applyDefaults()
-	var before time.Time // until when a piece of the agent before may come
+	var putsUntil time.Time // until when a delayed put of a previous agent may arrive
 	if !cfg.FirstStart {
-		before = clock.Now().Add(cfg.OrderGrace)
+		putsUntil = clock.Now().Add(cfg.OrderGrace)
 	}
-	return &Sidecar{cfg: cfg, unsure: unsure{all: before}, engine: engine, engineAddr: addr, source: source, say: say, stats: stats, log: log,
-		doubt: doubt{open: true, last: clock.Now()}, wake: make(chan struct{}, 1)}
+	return &Sidecar{cfg: cfg, unconfirmedPuts: unconfirmedPuts{all: putsUntil}, engine: engine, engineAddr: addr, source: source, publish: publish, stats: stats, log: log,
+		inDoubt: inDoubtOrder{open: true, lastSent: clock.Now()}, wake: make(chan struct{}, 1)}
 }
 
-// Assign takes an entry's assignment.
+// Assign merges an entry's assignment.
 func (s *Sidecar) Assign(now time.Time, a peer.Assignment) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	before := s.order
-	s.order = before.merge(now, a)
-	if s.order.Version != before.Version || s.order.Model != before.Model {
+	before := s.assignment
+	s.assignment = before.merge(now, a)
+	if s.assignment.Version != before.Version || s.assignment.Model != before.Model {
 		s.log.WithFields(logrus.Fields{"model": a.Model, "version": a.Version, "age_ms": a.AgeMs, "turn": a.Turn,
 			"turns": a.Turns, "earlier": len(a.Earlier)}).Info("Version assigned.")
 	}
@@ -87,25 +88,25 @@
 	}
 }
 
-// RemoveEntry forgets what an entry said that is not heard any more: whether it can read
-// a version may have changed. The versions themselves stay.
+// RemoveEntry drops what a lost entry reported about its ability to read the newest
+// version. The versions that it announced stay assigned.
 func (s *Sidecar) RemoveEntry(entry string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.order = s.order.without(entry)
+	s.assignment = s.assignment.without(entry)
 }
 
-func (s *Sidecar) assigned() order {
+func (s *Sidecar) assigned() assignmentState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.order
+	return s.assignment
 }
 
-// Run works until ctx ends.
+// Run reconciles the engine with the assignment until ctx ends.
 func (s *Sidecar) Run(ctx context.Context) {
-	defer s.asking.Wait()
+	defer s.sourceCalls.Wait()
 	for ctx.Err() == nil {
-		pause := s.turn(ctx)
+		pause := s.reconcile(ctx)
 		timer := clock.NewTimer(pause)
 		select {
 		case <-timer.C:
@@ -116,66 +117,67 @@
 	}
 }
 
-// turn reads the engine's report, does one step and returns the pause.
-func (s *Sidecar) turn(ctx context.Context) time.Duration {
+// reconcile reads the engine's report, carries out one step and returns the time until the
+// next call.
+func (s *Sidecar) reconcile(ctx context.Context) time.Duration {
 	r, err := s.report(ctx)
 	if err != nil {
 		s.engineLost(err)
 		return s.awaitEngine(ctx)
 	}
-	o, now := s.assigned(), clock.Now()
-	s.review(now, o, r)
-	s.revive(now, r)
+	as, now := s.assigned(), clock.Now()
+	s.settleFromReport(now, as, r)
+	s.reopenAfterRestart(now, r)
 	if !s.up {
 		s.up, s.reached = true, true
 		s.log.WithField("engine", s.engineAddr).Info("Engine reached.")
 	}
-	if o.Model == "" {
+	if as.Model == "" {
 		return s.cfg.Poll
 	}
-	serves := r.serves(o.Model, o.Layers)
-	s.tell(o.Model, serves, r.Busy, r.StartTimeMs)
-	step := s.cfg.Plan(now, r, o, s.holdings(now))
+	serves := r.serves(as.Model, as.Layers)
+	s.publishState(as.Model, serves, r.Busy, r.StartTimeMs)
+	step := s.cfg.Plan(now, r, as, s.holdings(now))
 	if step != s.step {
-		s.log.WithFields(logrus.Fields{"step": step.Action.String(), "from": s.step.Action.String(), "model": o.Model,
-			"version": step.Version, "assigned": o.Version, "serves": serves, "running": r.Running}).Info("Next step.")
+		s.log.WithFields(logrus.Fields{"step": step.Action.String(), "from": s.step.Action.String(), "model": as.Model,
+			"version": step.Version, "assigned": as.Version, "serves": serves, "running": r.Running}).Info("Next step.")
 		s.step = step
 	}
-	return s.do(ctx, step, o, r)
+	return s.do(ctx, step, as, r)
 }
 
-// holdings sums up what the agent has.
+// holdings summarizes the available pieces for Plan.
 func (s *Sidecar) holdings(now time.Time) holdings {
-	h := holdings{staged: s.stage.stagedProgress(), fetched: s.ahead.fetchedProgress(), doubt: s.doubt}
+	h := holdings{staged: s.stage.stagedProgress(), fetched: s.prefetched.fetchedProgress(), inDoubt: s.inDoubt}
 	if now.Before(s.stalledUntil) {
 		h.stalled = s.stalled
 	}
 	return h
 }
 
-// do takes one step and returns the pause after it.
-func (s *Sidecar) do(ctx context.Context, step Step, o order, r Report) time.Duration {
+// do carries out one step and returns the time until the next reconcile.
+func (s *Sidecar) do(ctx context.Context, step Step, as assignmentState, r Report) time.Duration {
 	switch step.Action {
 	case Watch, Await:
 		return s.cfg.PollBusy
 	case Stage:
-		return s.stageAll(ctx, o, step.Version, r)
+		return s.stageAll(ctx, as, step.Version, r)
 	case Fetch:
-		return s.fetchNewer(ctx, o, step.Version, r)
+		return s.fetchNewer(ctx, as, step.Version, r)
 	case Load:
-		return s.load(ctx, o, step.Version, r)
+		return s.load(ctx, as, step.Version, r)
 	case Fence:
-		return s.fence(ctx, o.Model, step.Version, r)
+		return s.fence(ctx, as.Model, step.Version, r)
 	case Inspect:
-		return s.inspect(ctx, o, step.Version, r)
+		return s.inspect(ctx, as, step.Version, r)
 	}
-	s.stage, s.ahead = nil, nil // loaded; the pieces take memory
+	s.stage, s.prefetched = nil, nil // loaded; release the memory of the pieces
 	return s.cfg.Poll
 }
 
-// fetchNewer fetches a newer version than the one that waits for its turn.
-func (s *Sidecar) fetchNewer(ctx context.Context, o order, version int, r Report) time.Duration {
-	err := s.fetchAhead(ctx, o, version, s.parallel(o, r))
+// fetchNewer prefetches a newer version than the staged one.
+func (s *Sidecar) fetchNewer(ctx context.Context, as assignmentState, version int, r Report) time.Duration {
+	err := s.prefetch(ctx, as, version, s.parallel(as, r))
 	if err == nil || errors.Is(err, context.DeadlineExceeded) {
 		return 0
 	}
@@ -184,17 +186,17 @@
 	return s.cfg.PollBusy
 }
 
-// awaitEngine fetches pieces while a new engine is still starting; they are
-// staged as soon as it answers.
+// awaitEngine fetches pieces while a new engine is still starting. They are staged as soon
+// as it answers.
 func (s *Sidecar) awaitEngine(ctx context.Context) time.Duration {
-	o := s.assigned()
-	if s.reached || s.cfg.FirstStart || o.Model == "" {
+	as := s.assigned()
+	if s.reached || s.cfg.FirstStart || as.Model == "" {
 		return s.cfg.PollDown
 	}
-	if !s.stage.is(o.Model, o.Version) && s.begin(ctx, o.Model, o.Version) != nil {
-		return s.cfg.PollDown // asked for again at the next turn
+	if !s.stage.isFor(as.Model, as.Version) && s.beginStage(ctx, as.Model, as.Version) != nil {
+		return s.cfg.PollDown // retried by the next reconcile
 	}
-	// Staging itself fails until the engine answers; what was fetched stays.
+	// Staging fails until the engine answers; the fetched pieces are kept.
 	_ = s.fetchMissing(ctx, func() int { return s.cfg.Fetches })
 	return s.cfg.PollDown
 }
@@ -206,63 +208,63 @@
 }
 
 func (s *Sidecar) engineLost(err error) {
-	if s.up || !s.asked {
+	if s.up || !s.polled {
 		s.log.WithError(err).WithField("engine", s.engineAddr).Warn("Engine lost.")
 	}
-	s.up, s.asked = false, true
+	s.up, s.polled = false, true
 	if s.reached {
-		s.stage = nil // what lies there is checked again
+		s.stage = nil // the staged pieces are checked again
 	}
-	if o := s.assigned(); o.Model != "" {
-		s.tell(o.Model, 0, false, s.born)
+	if as := s.assigned(); as.Model != "" {
+		s.publishState(as.Model, 0, false, s.startTimeMs)
 	}
 }
 
-// tell says what the engine serves, if that has changed.
-func (s *Sidecar) tell(model string, version int, loading bool, born int64) {
-	state := peer.EngineState{Addr: s.engineAddr, Model: model, Version: version, Loading: loading, Born: born}
-	if state == s.said {
+// publishState publishes what the engine serves, if that has changed.
+func (s *Sidecar) publishState(model string, version int, loading bool, startTimeMs int64) {
+	state := peer.EngineState{Addr: s.engineAddr, Model: model, Version: version, Loading: loading, Born: startTimeMs}
+	if state == s.published {
 		return
 	}
-	s.said = state
+	s.published = state
 	s.log.WithFields(logrus.Fields{"model": model, "version": version, "loading": loading}).Info("Engine state.")
-	s.say(state)
+	s.publish(state)
 }
 
-func (s *Sidecar) stageAll(ctx context.Context, o order, version int, r Report) time.Duration {
-	if s.doubt.fenceable(r.serves(o.Model, o.Layers)) {
+func (s *Sidecar) stageAll(ctx context.Context, as assignmentState, version int, r Report) time.Duration {
+	if s.inDoubt.fenceable(r.serves(as.Model, as.Layers)) {
 		var cancel context.CancelFunc
 		ctx, cancel = clock.WithTimeout(ctx, s.cfg.RepairTimeout)
 		defer cancel()
 	}
-	if !s.stage.is(o.Model, version) {
-		if err := s.begin(ctx, o.Model, version); err != nil {
+	if !s.stage.isFor(as.Model, version) {
+		if err := s.beginStage(ctx, as.Model, version); err != nil {
 			s.log.WithError(err).WithField("version", version).Warn("Staging could not begin.")
 			s.stall(version)
 			return s.cfg.Poll
 		}
 	}
-	if err := s.fetchMissing(ctx, func() int { return s.parallel(o, r) }); err != nil {
+	if err := s.fetchMissing(ctx, func() int { return s.parallel(as, r) }); err != nil {
 		s.log.WithError(err).WithFields(logrus.Fields{"version": version, "missing": s.stage.missing}).Warn("Staging is not complete.")
 		s.stall(version)
 		return s.cfg.PollBusy
 	}
-	if s.stage.whole() {
+	if s.stage.complete() {
 		took := clock.Since(s.stage.started).Milliseconds()
 		s.stats.stageTime.Update(took)
-		s.log.WithFields(logrus.Fields{"model": o.Model, "version": version, "pieces": len(s.stage.staged),
-			"ms": took, "fetch_ms": s.stage.spent.fetching.Load() / int64(time.Millisecond),
-			"put_ms": s.stage.spent.staging.Load() / int64(time.Millisecond)}).Info("Staged.")
+		s.log.WithFields(logrus.Fields{"model": as.Model, "version": version, "pieces": len(s.stage.staged),
+			"ms": took, "fetch_ms": s.stage.transferTimes.fetching.Load() / int64(time.Millisecond),
+			"put_ms": s.stage.transferTimes.staging.Load() / int64(time.Millisecond)}).Info("Staged.")
 	}
 	return 0
 }
 
-// parallel returns how many pieces are fetched at once. An engine whose version
-// is overdue gets no requests, so its link is free.
-func (s *Sidecar) parallel(o order, r Report) int {
-	serving := r.serves(o.Model, o.Layers)
-	timeout := time.Duration(o.TimeoutMs) * time.Millisecond
-	pending := o.pending(serving)
+// parallel returns the limit of concurrent piece fetches. An engine whose version is
+// overdue receives no requests, so its link is free.
+func (s *Sidecar) parallel(as assignmentState, r Report) int {
+	serving := r.serves(as.Model, as.Layers)
+	timeout := time.Duration(as.TimeoutMs) * time.Millisecond
+	pending := as.pending(serving)
 	overdue := len(pending) > 0 && timeout > 0 && clock.Since(pending[0].announced) > timeout-s.cfg.Margin
 	if serving == 0 || overdue {
 		return s.cfg.Fetches
@@ -270,57 +272,57 @@
 	return s.cfg.FetchesServing
 }
 
-// stall puts a version behind an older one for a while.
+// stall defers a version in favour of an older one for StallFor.
 func (s *Sidecar) stall(version int) {
 	s.stalled, s.stalledUntil = version, clock.Now().Add(s.cfg.StallFor)
 }
 
-// load checks the staged pieces once more and orders the engine to load them.
-func (s *Sidecar) load(ctx context.Context, o order, version int, r Report) time.Duration {
+// load checks the staged pieces again and orders the engine to load them.
+func (s *Sidecar) load(ctx context.Context, as assignmentState, version int, r Report) time.Duration {
 	age := s.cfg.VerifyAge
-	if s.doubt.ours() {
-		age = 0 // it may take effect at any time until the next check
+	if s.inDoubt.known() {
+		age = 0 // the order may take effect at any time until the next check
 	}
 	if !s.verifyForOrder(ctx, age) {
-		return 0 // the next step stages what is bad
+		return 0 // the next step stages the bad pieces again
 	}
-	if !s.doubt.ours() { // an engine whose order is repeated may serve on for long
-		s.tell(o.Model, r.serves(o.Model, o.Layers), true, r.StartTimeMs)
+	if !s.inDoubt.known() { // with a repeated order the engine may continue to serve for long
+		s.publishState(as.Model, r.serves(as.Model, as.Layers), true, r.StartTimeMs)
 	}
-	order := s.newOrder(o.Model, version, r)
-	fields := logrus.Fields{"model": o.Model, "version": version, "running": r.Running, "sequence": order.Precondition, "token": order.Token}
-	err := s.start(ctx, order)
+	order := s.newLoadOrder(as.Model, version, r)
+	fields := logrus.Fields{"model": as.Model, "version": version, "running": r.Running, "sequence": order.Precondition, "token": order.Token}
+	err := s.sendOrder(ctx, order)
 	s.stats.count(err)
 	switch {
 	case err == nil:
 		s.log.WithFields(fields).Info("Load ordered.")
-		if s.doubt.open {
+		if s.inDoubt.open {
 			s.settle(clock.Now(), "answered")
 		}
 	case errors.Is(err, ErrOrderInDoubt):
-		s.doubtful(clock.Now(), order, err)
+		s.recordInDoubt(clock.Now(), order, err)
 	default:
 		s.log.WithFields(fields).WithError(err).Warn("Load order failed.")
 		if errors.Is(err, ErrOrderFenced) {
-			s.tokens.lift()
+			s.tokens.raise()
 		}
 		switch {
-		case s.doubt.fencedBy(err):
+		case s.inDoubt.fencedBy(err):
 			s.settle(clock.Now(), "fenced")
-		case s.doubt.ours():
-			s.doubt.putOff(clock.Now(), s.cfg) // all pieces are read for each repeat
+		case s.inDoubt.known():
+			s.inDoubt.backOff(clock.Now(), s.cfg) // each repeat reads all pieces
 		}
 	}
 	return s.cfg.PollBusy
 }
 
-// newOrder returns an order that is decided on a report.
-func (s *Sidecar) newOrder(model string, version int, r Report) LoadOrder {
+// newLoadOrder returns an order that is based on a report.
+func (s *Sidecar) newLoadOrder(model string, version int, r Report) LoadOrder {
 	return LoadOrder{Model: model, Version: version, Precondition: r.Sequence, Token: s.tokens.next(clock.Now())}
 }
 
-// start sends an order.
-func (s *Sidecar) start(ctx context.Context, order LoadOrder) error {
+// sendOrder sends an order, and records the time if it has precondition 0 and is unanswered.
+func (s *Sidecar) sendOrder(ctx context.Context, order LoadOrder) error {
 	ctx, cancel := clock.WithTimeout(ctx, s.cfg.OrderTimeout)
 	defer cancel()
 	err := s.engine.StartLoad(ctx, s.engineAddr, order)
@@ -330,38 +332,38 @@
 	return err
 }
 
-// fence makes the engine refuse older orders: an order of what it serves changes
-// nothing there, but its token counts. One with a lower token must then be
-// refused, or the engine does not heed tokens.
+// fence makes the engine refuse older orders. An order for the version that it serves changes
+// nothing, but the engine records its token. Then an order with a lower token must be refused,
+// otherwise the engine does not enforce tokens.
 func (s *Sidecar) fence(ctx context.Context, model string, serving int, r Report) time.Duration {
 	var err error
-	if s.doubt.shut == 0 {
-		s.tokens.aheadOf(clock.Now())
-		lower := s.newOrder(model, serving, r)
-		err = s.start(ctx, s.newOrder(model, serving, r))
+	if s.inDoubt.probeToken == 0 {
+		s.tokens.raiseAbovePrevious(clock.Now())
+		lower := s.newLoadOrder(model, serving, r)
+		err = s.sendOrder(ctx, s.newLoadOrder(model, serving, r))
 		switch {
 		case err == nil:
-			s.doubt.shut = lower.Token
+			s.inDoubt.probeToken = lower.Token
 		case errors.Is(err, ErrOrderFenced):
-			s.tokens.lift()
+			s.tokens.raise()
 			return s.cfg.PollBusy
 		}
 	}
-	if s.doubt.shut != 0 {
-		lower := s.newOrder(model, serving, r)
-		lower.Token = s.doubt.shut
-		err = s.start(ctx, lower)
+	if s.inDoubt.probeToken != 0 {
+		lower := s.newLoadOrder(model, serving, r)
+		lower.Token = s.inDoubt.probeToken
+		err = s.sendOrder(ctx, lower)
 		if errors.Is(err, ErrOrderFenced) {
 			s.settle(clock.Now(), "fenced")
 			return 0
 		}
-		s.doubt.unfenced = err == nil
+		s.inDoubt.ignoresTokens = err == nil
 	}
-	s.doubt.putOff(clock.Now(), s.cfg)
-	if err != nil && !errors.Is(err, ErrOrderInDoubt) && s.doubt.tries >= earlierTries {
-		s.doubt.unfenced = true
+	s.inDoubt.backOff(clock.Now(), s.cfg)
+	if err != nil && !errors.Is(err, ErrOrderInDoubt) && s.inDoubt.attempts >= previousAgentAttempts {
+		s.inDoubt.ignoresTokens = true
 	}
-	s.log.WithError(err).WithFields(logrus.Fields{"model": model, "version": serving, "tries": s.doubt.tries,
-		"unfenced": s.doubt.unfenced}).Info("Older orders not shut out.")
+	s.log.WithError(err).WithFields(logrus.Fields{"model": model, "version": serving, "tries": s.inDoubt.attempts,
+		"unfenced": s.inDoubt.ignoresTokens}).Info("Older orders not shut out.")
 	return s.cfg.PollBusy
 }
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -24,35 +24,36 @@
 
 func content(version, index int) string { return fmt.Sprintf("version %d piece %d", version, index) }
 
-// fakeEngine loads what is staged and knows whether that was whole.
+// fakeEngine loads the staged pieces and records whether they were all of the ordered version.
 type fakeEngine struct {
-	mu      sync.Mutex
-	down    bool
-	staged  map[int]string
-	serves  int
-	spoilt  bool // it was ever told to load what was not whole
-	orders  int
-	reads   int
-	loading time.Time
-	late    []time.Duration // how late the next orders take effect; these get no answer. Negative: never
-
-	// uncounted: it neither counts orders nor heeds tokens or preconditions, and
-	// refuses one of what it serves. unfenced: it heeds no tokens.
-	uncounted, unfenced bool
-	// outlive: late orders also reach the next process of the engine.
-	outlive bool
-	// loseAll: also orders of what it serves are late.
-	loseAll  bool
-	sequence int64
-	token    uint64        // the highest seen
-	lives    int           // starts
-	born     int64         // Unix milliseconds of the last start; 0 if it does not tell
-	slow     bool          // puts get no answer, and land slowPut later
-	readTime time.Duration // of a staged piece
-}
-
-// slowPut is how late a piece lands of which the put got no answer: after the put
-// was given up, and before the last turn of a version announced with it.
+	mu            sync.Mutex
+	down          bool
+	staged        map[int]string
+	serves        int
+	loadedInvalid bool // an order took effect while pieces were missing, corrupt or of another version
+	orders        int
+	reads         int
+	loading       time.Time
+	late          []time.Duration // delays of the next orders, which get no answer; negative: never delivered
+
+	// With noOrderCount, the engine neither counts orders nor enforces tokens or
+	// preconditions, and refuses an order for the version that it serves. With
+	// ignoresTokens, it does not enforce tokens.
+	noOrderCount, ignoresTokens bool
+	// With survivesRestart, delayed orders also reach the engine's next process.
+	survivesRestart bool
+	// With lateAll, orders for the served version are delayed too.
+	lateAll     bool
+	sequence    int64
+	token       uint64        // highest token seen
+	starts      int           // number of process starts
+	startTimeMs int64         // Unix time of the last start; 0 if not reported
+	slow        bool          // puts get no answer and take effect after slowPut
+	readTime    time.Duration // duration of the read of a staged piece
+}
+
+// slowPut is the delay of an unanswered put. It takes effect after the put has timed out, and
+// before the last turn of a version that was announced at the same time.
 const slowPut = 6400 * time.Millisecond
 
 func (e *fakeEngine) Report(context.Context, string) (Report, error) {
@@ -61,7 +62,7 @@
 	if e.down {
 		return Report{}, errors.New("refused")
 	}
-	r := Report{Busy: time.Now().Before(e.loading), Sequence: e.sequence, StartTimeMs: e.born}
+	r := Report{Busy: time.Now().Before(e.loading), Sequence: e.sequence, StartTimeMs: e.startTimeMs}
 	if e.serves > 0 {
 		r.Models = []fleet.ModelVersion{{Model: "m", Version: e.serves, Layers: 16}}
 	}
@@ -102,17 +103,17 @@
 func (e *fakeEngine) StartLoad(ctx context.Context, _ string, o LoadOrder) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.down || len(e.late) == 0 || o.Version == e.serves && !e.loseAll {
-		return e.take(o)
+	if e.down || len(e.late) == 0 || o.Version == e.serves && !e.lateAll {
+		return e.apply(o)
 	}
-	late, life := e.late[0], e.lives
+	late, starts := e.late[0], e.starts
 	e.late = e.late[1:]
 	if late >= 0 {
 		time.AfterFunc(late, func() {
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			if e.lives == life || e.outlive { // else it ended with its connection
-				_ = e.take(o) // nobody hears of it
+			if e.starts == starts || e.survivesRestart { // otherwise the order was lost with its connection
+				_ = e.apply(o) // the caller has timed out
 			}
 		})
 	}
@@ -122,14 +123,14 @@
 	return ErrOrderInDoubt
 }
 
-// take lets an order take effect on what is staged now.
-func (e *fakeEngine) take(o LoadOrder) error {
+// apply carries out an order on the currently staged pieces.
+func (e *fakeEngine) apply(o LoadOrder) error {
 	switch {
 	case e.down:
 		return errors.New("refused")
-	case !e.uncounted && !e.unfenced && o.Token < e.token:
+	case !e.noOrderCount && !e.ignoresTokens && o.Token < e.token:
 		return ErrOrderFenced
-	case time.Now().Before(e.loading), !e.uncounted && o.Precondition != e.sequence, e.uncounted && e.serves == o.Version:
+	case time.Now().Before(e.loading), !e.noOrderCount && o.Precondition != e.sequence, e.noOrderCount && e.serves == o.Version:
 		return ErrOrderStale
 	}
 	e.token = max(e.token, o.Token)
@@ -137,40 +138,40 @@
 		return nil
 	}
 	e.orders++
-	if !e.uncounted {
+	if !e.noOrderCount {
 		e.sequence++
 	}
 	for i := range pieces {
-		e.spoilt = e.spoilt || e.staged[i] != content(o.Version, i)
+		e.loadedInvalid = e.loadedInvalid || e.staged[i] != content(o.Version, i)
 	}
 	e.serves = o.Version
 	e.loading = time.Now().Add(300 * time.Millisecond)
 	return nil
 }
 
-// restart makes the engine forget all but what is staged.
+// restart resets the state of the engine except for the staged pieces.
 func (e *fakeEngine) restart() {
 	e.set(func() {
 		e.down, e.serves, e.loading, e.sequence, e.token = true, 0, time.Time{}, 0, 0
-		e.lives++
+		e.starts++
 	})
 	time.Sleep(300 * time.Millisecond)
 	e.set(func() { e.down = false })
 }
 
-// set changes the engine between steps.
+// set calls f with the engine locked.
 func (e *fakeEngine) set(f func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	f()
 }
 
-// fakeSource takes its time for each piece.
+// fakeSource provides pieces after a delay.
 type fakeSource struct {
-	mu      sync.Mutex
-	delay   time.Duration
-	fetched int
-	lacks   int // a version of which only the first piece can be had
+	mu          sync.Mutex
+	delay       time.Duration
+	fetched     int
+	unavailable int // a version of which only the first piece is available
 }
 
 func (s *fakeSource) Manifest(_ context.Context, model string, version int) (*weights.Manifest, error) {
@@ -185,15 +186,15 @@
 	time.Sleep(s.delay)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if m.Version == s.lacks && index > 0 {
+	if m.Version == s.unavailable && index > 0 {
 		return nil, weights.ErrNoSource
 	}
 	s.fetched++
 	return []byte(content(m.Version, index)), nil
 }
 
-// begin starts a sidecar inside a bubble; end stops it.
-func begin(t *testing.T, cfg Config, e Engine, source *fakeSource) (s *Sidecar, said func() peer.EngineState, end func()) {
+// startSidecar starts a sidecar inside a synctest bubble. stop stops it.
+func startSidecar(t *testing.T, cfg Config, e Engine, source *fakeSource) (s *Sidecar, published func() peer.EngineState, stop func()) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	var mu sync.Mutex
@@ -209,191 +210,182 @@
 		defer close(done)
 		s.Run(ctx)
 	}()
-	said = func() peer.EngineState {
+	published = func() peer.EngineState {
 		mu.Lock()
 		defer mu.Unlock()
 		return last
 	}
-	return s, said, func() {
+	return s, published, func() {
 		cancel()
 		<-done
 	}
 }
 
-// run starts a sidecar in a bubble of its own time.
-func run(t *testing.T, cfg Config, e Engine, source *fakeSource, f func(s *Sidecar, said func() peer.EngineState)) {
+// runSidecar runs f with a sidecar in a synctest bubble of its own.
+func runSidecar(t *testing.T, cfg Config, e Engine, source *fakeSource, f func(s *Sidecar, published func() peer.EngineState)) {
 	synctest.Test(t, func(t *testing.T) {
-		s, said, end := begin(t, cfg, e, source)
-		f(s, said)
-		end()
+		s, published, stop := startSidecar(t, cfg, e, source)
+		f(s, published)
+		stop()
 	})
 }
 
 func TestEmptyEngineIsStagedAndLoaded(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}}
-	run(t, Config{}, e, &fakeSource{delay: 30 * time.Millisecond}, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(1, 0, 0))
+	runSidecar(t, Config{}, e, &fakeSource{delay: 30 * time.Millisecond}, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(1, 0, 0))
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, said().Version, 1)
-		assert.Assert(t, !said().Loading)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 1)
+		assert.Assert(t, !published().Loading)
+		assert.Assert(t, !e.loadedInvalid)
 		assert.Equal(t, e.orders, 1)
 	})
 }
 
-// Staged bytes may go bad before the load is ordered; they are checked again.
-func TestPieceThatWentBadIsStagedAgain(t *testing.T) {
+// Staged bytes may become corrupt before the load is ordered, so they are checked again.
+func TestCorruptPieceIsStagedAgain(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1}
-	run(t, Config{}, e, &fakeSource{delay: 30 * time.Millisecond}, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(2, 1, 2)) // the last turn comes after 6.7 s
+	runSidecar(t, Config{}, e, &fakeSource{delay: 30 * time.Millisecond}, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(2, 1, 2)) // the last turn comes after 6.7 s
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, e.orders, 0, "it is not this engine's turn")
 		e.set(func() { e.staged[2] = "rot" })
 		time.Sleep(4 * time.Second)
-		assert.Equal(t, said().Version, 2)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 2)
+		assert.Assert(t, !e.loadedInvalid)
 	})
 }
 
-// A slow transfer makes the first pieces old by the time the last has come.
-func TestPiecesOfASlowTransferAreCheckedAgain(t *testing.T) {
+// In a slow transfer, the checks of the first pieces are outdated when the last one arrives.
+func TestPiecesOfSlowTransferAreCheckedAgain(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}}
-	run(t, Config{Fetches: 1}, e, &fakeSource{delay: time.Second}, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(1, 0, 0))
+	runSidecar(t, Config{Fetches: 1}, e, &fakeSource{delay: time.Second}, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(1, 0, 0))
 		time.Sleep(5 * time.Second)
 		e.set(func() { e.staged[0] = "rot" })
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, said().Version, 1)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 1)
+		assert.Assert(t, !e.loadedInvalid)
 	})
 }
 
-// The pieces of a new engine are fetched while it starts.
-func TestPiecesAreFetchedBeforeTheEngineAnswers(t *testing.T) {
+// Pieces are fetched while a new engine is starting.
+func TestPiecesAreFetchedBeforeEngineAnswers(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, down: true}
 	source := &fakeSource{delay: 100 * time.Millisecond}
-	run(t, Config{}, e, source, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(1, 0, 0))
+	runSidecar(t, Config{}, e, source, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(1, 0, 0))
 		time.Sleep(2 * time.Second)
 		source.mu.Lock()
 		assert.Equal(t, source.fetched, pieces)
 		source.mu.Unlock()
 		e.set(func() { e.down = false })
 		time.Sleep(time.Second)
-		assert.Equal(t, said().Version, 1)
+		assert.Equal(t, published().Version, 1)
 		source.mu.Lock()
 		assert.Equal(t, source.fetched, pieces, "none is fetched twice")
 		source.mu.Unlock()
 	})
 }
 
-// What was staged before a crash of the engine is used again.
-func TestStagedPiecesSurviveACrashOfTheEngine(t *testing.T) {
+// Pieces that were staged before a crash of the engine are reused.
+func TestStagedPiecesSurviveEngineCrash(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1}
 	for i := range pieces {
 		e.staged[i] = content(1, i)
 	}
 	source := &fakeSource{}
-	run(t, Config{}, e, source, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(1, 0, 0))
+	runSidecar(t, Config{}, e, source, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(1, 0, 0))
 		time.Sleep(time.Second)
 		e.set(func() { e.down, e.serves = true, 0 })
 		time.Sleep(time.Second)
-		assert.Equal(t, said().Version, 0)
+		assert.Equal(t, published().Version, 0)
 		e.set(func() { e.down = false })
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, said().Version, 1)
+		assert.Equal(t, published().Version, 1)
 		assert.Equal(t, source.fetched, 0)
 	})
 }
 
-// A version that is named while an older one is staged takes its place.
-func TestNewerVersionTakesThePlaceOfOneBeingStaged(t *testing.T) {
+// A version that is announced while an older one is being staged replaces it.
+func TestNewerVersionReplacesOneBeingStaged(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1}
-	run(t, Config{}, e, &fakeSource{delay: 200 * time.Millisecond}, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(2, 0, 1))
+	runSidecar(t, Config{}, e, &fakeSource{delay: 200 * time.Millisecond}, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(2, 0, 1))
 		time.Sleep(700 * time.Millisecond)
-		s.Assign(time.Now(), assignment(3, 0, 1))
-		s.Assign(time.Now(), assignment(2, 0, 1))
+		s.Assign(time.Now(), newAssignment(3, 0, 1))
+		s.Assign(time.Now(), newAssignment(2, 0, 1))
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, said().Version, 3)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 3)
+		assert.Assert(t, !e.loadedInvalid)
 		assert.Equal(t, e.orders, 1)
 	})
 }
 
-// The origin goes away just after a newer version was announced. The one before
-// is served in time, and the newer one when it can be had.
-func TestOlderVersionIsServedInTimeIfTheNewerCannotBeHad(t *testing.T) {
+// The origin becomes unavailable just after a newer version was announced. The older version
+// is served in time, and the newer one once it is available.
+func TestOlderVersionIsServedInTimeIfNewerIsUnavailable(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1}
-	source := &fakeSource{delay: 250 * time.Millisecond, lacks: 3}
-	run(t, Config{}, e, source, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(2, 1, 2))
+	source := &fakeSource{delay: 250 * time.Millisecond, unavailable: 3}
+	runSidecar(t, Config{}, e, source, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(2, 1, 2))
 		time.Sleep(1600 * time.Millisecond)
-		s.Assign(time.Now(), assignment(3, 1, 2))
+		s.Assign(time.Now(), newAssignment(3, 1, 2))
 		time.Sleep(6 * time.Second)
-		assert.Equal(t, said().Version, 2, "within 8 s of its announcement")
+		assert.Equal(t, published().Version, 2, "within 8 s of its announcement")
 		source.mu.Lock()
-		source.lacks = 0
+		source.unavailable = 0
 		source.mu.Unlock()
 		time.Sleep(4 * time.Second)
-		assert.Equal(t, said().Version, 3)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 3)
+		assert.Assert(t, !e.loadedInvalid)
 		assert.Equal(t, e.orders, 2)
 	})
 }
 
-// An engine that has not begun to stage the newer version takes the one before
-// if the newer cannot be had.
-func TestStalledVersionGivesWayToTheOneBefore(t *testing.T) {
+// An engine that has not started to stage the newer version loads the older one if the newer
+// is unavailable.
+func TestStalledVersionIsDeferred(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}}
-	run(t, Config{}, e, &fakeSource{lacks: 3}, func(s *Sidecar, said func() peer.EngineState) {
-		a := assignment(3, 0, 0)
+	runSidecar(t, Config{}, e, &fakeSource{unavailable: 3}, func(s *Sidecar, published func() peer.EngineState) {
+		a := newAssignment(3, 0, 0)
 		a.Earlier = []peer.AnnouncedVersion{{Version: 2, AgeMs: 2000}}
 		s.Assign(time.Now(), a)
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, said().Version, 2)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 2)
+		assert.Assert(t, !e.loadedInvalid)
 	})
 }
 
-// A newer version that can be had in time is loaded in place of the older one,
-// which is staged already.
-func TestNewerVersionFetchedAheadIsLoadedAlone(t *testing.T) {
+// A newer version that can be fetched in time is loaded instead of the older one, which is
+// already staged.
+func TestPrefetchedVersionIsLoadedDirectly(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1}
-	run(t, Config{}, e, &fakeSource{delay: 200 * time.Millisecond}, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(2, 1, 2))
+	runSidecar(t, Config{}, e, &fakeSource{delay: 200 * time.Millisecond}, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(2, 1, 2))
 		time.Sleep(1400 * time.Millisecond)
-		s.Assign(time.Now(), assignment(3, 1, 2))
+		s.Assign(time.Now(), newAssignment(3, 1, 2))
 		time.Sleep(8 * time.Second)
-		assert.Equal(t, said().Version, 3)
+		assert.Equal(t, published().Version, 3)
 		assert.Equal(t, e.orders, 1)
-		assert.Assert(t, !e.spoilt)
+		assert.Assert(t, !e.loadedInvalid)
 	})
 }
 
-// What callers saw: tokens of version 3 that were made with other weights, some
-// seconds after version 4 was named. What happened, in this order: version 3 was
-// staged and checked; the order to load it got no answer; the agent gave it up
-// and put the pieces of version 4 over those of 3; the engine took the first order
-// then and loaded what was staged by that time under the number 3. Others went
-// back from 4 to 3 by the same order. The cause: an order without an answer was
-// held to be one that was not carried out, and what it refers to, the staged
-// pieces, was changed while it could still take effect.
-//
-// What proved it: the engine's own numbering of orders puts the unanswered order
-// of 3 after the puts of 4, some seconds after it was sent, and at that time the
-// agent sent no order of 3; the staged pieces were checked less than a
-// second before the order; of the puts none was given up for time, and those that
-// failed were refused connections of engines that were down.
-func TestLateOrderLoadsOnlyWhatIsWhole(t *testing.T) {
+// Guards against responses of one version that are generated with the weights of another. An
+// order to load a checked version gets no answer, and the agent treats it as not carried out
+// and stages a newer version over it. If the engine receives the order seconds later, it loads
+// the staged pieces under the older version number, or reverts from the newer version to the
+// older. So the staged pieces must not change while an order may still take effect.
+func TestDelayedOrderLoadsOnlyCompleteVersion(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		late    []time.Duration
-		serves  int  // before
-		anew    bool // the agent is started anew before version 3 is assigned
-		restart bool // the engine is
-		noToken bool // the engine heeds none
+		name           string
+		late           []time.Duration
+		serves         int  // initially
+		agentRestarts  bool // the agent is restarted before version 3 is assigned
+		engineRestarts bool // the engine is restarted before version 3 is assigned
+		ignoresTokens  bool // the engine does not enforce tokens
 	}{
 		{"while a newer version is staged", seconds(2.9), 1, false, false, false},
 		{"after a newer version was loaded", seconds(9), 1, false, false, false},
@@ -415,25 +407,25 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e := &fakeEngine{staged: map[int]string{}, serves: c.serves, late: c.late, unfenced: c.noToken}
+				e := &fakeEngine{staged: map[int]string{}, serves: c.serves, late: c.late, ignoresTokens: c.ignoresTokens}
 				source := &fakeSource{delay: 200 * time.Millisecond}
-				s, said, end := begin(t, Config{}, e, source)
-				s.Assign(time.Now(), assignment(2, 0, 1))
+				s, published, stop := startSidecar(t, Config{}, e, source)
+				s.Assign(time.Now(), newAssignment(2, 0, 1))
 				time.Sleep(1200 * time.Millisecond)
-				if c.anew {
-					end()
-					s, said, end = begin(t, Config{}, e, source)
+				if c.agentRestarts {
+					stop()
+					s, published, stop = startSidecar(t, Config{}, e, source)
 				}
-				if c.restart {
+				if c.engineRestarts {
 					e.restart()
 				}
 				s.Assign(time.Now(), thirdAfterSecond())
 				time.Sleep(30 * time.Second)
-				end()
-				assert.Assert(t, !e.spoilt, "loaded what was not whole")
+				stop()
+				assert.Assert(t, !e.loadedInvalid, "loaded what was not whole")
 				assert.Equal(t, e.serves, 3)
-				assert.Equal(t, said().Version, 3)
-				assert.Assert(t, !s.doubt.open)
+				assert.Equal(t, published().Version, 3)
+				assert.Assert(t, !s.inDoubt.open)
 			})
 		})
 	}
@@ -448,19 +440,19 @@
 
 // thirdAfterSecond assigns version 3, announced 1.5 s after version 2.
 func thirdAfterSecond() peer.Assignment {
-	a := assignment(3, 0, 1)
+	a := newAssignment(3, 0, 1)
 	a.Earlier = []peer.AnnouncedVersion{{Version: 2, AgeMs: 1500}}
 	return a
 }
 
-// An order without an answer is repeated until the engine's report or an answer
-// settles it, and counted once.
-func TestOrderWithoutAnAnswerIsRepeated(t *testing.T) {
+// An unanswered order is repeated until the engine's report or an answer settles it. It is
+// counted once.
+func TestUnansweredOrderIsRepeated(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, late: seconds(-1, -1)}
-	run(t, Config{}, e, &fakeSource{}, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(1, 0, 0))
+	runSidecar(t, Config{}, e, &fakeSource{}, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(1, 0, 0))
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, said().Version, 1)
+		assert.Equal(t, published().Version, 1)
 		assert.Equal(t, e.orders, 1)
 		assert.Equal(t, s.stats.ordersInDoubt.Count(), int64(1))
 		assert.Equal(t, s.stats.ordersSettled.Count(), int64(1))
@@ -469,12 +461,12 @@
 	})
 }
 
-// A piece that goes bad while an order is in doubt is put there again, and a
-// newer version only when the order is settled.
-func TestPieceThatGoesBadWhileAnOrderIsInDoubtIsStagedAgain(t *testing.T) {
+// A piece that becomes corrupt while an order is in doubt is staged again. A newer version is
+// staged only when the order is settled.
+func TestPieceCorruptedWhileOrderIsInDoubtIsStagedAgain(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1, late: seconds(6, -1, -1, -1, -1, -1, -1, -1, -1, -1, -1, -1)}
-	run(t, Config{VerifyAge: time.Hour}, e, &fakeSource{delay: 30 * time.Millisecond}, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(2, 0, 1))
+	runSidecar(t, Config{VerifyAge: time.Hour}, e, &fakeSource{delay: 30 * time.Millisecond}, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(2, 0, 1))
 		time.Sleep(time.Second)
 		s.Assign(time.Now(), thirdAfterSecond())
 		e.set(func() { e.staged[5] = "rot" })
@@ -485,76 +477,75 @@
 			}
 		})
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, said().Version, 3)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 3)
+		assert.Assert(t, !e.loadedInvalid)
 	})
 }
 
-// A piece of a version whose order is in doubt cannot be had any more: the order
-// is shut out, and the newer version takes its place.
-func TestOrderWhosePiecesAreGoneIsShutOut(t *testing.T) {
+// If a corrupt piece of a version whose order is in doubt is no longer available, the order is
+// fenced and the newer version is loaded.
+func TestOrderWithUnavailablePiecesIsFenced(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1, late: seconds(9, -1)}
 	source := &fakeSource{}
-	run(t, Config{}, e, source, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(2, 0, 1))
+	runSidecar(t, Config{}, e, source, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(2, 0, 1))
 		time.Sleep(300 * time.Millisecond)
 		s.Assign(time.Now(), thirdAfterSecond())
 		source.mu.Lock()
-		source.lacks = 2
+		source.unavailable = 2
 		source.mu.Unlock()
 		e.set(func() { e.staged[5] = "rot" })
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, said().Version, 3, "before the order comes")
+		assert.Equal(t, published().Version, 3, "before the order comes")
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, said().Version, 3)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 3)
+		assert.Assert(t, !e.loadedInvalid)
 	})
 }
 
-// A piece goes bad while an order is in doubt, and its source takes long to hand
-// it out again. The order takes effect 3.8 s after that, later than the 3 s for
-// which bytes that went bad are excused: it has to be shut out before the fetch is
-// waited for.
-func TestOrderIsShutOutWhileABadPieceIsFetched(t *testing.T) {
+// A piece becomes corrupt while an order is in doubt, and its source is slow to provide it
+// again. The order would take effect 3.8 s after the corruption, beyond the 3 s for which a load
+// of corrupt bytes is tolerated. It must be fenced without waiting for the fetch.
+func TestOrderIsFencedDuringSlowRepair(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1, late: seconds(4.5, -1, -1, -1, -1, -1, -1, -1, -1, -1, -1, -1)}
 	source := &fakeSource{}
-	run(t, Config{}, e, source, func(s *Sidecar, _ func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(2, 0, 1))
+	runSidecar(t, Config{}, e, source, func(s *Sidecar, _ func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(2, 0, 1))
 		time.Sleep(700 * time.Millisecond)
 		source.mu.Lock()
-		source.lacks, source.delay = 2, 5900*time.Millisecond
+		source.unavailable, source.delay = 2, 5900*time.Millisecond
 		source.mu.Unlock()
 		e.set(func() { e.staged[5] = "rot" })
 		time.Sleep(20 * time.Second)
 	})
-	assert.Assert(t, !e.spoilt)
+	assert.Assert(t, !e.loadedInvalid)
 }
 
-// The clock was stepped back since the agent before gave its orders, so that the
-// tokens of the new one are too low at first.
-func TestTokensAreLiftedOverThoseOfTheAgentBefore(t *testing.T) {
+// The clock was stepped back after the previous agent had sent its orders, so the tokens of the
+// new agent are too low at first.
+func TestTokensAreRaisedAboveThoseOfPreviousAgent(t *testing.T) {
 	for _, ahead := range []time.Duration{2 * time.Second, time.Hour} {
 		e := &fakeEngine{staged: map[int]string{}, serves: 1, sequence: 4}
-		run(t, Config{}, e, &fakeSource{}, func(s *Sidecar, said func() peer.EngineState) {
+		runSidecar(t, Config{}, e, &fakeSource{}, func(s *Sidecar, published func() peer.EngineState) {
 			e.set(func() { e.token = uint64(time.Now().Add(ahead).UnixMilli()) })
-			s.Assign(time.Now(), assignment(2, 0, 1))
+			s.Assign(time.Now(), newAssignment(2, 0, 1))
 			time.Sleep(8 * time.Second)
-			assert.Equal(t, said().Version, 2)
-			assert.Assert(t, !e.spoilt)
+			assert.Equal(t, published().Version, 2)
+			assert.Assert(t, !e.loadedInvalid)
 		})
 	}
 }
 
-// What lies staged of a version that nobody knows any more is left there until no
-// order of it can come.
-func TestStageOfAnUnknownVersionIsLeftForAWhile(t *testing.T) {
+// Staged pieces of a version that is no longer known are kept until a delayed order for them
+// can no longer arrive.
+func TestUnknownStagedVersionIsKeptUntilOrdersExpire(t *testing.T) {
 	for _, down := range []bool{false, true} {
 		e := &fakeEngine{staged: map[int]string{}, down: down}
 		for i := range pieces {
 			e.staged[i] = content(1, i)
 		}
-		run(t, Config{}, e, &fakeSource{delay: 100 * time.Millisecond}, func(s *Sidecar, said func() peer.EngineState) {
-			s.Assign(time.Now(), assignment(5, 0, 0))
+		runSidecar(t, Config{}, e, &fakeSource{delay: 100 * time.Millisecond}, func(s *Sidecar, published func() peer.EngineState) {
+			s.Assign(time.Now(), newAssignment(5, 0, 0))
 			time.Sleep(150 * time.Millisecond) // pieces are being fetched
 			e.set(func() { e.down = false })
 			time.Sleep(s.cfg.OrderGrace - time.Second)
@@ -564,146 +555,146 @@
 				}
 			})
 			time.Sleep(3 * time.Second)
-			assert.Equal(t, said().Version, 5)
-			assert.Assert(t, !e.spoilt)
+			assert.Equal(t, published().Version, 5)
+			assert.Assert(t, !e.loadedInvalid)
 		})
 	}
 }
 
-// The clock of the agent before was ahead when it gave an order that got no answer.
-func TestOrderOfAnAgentWhoseClockWasAheadIsShutOut(t *testing.T) {
+// The previous agent's clock was ahead when it sent an order that got no answer.
+func TestOrderOfPreviousAgentWithFastClockIsFenced(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1}
 	for i := range pieces {
 		e.staged[i] = content(2, i)
 	}
-	run(t, Config{}, e, &fakeSource{delay: 100 * time.Millisecond}, func(s *Sidecar, said func() peer.EngineState) {
+	runSidecar(t, Config{}, e, &fakeSource{delay: 100 * time.Millisecond}, func(s *Sidecar, published func() peer.EngineState) {
 		late := LoadOrder{Model: "m", Version: 2, Token: uint64(time.Now().Add(3 * time.Second).UnixMilli())}
 		time.AfterFunc(500*time.Millisecond, func() {
-			e.set(func() { assert.ErrorIs(t, e.take(late), ErrOrderFenced) })
+			e.set(func() { assert.ErrorIs(t, e.apply(late), ErrOrderFenced) })
 		})
-		s.Assign(time.Now(), assignment(3, 0, 1))
+		s.Assign(time.Now(), newAssignment(3, 0, 1))
 		time.Sleep(8 * time.Second)
-		assert.Equal(t, said().Version, 3)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 3)
+		assert.Assert(t, !e.loadedInvalid)
 	})
 }
 
-// A first order is repeated with success, and the engine crashes. The order comes
-// to its next process, which counts from 0 again, while a newer version is due.
-func TestOrderThatOutlivesTheEnginesProcess(t *testing.T) {
-	e := &fakeEngine{staged: map[int]string{}, late: seconds(3.5), outlive: true}
+// The first order is unanswered, its repeat succeeds, and the engine crashes. The delayed order
+// reaches the engine's next process, which counts from 0 again, while a newer version is due.
+func TestOrderReachesNextEngineProcess(t *testing.T) {
+	e := &fakeEngine{staged: map[int]string{}, late: seconds(3.5), survivesRestart: true}
 	source := &fakeSource{}
-	run(t, Config{}, e, source, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(2, 0, 1))
+	runSidecar(t, Config{}, e, source, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(2, 0, 1))
 		time.Sleep(2500 * time.Millisecond)
-		assert.Equal(t, said().Version, 2)
+		assert.Equal(t, published().Version, 2)
 		source.mu.Lock()
 		source.delay = 500 * time.Millisecond
 		source.mu.Unlock()
 		e.restart()
 		s.Assign(time.Now(), thirdAfterSecond())
 		time.Sleep(12 * time.Second)
-		assert.Equal(t, said().Version, 3)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 3)
+		assert.Assert(t, !e.loadedInvalid)
 	})
 }
 
-// An engine starts anew within the time between two reports, and its count is again
-// what it was: only the time of its start tells. The order in doubt comes to its next
-// process, while a newer version is due.
-func TestOrderThatOutlivesALifeThatEndedUnseen(t *testing.T) {
-	e := &fakeEngine{staged: map[int]string{}, late: seconds(3.5), outlive: true, serves: 1, born: 1000}
-	run(t, Config{}, e, &fakeSource{}, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(2, 0, 1))
+// An engine restarts between two reports, and its order count is the same as before: only the
+// start time reveals the restart. The order in doubt reaches the new process while a newer
+// version is due.
+func TestOrderReachesNextEngineProcessAfterUnobservedRestart(t *testing.T) {
+	e := &fakeEngine{staged: map[int]string{}, late: seconds(3.5), survivesRestart: true, serves: 1, startTimeMs: 1000}
+	runSidecar(t, Config{}, e, &fakeSource{}, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(2, 0, 1))
 		time.Sleep(510 * time.Millisecond)
 		e.set(func() {
-			e.serves, e.sequence, e.token, e.born = 0, 0, 0, 2000
-			e.lives++
+			e.serves, e.sequence, e.token, e.startTimeMs = 0, 0, 0, 2000
+			e.starts++
 		})
 		s.Assign(time.Now(), thirdAfterSecond())
 		time.Sleep(200 * time.Millisecond)
-		assert.Equal(t, said().Born, int64(2000))
+		assert.Equal(t, published().Born, int64(2000))
 		time.Sleep(12 * time.Second)
-		assert.Equal(t, said().Version, 3)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 3)
+		assert.Assert(t, !e.loadedInvalid)
 	})
 }
 
-// An order is not settled by what a later life of the engine has begun.
-func TestOrderIsNotSettledByTheCountOfAnotherLife(t *testing.T) {
-	d := doubt{open: true, model: "m", version: 2, sequence: 0, born: 1000, last: start}
+// An order is not settled as begun by the order count of a later engine process.
+func TestOrderIsNotSettledBySequenceOfAnotherProcess(t *testing.T) {
+	d := inDoubtOrder{open: true, model: "m", version: 2, sequence: 0, startTimeMs: 1000, lastSent: start}
 	assert.Equal(t, d.settled(start, "m", Report{Sequence: 1, StartTimeMs: 2000}, 0, time.Minute), "engine_restarted")
 	assert.Equal(t, d.settled(start, "m", Report{Sequence: 1, StartTimeMs: 1000}, 0, time.Minute), "begun")
 	assert.Equal(t, d.settled(start, "m", Report{Sequence: 1}, 0, time.Minute), "begun", "it does not tell")
 }
 
-// An engine that counts no orders and heeds no tokens is served all the same.
-func TestEngineThatCountsNoOrders(t *testing.T) {
-	e := &fakeEngine{staged: map[int]string{}, serves: 1, uncounted: true, late: seconds(1)}
+// An engine that neither counts orders nor enforces tokens still gets new versions.
+func TestEngineWithoutOrderCount(t *testing.T) {
+	e := &fakeEngine{staged: map[int]string{}, serves: 1, noOrderCount: true, late: seconds(1)}
 	for i := range pieces {
 		e.staged[i] = content(1, i)
 	}
-	run(t, Config{}, e, &fakeSource{}, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(2, 0, 1))
+	runSidecar(t, Config{}, e, &fakeSource{}, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(2, 0, 1))
 		time.Sleep(4 * time.Second)
-		assert.Equal(t, said().Version, 2)
-		assert.Assert(t, !s.doubt.open)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 2)
+		assert.Assert(t, !s.inDoubt.open)
+		assert.Assert(t, !e.loadedInvalid)
 	})
 }
 
-// A put without an answer lands late, over the piece of a newer version.
-func TestPieceThatLandsLateIsNoticed(t *testing.T) {
+// An unanswered put takes effect late and overwrites the piece of a newer version.
+func TestDelayedPutIsDetected(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1, slow: true}
-	run(t, Config{VerifyAge: time.Hour}, e, &fakeSource{}, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(2, 0, 1))
+	runSidecar(t, Config{VerifyAge: time.Hour}, e, &fakeSource{}, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(2, 0, 1))
 		time.Sleep(100 * time.Millisecond)
 		e.set(func() { e.slow = false })
-		a := assignment(3, 1, 2) // the turn comes after those pieces
+		a := newAssignment(3, 1, 2) // the turn comes after the delayed puts
 		s.Assign(time.Now(), a)
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, said().Version, 3)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 3)
+		assert.Assert(t, !e.loadedInvalid)
 	})
 }
 
-// A put of the agent before lands late, over the piece of a newer version that the new
-// agent has staged and checked.
-func TestPieceOfTheAgentBeforeThatLandsLateIsNoticed(t *testing.T) {
+// A put of the previous agent takes effect late and overwrites the piece of a newer version
+// that the new agent has staged and checked.
+func TestDelayedPutOfPreviousAgentIsDetected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cfg := Config{VerifyAge: time.Hour}
 		e := &fakeEngine{staged: map[int]string{}, serves: 1, slow: true}
-		s, _, end := begin(t, cfg, e, &fakeSource{})
-		s.Assign(time.Now(), assignment(2, 0, 1))
+		s, _, stop := startSidecar(t, cfg, e, &fakeSource{})
+		s.Assign(time.Now(), newAssignment(2, 0, 1))
 		time.Sleep(100 * time.Millisecond)
 		e.set(func() { e.slow = false })
-		end()
-		s, said, end := begin(t, cfg, e, &fakeSource{})
-		s.Assign(time.Now(), assignment(3, 1, 2)) // the turn comes after those pieces
+		stop()
+		s, published, stop := startSidecar(t, cfg, e, &fakeSource{})
+		s.Assign(time.Now(), newAssignment(3, 1, 2)) // the turn comes after the delayed puts
 		time.Sleep(20 * time.Second)
-		assert.Equal(t, said().Version, 3)
-		assert.Assert(t, !e.spoilt)
-		end()
+		assert.Equal(t, published().Version, 3)
+		assert.Assert(t, !e.loadedInvalid)
+		stop()
 	})
 }
 
-// Reads of staged pieces are so slow that four at a time take longer than a check may
-// be old: more are read at once, and the order is sent.
-func TestSlowReadsOfStagedPiecesDoNotKeepTheOrder(t *testing.T) {
+// Reads of staged pieces are so slow that with four concurrent reads the checks are outdated
+// before the order is sent. The sidecar must increase the concurrency and send the order.
+func TestSlowReadsDoNotPreventOrder(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1, readTime: 900 * time.Millisecond}
-	run(t, Config{}, e, &fakeSource{}, func(s *Sidecar, said func() peer.EngineState) {
-		s.Assign(time.Now(), assignment(2, 1, 2)) // the turn comes when the checks are old
+	runSidecar(t, Config{}, e, &fakeSource{}, func(s *Sidecar, published func() peer.EngineState) {
+		s.Assign(time.Now(), newAssignment(2, 1, 2)) // the turn comes when the checks are outdated
 		time.Sleep(12 * time.Second)
-		assert.Equal(t, said().Version, 2)
-		assert.Assert(t, !e.spoilt)
+		assert.Equal(t, published().Version, 2)
+		assert.Assert(t, !e.loadedInvalid)
 	})
 }
 
-// An entry that could not read the newest version is gone: the older one is not loaded
-// because of it.
-func TestVersionWithheldByAnEntryThatIsGone(t *testing.T) {
+// An entry that failed to read the newest version is lost. Its report must no longer cause the
+// older version to be loaded.
+func TestVersionWithheldByRemovedEntry(t *testing.T) {
 	s := New(Config{}, &fakeEngine{}, "engine", &fakeSource{}, func(peer.EngineState) {}, NewStats(metrics.NewRegistry()), logrus.New())
-	a := assignment(2, 0, 1)
+	a := newAssignment(2, 0, 1)
 	a.Entry, a.Withheld = "entry-1", true
 	s.Assign(start, a)
 	assert.Assert(t, s.assigned().withheld())
@@ -714,21 +705,21 @@
 	assert.Equal(t, s.assigned().Version, 2, "the version stays")
 }
 
-// Whatever order orders, restarts and versions come in, the engine loads only
-// what is whole and serves the newest version in the end.
-func TestEngineLoadsOnlyWhatIsWhole(t *testing.T) {
+// For any sequence of versions, restarts and delayed orders, the engine loads only complete
+// versions and finally serves the newest.
+func TestEngineLoadsOnlyCompleteVersions(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		millis := func(from, to int) *rapid.Generator[time.Duration] {
 			return rapid.Map(rapid.IntRange(from, to), func(ms int) time.Duration { return time.Duration(ms) * time.Millisecond })
 		}
-		e := &fakeEngine{staged: map[int]string{}, serves: rapid.IntRange(0, 1).Draw(rt, "serves"), unfenced: rapid.Bool().Draw(rt, "unfenced"),
-			loseAll: rapid.Bool().Draw(rt, "lose_all")}
+		e := &fakeEngine{staged: map[int]string{}, serves: rapid.IntRange(0, 1).Draw(rt, "serves"), ignoresTokens: rapid.Bool().Draw(rt, "unfenced"),
+			lateAll: rapid.Bool().Draw(rt, "lose_all")}
 		source := &fakeSource{delay: millis(0, 300).Draw(rt, "fetch")}
 		late := rapid.SliceOfN(rapid.OneOf(millis(0, 12_000), rapid.Just(-time.Second)), 0, 6)
 		turn := rapid.IntRange(0, 3)
 		type event struct {
 			after time.Duration
-			kind  int // 0 version, 1 agent anew, 2 engine anew, 3 lost answers
+			kind  int // 0: new version, 1: agent restart, 2: engine restart, 3: delayed orders
 			late  []time.Duration
 			turn  int
 		}
@@ -738,11 +729,11 @@
 		var last peer.EngineState
 		version := 2
 		synctest.Test(t, func(t *testing.T) {
-			s, said, end := begin(t, Config{}, e, source)
+			s, published, stop := startSidecar(t, Config{}, e, source)
 			announced := map[int]time.Time{}
 			turn := 0
 			assign := func() {
-				a := assignment(version, turn, 3)
+				a := newAssignment(version, turn, 3)
 				a.AgeMs = time.Since(announced[version]).Milliseconds()
 				for v := 2; v < version; v++ {
 					if age := time.Since(announced[v]); age < 8*time.Second {
@@ -761,9 +752,9 @@
 					announced[version], turn = time.Now(), ev.turn
 					assign()
 				case 1:
-					end()
-					time.Sleep(20 * time.Millisecond) // a process takes longer to start
-					s, said, end = begin(t, Config{}, e, source)
+					stop()
+					time.Sleep(20 * time.Millisecond) // a real process takes longer to start
+					s, published, stop = startSidecar(t, Config{}, e, source)
 					assign()
 				case 2:
 					e.restart()
@@ -772,10 +763,10 @@
 				}
 			}
 			time.Sleep(90 * time.Second)
-			last = said()
-			end()
+			last = published()
+			stop()
 		})
-		if e.spoilt {
+		if e.loadedInvalid {
 			rt.Fatalf("loaded what was not whole")
 		}
 		if last.Version != version || e.serves != version {
--- a/sidecar/stage.go
+++ b/sidecar/stage.go
@@ -13,28 +13,28 @@
 	"github.com/springgate/springgate/weights"
 )
 
-// Source hands out manifests and verified pieces.
+// Source provides manifests and verified pieces.
 type Source interface {
 	Manifest(ctx context.Context, model string, version int) (*weights.Manifest, error)
 	Piece(ctx context.Context, m *weights.Manifest, index int) ([]byte, error)
 }
 
-// stage is what is known of the pieces of a version: those that lie at the
-// engine and those in the agent's memory.
+// stage is the state of the pieces of a version, both at the engine and in the agent's
+// memory.
 type stage struct {
-	model    string
-	version  int
-	manifest *weights.Manifest
-	staged   []bool      // at the engine
-	pieces   [][]byte    // fetched and not staged yet
-	checked  []time.Time // when each piece was last known to be sound
-	missing  int         // at the engine
-	started  time.Time
-	spent    spent
+	model         string
+	version       int
+	manifest      *weights.Manifest
+	staged        []bool      // at the engine
+	pieces        [][]byte    // fetched, but not staged yet
+	checked       []time.Time // when each staged piece was last known to be valid
+	missing       int         // number of pieces not staged at the engine
+	started       time.Time
+	transferTimes transferTimes
 }
 
-// spent is the time that all pieces together took.
-type spent struct{ fetching, staging atomic.Int64 } // ns
+// transferTimes are the total times of the transfers of all pieces.
+type transferTimes struct{ fetching, staging atomic.Int64 } // ns
 
 func newStage(m *weights.Manifest) *stage {
 	n := len(m.Digests)
@@ -42,24 +42,24 @@
 		checked: make([]time.Time, n), missing: n, started: clock.Now()}
 }
 
-func (s *stage) whole() bool { return s != nil && s.missing == 0 }
+func (s *stage) complete() bool { return s != nil && s.missing == 0 }
 
-func (s *stage) is(model string, version int) bool {
+func (s *stage) isFor(model string, version int) bool {
 	return s != nil && s.model == model && s.version == version
 }
 
-// oldestCheck returns when the piece was checked that was not for the longest time.
+// oldestCheck returns the time of the least recent check of a piece.
 func (s *stage) oldestCheck() time.Time { return slices.MinFunc(s.checked, time.Time.Compare) }
 
-// stagedProgress is how much lies at the engine.
+// stagedProgress returns the progress of staging at the engine.
 func (s *stage) stagedProgress() progress {
 	if s == nil || len(s.staged) == 0 {
 		return progress{}
 	}
-	return progress{version: s.version, whole: s.whole(), share: 1 - float64(s.missing)/float64(len(s.staged))}
+	return progress{version: s.version, complete: s.complete(), share: 1 - float64(s.missing)/float64(len(s.staged))}
 }
 
-// fetchedProgress is how much lies in the agent's memory.
+// fetchedProgress returns the progress of fetching into the agent's memory.
 func (s *stage) fetchedProgress() progress {
 	if s == nil || len(s.pieces) == 0 {
 		return progress{}
@@ -70,12 +70,12 @@
 			n++
 		}
 	}
-	return progress{version: s.version, whole: n == len(s.pieces), share: float64(n) / float64(len(s.pieces))}
+	return progress{version: s.version, complete: n == len(s.pieces), share: float64(n) / float64(len(s.pieces))}
 }
 
-// errEarlierOrder is returned while the stage must not be changed because of an
-// order of the agent before.
-var errEarlierOrder = errors.New("sidecar: an earlier agent's order may still take effect")
+// errPreviousAgentOrder is returned while the staged pieces must not be changed because of
+// an order of the previous agent.
+var errPreviousAgentOrder = errors.New("sidecar: an earlier agent's order may still take effect")
 
 // manifest reads the manifest of a version.
 func (s *Sidecar) manifest(ctx context.Context, model string, version int) (*weights.Manifest, error) {
@@ -85,12 +85,12 @@
 	return m, errors.Wrap(err, "sidecar: manifest")
 }
 
-// begin makes the stage that of a version. Pieces that were fetched ahead are
-// used; what lies at the engine already is found out: staged pieces survive a
-// crash of the engine and restarts of the agent.
-func (s *Sidecar) begin(ctx context.Context, model string, version int) error {
-	if s.ahead.is(model, version) {
-		s.stage, s.ahead = s.ahead, nil
+// beginStage starts the staging of a version. It uses the prefetched pieces if there are any.
+// Otherwise it checks which pieces are staged already, since these survive crashes of the
+// engine and restarts of the agent.
+func (s *Sidecar) beginStage(ctx context.Context, model string, version int) error {
+	if s.prefetched.isFor(model, version) {
+		s.stage, s.prefetched = s.prefetched, nil
 		return nil
 	}
 	m, err := s.manifest(ctx, model, version)
@@ -98,16 +98,16 @@
 		return err
 	}
 	s.stage = newStage(m)
-	// The first piece tells whether the rest is worth reading.
+	// The first piece shows whether reading the rest is worthwhile.
 	began := clock.Now()
-	if s.check(ctx, 0) == sound {
-		s.mark(0, true, began)
-		s.verify(ctx, 0, readsAtOnce)
+	if s.checkPiece(ctx, 0) == valid {
+		s.recordCheck(0, true, began)
+		s.verify(ctx, 0, concurrentReads)
 	}
 	return nil
 }
 
-// ServePiece hands a piece that lies at the engine to an entry, which checks it.
+// ServePiece sends a piece that is staged at the engine to an entry, which verifies it.
 func (s *Sidecar) ServePiece(ctx context.Context, st *peer.Stream, first peer.Message) {
 	q, ok := first.(*peer.GetPiece)
 	if !ok {
@@ -117,6 +117,6 @@
 	if err != nil {
 		s.log.WithError(err).WithFields(logrus.Fields{"model": q.Model, "version": q.Version, "piece": q.Index}).Info("Piece not handed out.")
 	}
-	// The asker notices a reply that does not arrive by its own timeout.
+	// If the reply is lost, the requester's own timeout detects it.
 	_ = st.SendLast(ctx, &peer.Blob{Found: err == nil, Data: data})
 }
--- a/sidecar/stats.go
+++ b/sidecar/stats.go
@@ -5,8 +5,8 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// sampleSize and sampleAlpha shape the histogram: a sample of about a thousand
-// values, biased to the last minutes.
+// sampleSize and sampleAlpha configure the histogram's reservoir: about a thousand values,
+// biased towards the last minutes.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
@@ -14,14 +14,14 @@
 
 // Stats are the counters of a sidecar.
 type Stats struct {
-	fetched      metrics.Counter // pieces that came from entries
-	spoilt       metrics.Counter // staged pieces that were missing or bad
-	orders       metrics.Counter // load orders that the engine took
-	ordersFailed metrics.Counter // load orders that it did not, or of which that is not known
-	// Load orders that got no answer, repeats not counted, and those of them of
-	// which it is known by now whether they took effect.
+	fetched      metrics.Counter // pieces fetched from entries
+	bad          metrics.Counter // staged pieces found missing or corrupt
+	orders       metrics.Counter // load orders accepted by the engine
+	ordersFailed metrics.Counter // load orders refused, or without a known outcome
+	// Load orders that got no answer, not counting repeats, and those of them whose
+	// outcome has become known.
 	ordersInDoubt, ordersSettled metrics.Counter
-	ordersStale                  metrics.Counter   // refused: the engine's state was another
+	ordersStale                  metrics.Counter   // refused: the engine's state had changed
 	ordersFenced                 metrics.Counter   // refused: the token was too low
 	stageTime                    metrics.Histogram // from the manifest to the last piece, ms
 }
@@ -29,7 +29,7 @@
 // NewStats registers the counters.
 func NewStats(r metrics.Registry) *Stats {
 	return &Stats{fetched: metrics.NewRegisteredCounter("sidecar.pieces.fetched", r),
-		spoilt:        metrics.NewRegisteredCounter("sidecar.pieces.spoilt", r),
+		bad:           metrics.NewRegisteredCounter("sidecar.pieces.spoilt", r),
 		orders:        metrics.NewRegisteredCounter("sidecar.orders", r),
 		ordersFailed:  metrics.NewRegisteredCounter("sidecar.orders.failed", r),
 		ordersInDoubt: metrics.NewRegisteredCounter("sidecar.orders.in_doubt", r),
@@ -39,7 +39,7 @@
 		stageTime:     metrics.NewRegisteredHistogram("sidecar.stage_ms", r, metrics.NewExpDecaySample(sampleSize, sampleAlpha))}
 }
 
-// count notes the answer to a load order.
+// count counts the answer to a load order.
 func (s *Stats) count(err error) {
 	if err == nil {
 		s.orders.Inc(1)
--- a/sidecar/verify.go
+++ b/sidecar/verify.go
@@ -10,24 +10,24 @@
 	"github.com/springgate/springgate/clock"
 )
 
-// readsAtOnce is how many staged pieces are read back at once. One at a time may
-// take longer than a check may be old when an order is sent. Each further try for one
-// order reads four times as many, so that an engine whose reads are slow gets orders.
-const readsAtOnce = 4
+// concurrentReads is the number of staged pieces that are read back concurrently. Reading one
+// at a time may exceed the maximum age of a check when an order is sent. Each retry for the
+// same order reads four times as many, so that an engine with slow reads gets orders too.
+const concurrentReads = 4
 
-// verifyTries is how often in one turn staged pieces are checked anew because the
-// checks took too long.
-const verifyTries = 3
+// maxVerifyAttempts limits how often one reconcile checks the staged pieces because the
+// preceding checks took too long.
+const maxVerifyAttempts = 3
 
-// unsure are the indexes of pieces that were put without an answer, each with the
-// time until which that piece may still come and lie over a newer one.
-type unsure struct {
+// unconfirmedPuts are the pieces whose put was not answered. For each index it holds the time
+// until which that put may still arrive and overwrite a newer piece.
+type unconfirmedPuts struct {
 	mu    sync.Mutex
 	until map[int]time.Time
-	all   time.Time // likewise of pieces that the agent before may have put
+	all   time.Time // likewise for puts of a previous agent, of any index
 }
 
-func (u *unsure) add(index int, until time.Time) {
+func (u *unconfirmedPuts) add(index int, until time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.until == nil {
@@ -36,23 +36,23 @@
 	u.until[index] = until
 }
 
-func (u *unsure) has(index int, now time.Time) bool {
+func (u *unconfirmedPuts) has(index int, now time.Time) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return now.Before(u.all) || now.Before(u.until[index])
 }
 
-// finding is what the read of a staged piece tells.
-type finding uint8
+// checkResult is the result of reading a staged piece.
+type checkResult uint8
 
 const (
-	sound      finding = iota
-	bad                // missing or spoilt
-	unanswered         // the engine did not answer
+	valid      checkResult = iota
+	bad                    // missing or corrupt
+	unanswered             // the engine did not answer
 )
 
-// check reads one staged piece back.
-func (s *Sidecar) check(ctx context.Context, index int) finding {
+// checkPiece reads back and verifies one staged piece.
+func (s *Sidecar) checkPiece(ctx context.Context, index int) checkResult {
 	ctx, cancel := clock.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
 	data, err := s.engine.StagedPiece(ctx, s.engineAddr, s.stage.model, index)
@@ -64,12 +64,12 @@
 	case s.stage.manifest.Verify(index, data) != nil:
 		return bad
 	}
-	return sound
+	return valid
 }
 
-// mark notes what is known of a piece since a time.
-func (s *Sidecar) mark(index int, ok bool, since time.Time) {
-	s.stage.checked[index] = since
+// recordCheck records whether a piece is staged and valid as of a time.
+func (s *Sidecar) recordCheck(index int, ok bool, asOf time.Time) {
+	s.stage.checked[index] = asOf
 	if s.stage.staged[index] == ok {
 		return
 	}
@@ -81,29 +81,29 @@
 	}
 }
 
-// findings counts the pieces that were not found sound.
-type findings struct{ bad, unanswered int }
+// checkCounts counts the pieces that were not found valid.
+type checkCounts struct{ bad, unanswered int }
 
-// readBack reads staged pieces back that were last checked longer than age ago,
-// or over which another may come. Bytes may go bad while they lie there. A piece
-// of which the read got no answer counts as missing until it is read or put.
-func (s *Sidecar) readBack(ctx context.Context, age time.Duration, atOnce int) findings {
+// readBack reads and verifies the staged pieces whose last check is at least age old, or that
+// a delayed put may overwrite. Staged bytes may become corrupt. A piece whose read got no
+// answer counts as missing until it is read or put.
+func (s *Sidecar) readBack(ctx context.Context, age time.Duration, concurrency int) checkCounts {
 	var due []int
 	for i, at := range s.stage.checked {
-		if clock.Since(at) >= age || s.unsure.has(i, clock.Now()) {
+		if clock.Since(at) >= age || s.unconfirmedPuts.has(i, clock.Now()) {
 			due = append(due, i)
 		}
 	}
-	var n findings
+	var n checkCounts
 	always := func() bool { return true }
-	// There are no errors: what a read tells is counted. All are begun, also when
-	// ctx ends, so that none is taken for sound unread.
-	_ = each(context.WithoutCancel(ctx), due, atOnce, always, func(i int) (func(), error) {
-		began := clock.Now() // the bytes may go bad while the answer is on its way
-		f := s.check(ctx, i)
+	// There are no errors, since failed reads are counted. All reads are started even if
+	// ctx ends, so that no piece is considered valid without being read.
+	_ = forEachIndex(context.WithoutCancel(ctx), due, concurrency, always, func(i int) (func(), error) {
+		began := clock.Now() // the bytes may become corrupt while the answer is in transit
+		result := s.checkPiece(ctx, i)
 		return func() {
-			s.mark(i, f == sound, began)
-			switch f {
+			s.recordCheck(i, result == valid, began)
+			switch result {
 			case bad:
 				n.bad++
 			case unanswered:
@@ -114,26 +114,26 @@
 	return n
 }
 
-// verify reads staged pieces back and reports whether all were found sound.
-func (s *Sidecar) verify(ctx context.Context, age time.Duration, atOnce int) bool {
-	n := s.readBack(ctx, age, atOnce)
-	if n == (findings{}) {
+// verify reads staged pieces back and reports whether all of them are valid.
+func (s *Sidecar) verify(ctx context.Context, age time.Duration, concurrency int) bool {
+	n := s.readBack(ctx, age, concurrency)
+	if n == (checkCounts{}) {
 		return true
 	}
-	s.stats.spoilt.Inc(int64(n.bad))
+	s.stats.bad.Inc(int64(n.bad))
 	s.log.WithFields(logrus.Fields{"pieces": n.bad, "unanswered": n.unanswered, "version": s.stage.version}).Info("Staged pieces are missing or spoilt.")
 	return false
 }
 
-// verifyForOrder verifies until no check is older than an order allows: the agent may
-// have been frozen in between, or reads may be slow.
+// verifyForOrder verifies the staged pieces until no check is older than OrderAge. Checks may
+// be too old because the agent was paused in between or because reads are slow.
 func (s *Sidecar) verifyForOrder(ctx context.Context, age time.Duration) bool {
-	atOnce := readsAtOnce
-	for range verifyTries {
-		if !s.verify(ctx, age, atOnce) {
+	concurrency := concurrentReads
+	for range maxVerifyAttempts {
+		if !s.verify(ctx, age, concurrency) {
 			return false
 		}
-		atOnce *= 4
+		concurrency *= 4
 		if clock.Since(s.stage.oldestCheck()) < s.cfg.OrderAge {
 			return true
 		}
--- a/sidecar/wanted.go
+++ b/sidecar/wanted.go
@@ -11,67 +11,67 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// wantedKept bounds the versions that are remembered.
-const wantedKept = 4
+// maxAnnouncedVersions limits the number of remembered versions.
+const maxAnnouncedVersions = 4
 
-// wanted is a version that the operators named, and when, by this process's
-// clock.
-type wanted struct {
+// announcedVersion is a version that the operators announced, with the time by this
+// process's clock.
+type announcedVersion struct {
 	version   int
 	announced time.Time
-	// guessed says that no entry saw the announcement: those that know the
-	// version started after it, and take its time to be over.
+	// guessed is true if no entry observed the announcement. The entries that know
+	// the version started after it, and assume that its deadline has passed.
 	guessed bool
 }
 
-// tellsMore reports whether w tells more of a version's announcement than old.
-func (w wanted) tellsMore(old wanted) bool {
-	return fleet.Announcement{At: w.announced, Guessed: w.guessed}.TellsMore(fleet.Announcement{At: old.announced, Guessed: old.guessed})
+// supersedes reports whether av is better information about an announcement than old.
+func (av announcedVersion) supersedes(old announcedVersion) bool {
+	return fleet.Announcement{At: av.announced, Guessed: av.guessed}.TellsMore(fleet.Announcement{At: old.announced, Guessed: old.guessed})
 }
 
-// order is what the entries told the agent: the newest assignment, and the
+// assignmentState combines the assignments of all entries: the newest assignment, and the
 // versions announced before it that may not be served yet.
-type order struct {
+type assignmentState struct {
 	peer.Assignment
-	versions []wanted        // oldest first; the last is the assignment's
-	failing  map[string]bool // entries that fail to read the newest version
+	versions []announcedVersion // oldest first; the last is the assignment's
+	failing  map[string]bool    // entries that fail to read the newest version
 }
 
-// merge takes an entry's assignment. All entries send theirs; the highest
-// version counts, and of the same version the earliest announcement.
-func (o order) merge(now time.Time, a peer.Assignment) order {
-	out := order{Assignment: a, failing: map[string]bool{}}
-	if o.Model == a.Model {
-		out.versions = slices.Clone(o.versions)
-		if o.Version > a.Version {
-			out.Assignment = o.Assignment
+// merge returns the state with an entry's assignment added. All entries send assignments. The
+// highest version takes precedence, and for the same version the earliest announcement.
+func (as assignmentState) merge(now time.Time, a peer.Assignment) assignmentState {
+	out := assignmentState{Assignment: a, failing: map[string]bool{}}
+	if as.Model == a.Model {
+		out.versions = slices.Clone(as.versions)
+		if as.Version > a.Version {
+			out.Assignment = as.Assignment
 		}
-		if o.Version >= a.Version {
-			out.failing = maps.Clone(o.failing)
+		if as.Version >= a.Version {
+			out.failing = maps.Clone(as.failing)
 		}
 	}
-	if o.Model == a.Model && o.Version == a.Version && a.Turns == 0 {
-		out.Turn, out.Turns = o.Turn, o.Turns // the entry does not know the engines
+	if as.Model == a.Model && as.Version == a.Version && a.Turns == 0 {
+		out.Turn, out.Turns = as.Turn, as.Turns // the entry does not know the engines yet
 	}
 	if a.Version == out.Version {
 		out.failing[a.Entry] = a.Withheld
 	}
 	for _, v := range append(a.Earlier, peer.AnnouncedVersion{Version: a.Version, AgeMs: a.AgeMs, Guessed: a.Guessed}) {
-		out.add(wanted{v.Version, now.Add(-time.Duration(v.AgeMs) * time.Millisecond), v.Guessed})
+		out.add(announcedVersion{v.Version, now.Add(-time.Duration(v.AgeMs) * time.Millisecond), v.Guessed})
 	}
 	return out
 }
 
-// without returns the order without what an entry fails to read.
-func (o order) without(entry string) order {
-	o.failing = maps.Clone(o.failing)
-	delete(o.failing, entry)
-	return o
+// without returns the state without an entry's failure to read the newest version.
+func (as assignmentState) without(entry string) assignmentState {
+	as.failing = maps.Clone(as.failing)
+	delete(as.failing, entry)
+	return as
 }
 
 // withheld reports whether an entry fails to read the newest version.
-func (o order) withheld() bool {
-	for _, failing := range o.failing {
+func (as assignmentState) withheld() bool {
+	for _, failing := range as.failing {
 		if failing {
 			return true
 		}
@@ -79,77 +79,78 @@
 	return false
 }
 
-func (o *order) add(w wanted) {
-	i, found := slices.BinarySearchFunc(o.versions, w.version, func(x wanted, v int) int { return cmp.Compare(x.version, v) })
+func (as *assignmentState) add(av announcedVersion) {
+	i, found := slices.BinarySearchFunc(as.versions, av.version, func(x announcedVersion, v int) int { return cmp.Compare(x.version, v) })
 	if found {
-		if w.tellsMore(o.versions[i]) {
-			o.versions[i] = w
+		if av.supersedes(as.versions[i]) {
+			as.versions[i] = av
 		}
 		return
 	}
-	o.versions = slices.Insert(o.versions, i, w)
-	o.versions = o.versions[max(len(o.versions)-wantedKept, 0):]
+	as.versions = slices.Insert(as.versions, i, av)
+	as.versions = as.versions[max(len(as.versions)-maxAnnouncedVersions, 0):]
 }
 
-// pending returns the versions beyond the one that is served, oldest first. One
-// whose announcement no entry saw is left out if they saw that of a newer one: it
-// was named while the store was away, and its time is not over. An entry that
-// guesses so uses no engine with an older version, so that none is served too long.
-func (o order) pending(serving int) []wanted {
-	var out []wanted
-	for i, w := range o.versions {
-		if w.version > serving && !(w.guessed && o.seenAfter(i)) {
-			out = append(out, w)
+// pending returns the versions newer than the served one, oldest first. A version whose
+// announcement no entry observed is omitted if that of a newer version was observed: it was
+// announced while the store was unavailable, and its deadline has not passed. No older version
+// is served too long by this, since an entry that only guesses the announcement routes to no
+// engine with an older version.
+func (as assignmentState) pending(serving int) []announcedVersion {
+	var out []announcedVersion
+	for i, av := range as.versions {
+		if av.version > serving && !(av.guessed && as.seenAfter(i)) {
+			out = append(out, av)
 		}
 	}
 	return out
 }
 
-// candidates returns the versions that an agent before may have staged: first
-// the one that is to be staged, then the others that are known, newest first, and
-// the one before the newest, which may have been announced long ago.
-func (o order) candidates(first int) []int {
+// candidates returns the versions that a previous agent may have staged: first the one that
+// is to be staged, then the other known versions, newest first, and finally the version number
+// before the newest, which may have been announced long ago.
+func (as assignmentState) candidates(first int) []int {
 	out := []int{first}
 	add := func(v int) {
 		if v > 0 && !slices.Contains(out, v) {
 			out = append(out, v)
 		}
 	}
-	for _, w := range slices.Backward(o.versions) {
-		add(w.version)
+	for _, av := range slices.Backward(as.versions) {
+		add(av.version)
 	}
-	add(o.Version - 1)
+	add(as.Version - 1)
 	return out
 }
 
-// seenAfter reports whether the announcement of a version after the i-th was seen.
-func (o order) seenAfter(i int) bool {
-	return slices.ContainsFunc(o.versions[i+1:], func(w wanted) bool { return !w.guessed })
+// seenAfter reports whether an entry observed the announcement of a version after the i-th.
+func (as assignmentState) seenAfter(i int) bool {
+	return slices.ContainsFunc(as.versions[i+1:], func(av announcedVersion) bool { return !av.guessed })
 }
 
-// turns are the times between which all engines change to one version, spread
-// evenly so that as few as possible are out of service at once.
-type turns struct {
+// turnWindow is the period in which all engines load one version. Their turns are spread
+// evenly over it, so that as few engines as possible are out of service at once.
+type turnWindow struct {
 	start, end time.Time
 }
 
-// turnsOf returns the turns for a pending version: from when it can be staged
-// until the oldest pending version must be served.
-func (c Config) turnsOf(o order, pending []wanted, version wanted) turns {
+// turnWindowOf returns the window for a pending version. It starts when the version can be
+// staged and ends before the oldest pending version must be served.
+func (c Config) turnWindowOf(as assignmentState, pending []announcedVersion, version announcedVersion) turnWindow {
 	first := pending[0].announced
-	window := time.Duration(o.TimeoutMs)*time.Millisecond - c.Lead - c.Margin
-	if c.Off.Has(mechanism.Turns) || window <= 0 || o.Turns <= 1 && len(pending) == 1 {
-		return turns{first, first}
+	window := time.Duration(as.TimeoutMs)*time.Millisecond - c.Lead - c.Margin
+	if c.Off.Has(mechanism.Turns) || window <= 0 || as.Turns <= 1 && len(pending) == 1 {
+		return turnWindow{first, first}
 	}
-	t := turns{version.announced.Add(c.Lead), first.Add(c.Lead + window)}
+	t := turnWindow{version.announced.Add(c.Lead), first.Add(c.Lead + window)}
 	if t.start.After(t.end) {
 		t.start = t.end
 	}
 	return t
 }
 
-// at returns when the engine's own turn comes.
-func (t turns) at(turn, of int) time.Time {
+// at returns the time of a turn, counted from 0, out of a number of turns.
+func (t turnWindow) at(turn, of int) time.Time {
 	if of <= 1 {
 		return t.start
 	}
