--- a/sidecar/doubt.go
+++ b/sidecar/doubt.go
@@ -25,13 +25,13 @@
 var (
 	// ErrOrderInDoubt is returned if the outcome is unknown, for example because no
 	// answer was received. The order may have taken effect, or may still do so.
-	ErrOrderInDoubt = errors.New("sidecar: no answer to the order")
+	ErrOrderInDoubt = errors.New("sidecar: outcome of load order is unknown")
 	// ErrOrderStale is returned if the engine's state differs from the one on which
 	// the order is based.
-	ErrOrderStale = errors.New("sidecar: order does not fit the engine's state")
+	ErrOrderStale = errors.New("sidecar: load order refused: engine state has changed")
 	// ErrOrderFenced is returned if the engine has seen a higher token. No order
 	// with a lower token can take effect any more.
-	ErrOrderFenced = errors.New("sidecar: fencing token is too low")
+	ErrOrderFenced = errors.New("sidecar: load order refused: fencing token is too low")
 )
 
 // fenceAheadMs is how far the tokens are ahead of the clock from the first attempt
@@ -162,9 +162,9 @@
 	if s.inDoubt.known() {
 		s.stats.ordersSettled.Inc(1)
 		s.log.WithFields(logrus.Fields{"model": s.inDoubt.model, "version": s.inDoubt.version, "sequence": s.inDoubt.sequence,
-			"tries": s.inDoubt.attempts, "ms": now.Sub(s.inDoubt.firstSent).Milliseconds(), "how": reason}).Info("Order settled.")
+			"tries": s.inDoubt.attempts, "ms": now.Sub(s.inDoubt.firstSent).Milliseconds(), "how": reason}).Info("Load order in doubt settled.")
 	} else {
-		s.log.WithField("how", reason).Info("Earlier orders settled.")
+		s.log.WithField("how", reason).Info("Load orders of previous agent settled.")
 	}
 	s.inDoubt = inDoubtOrder{}
 }
@@ -179,7 +179,7 @@
 	s.sequence, s.startTimeMs = r.Sequence, r.StartTimeMs
 	if newProcess {
 		s.stage = nil // the staged pieces are checked again
-		s.log.WithFields(logrus.Fields{"engine": s.engineAddr, "born": r.StartTimeMs}).Info("Engine was started anew.")
+		s.log.WithFields(logrus.Fields{"engine": s.engineAddr, "born": r.StartTimeMs}).Info("Engine restarted.")
 	}
 	if !restarted || r.Sequence != 0 || s.inDoubt.fromPreviousAgent() || now.Sub(s.sentAtZero) >= s.cfg.OrderGrace {
 		return
@@ -188,7 +188,7 @@
 		s.settle(now, "engine_restarted")
 	}
 	s.inDoubt = inDoubtOrder{open: true, lastSent: s.sentAtZero, nextAttempt: now, startTimeMs: r.StartTimeMs}
-	s.log.WithField("engine", s.engineAddr).Info("Orders in doubt again.")
+	s.log.WithField("engine", s.engineAddr).Info("Load orders in doubt again after engine restart.")
 }
 
 // recordInDoubt records that an order got no answer.
@@ -197,7 +197,7 @@
 		s.inDoubt = inDoubtOrder{open: true, model: o.Model, version: o.Version, sequence: o.Precondition, startTimeMs: s.startTimeMs, firstSent: now, ignoresTokens: s.inDoubt.ignoresTokens}
 		s.stats.ordersInDoubt.Inc(1)
 		s.log.WithError(err).WithFields(logrus.Fields{"model": o.Model, "version": o.Version, "sequence": o.Precondition,
-			"token": o.Token}).Warn("Order in doubt.")
+			"token": o.Token}).Warn("Load order in doubt.")
 	}
 	s.inDoubt.recordUnanswered(now, s.cfg)
 }
--- a/sidecar/fetch.go
+++ b/sidecar/fetch.go
@@ -138,7 +138,7 @@
 	})
 	if st.fetchedProgress().complete {
 		s.log.WithFields(logrus.Fields{"model": as.Model, "version": version, "pieces": len(st.pieces),
-			"ms": clock.Since(st.started).Milliseconds()}).Info("Fetched ahead.")
+			"ms": clock.Since(st.started).Milliseconds()}).Info("Version prefetched.")
 	}
 	return err
 }
--- a/sidecar/inspect.go
+++ b/sidecar/inspect.go
@@ -100,7 +100,7 @@
 	unread := candidates - len(manifests)
 	s.inDoubt.backOff(clock.Now(), s.cfg)
 	s.inDoubt.inspected = unread == 0 || s.inDoubt.attempts >= previousAgentAttempts
-	s.log.WithFields(logrus.Fields{"version": version, "unread": unread, "tries": s.inDoubt.attempts}).Warn("Pieces of an unknown version are staged.")
+	s.log.WithFields(logrus.Fields{"version": version, "unread": unread, "tries": s.inDoubt.attempts}).Warn("Staged pieces match no known version.")
 }
 
 // adopt takes over the pieces that a previous agent has staged, and its order. It settles
@@ -122,11 +122,11 @@
 		return 0
 	case least < commitShare:
 		s.inDoubt.backOff(clock.Now(), s.cfg)
-		s.log.WithField("version", m.Version).WithField("unanswered", unanswered).Info("Staged pieces not all read.")
+		s.log.WithField("version", m.Version).WithField("unanswered", unanswered).Info("Not all staged pieces could be read.")
 		return s.cfg.PollBusy
 	}
 	s.inDoubt.adopted, s.inDoubt.model, s.inDoubt.version, s.inDoubt.firstSent = true, m.Model, m.Version, clock.Now()
 	s.stats.ordersInDoubt.Inc(1)
-	s.log.WithFields(logrus.Fields{"model": m.Model, "version": m.Version, "missing": s.stage.missing}).Info("Staged pieces taken over.")
+	s.log.WithFields(logrus.Fields{"model": m.Model, "version": m.Version, "missing": s.stage.missing}).Info("Staged pieces of previous agent adopted.")
 	return 0
 }
--- a/sidecar/plan_test.go
+++ b/sidecar/plan_test.go
@@ -60,74 +60,74 @@
 		want   Step
 	}{
 		{"nothing assigned", Report{}, assignmentState{}, holdings{}, 0, Step{}},
-		{"served already", serving(2), stateOf(newAssignment(2, 0, 3), 0), holdings{}, 0, Step{}},
-		{"newer than assigned", serving(3), stateOf(newAssignment(2, 0, 3), 0), holdings{}, 0, Step{}},
+		{"already served", serving(2), stateOf(newAssignment(2, 0, 3), 0), holdings{}, 0, Step{}},
+		{"serves newer than assigned", serving(3), stateOf(newAssignment(2, 0, 3), 0), holdings{}, 0, Step{}},
 		{"order in progress", busy, stateOf(newAssignment(2, 0, 3), 0), complete(2), 0, Step{Action: Watch}},
 		{"pieces missing", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{}, 0, Step{Stage, 2}},
 		{"some layers only", Report{Models: []fleet.ModelVersion{{Model: "m", Version: 2, Layers: 8}}}, stateOf(newAssignment(2, 0, 3), 0), complete(2), 0, Step{Load, 2}},
 		{"empty engine does not wait", Report{}, stateOf(newAssignment(2, 2, 3), 0), complete(2), 0, Step{Load, 2}},
-		{"first turn not come", serving(1), stateOf(newAssignment(2, 0, 3), 0), complete(2), cfg.Lead - 1, Step{Await, 2}},
+		{"before first turn", serving(1), stateOf(newAssignment(2, 0, 3), 0), complete(2), cfg.Lead - 1, Step{Await, 2}},
 		{"first turn", serving(1), stateOf(newAssignment(2, 0, 3), 0), complete(2), cfg.Lead, Step{Load, 2}},
-		{"last turn not come", serving(1), stateOf(newAssignment(2, 2, 3), 0), complete(2), cfg.Lead, Step{Await, 2}},
+		{"before last turn", serving(1), stateOf(newAssignment(2, 2, 3), 0), complete(2), cfg.Lead, Step{Await, 2}},
 		{"last turn", serving(1), stateOf(newAssignment(2, 2, 3), 0), complete(2), last, Step{Load, 2}},
 
-		{"newer in place of one not begun", serving(1), stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{2, false, 0}}, time.Second, Step{Stage, 3}},
-		{"what is staged of the older stays", serving(1), stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{2, false, 0.2}}, time.Second, Step{Fetch, 3}},
-		{"empty engine finishes the older", Report{}, stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{2, false, 0.7}}, time.Second, Step{Stage, 2}},
-		{"newer is fetched while the older waits", serving(1), stateOf(newAssignment(3, 2, 3), 2), complete(2), 2 * time.Second, Step{Fetch, 3}},
-		{"also at the turn of the older", serving(1), stateOf(newAssignment(3, 0, 3), 2), complete(2), cfg.Lead, Step{Fetch, 3}},
-		{"newer whole in time", serving(1), stateOf(newAssignment(3, 2, 3), 2),
+		{"newer instead of older that is not begun", serving(1), stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{2, false, 0}}, time.Second, Step{Stage, 3}},
+		{"staged pieces of older are kept", serving(1), stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{2, false, 0.2}}, time.Second, Step{Fetch, 3}},
+		{"empty engine completes older", Report{}, stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{2, false, 0.7}}, time.Second, Step{Stage, 2}},
+		{"newer fetched while older waits for its turn", serving(1), stateOf(newAssignment(3, 2, 3), 2), complete(2), 2 * time.Second, Step{Fetch, 3}},
+		{"newer fetched also at turn of older", serving(1), stateOf(newAssignment(3, 0, 3), 2), complete(2), cfg.Lead, Step{Fetch, 3}},
+		{"newer complete in time", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, true, 1}, fetched: progress{3, true, 1}}, 2 * time.Second, Step{Stage, 3}},
-		{"turn of the newer not come", serving(1), stateOf(newAssignment(3, 0, 3), 2), complete(3), cfg.Lead, Step{Await, 3}},
-		{"turn of the newer", serving(1), stateOf(newAssignment(3, 0, 3), 2), complete(3), cfg.Lead + time.Second, Step{Load, 3}},
-		{"newer not begun at the last turn", serving(1), stateOf(newAssignment(3, 2, 3), 2),
+		{"before turn of newer", serving(1), stateOf(newAssignment(3, 0, 3), 2), complete(3), cfg.Lead, Step{Await, 3}},
+		{"turn of newer", serving(1), stateOf(newAssignment(3, 0, 3), 2), complete(3), cfg.Lead + time.Second, Step{Load, 3}},
+		{"newer far from complete at last turn", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, true, 1}, fetched: progress{3, false, 0.2}}, last, Step{Load, 2}},
-		{"newer near its end at the last turn", serving(1), stateOf(newAssignment(3, 2, 3), 2),
+		{"newer almost complete at last turn", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, true, 1}, fetched: progress{3, false, 0.9}}, last, Step{Fetch, 3}},
-		{"older in time at the latest", serving(1), stateOf(newAssignment(3, 2, 3), 2),
+		{"older loaded before deadline", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, true, 1}, fetched: progress{3, false, 0.9}}, last + cfg.Margin, Step{Load, 2}},
-		{"the older is served, the newer is next", serving(2), stateOf(newAssignment(3, 2, 3), 2),
+		{"older served, newer staged", serving(2), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, true, 1}}, last, Step{Stage, 3}},
-		{"empty engine takes what it can have", Report{}, stateOf(newAssignment(3, 2, 3), 2), complete(2), 0, Step{Load, 2}},
-		{"newer cannot be had in time, the rest of the older can", serving(1), stateOf(newAssignment(3, 2, 3), 2),
+		{"empty engine loads available version", Report{}, stateOf(newAssignment(3, 2, 3), 2), complete(2), 0, Step{Load, 2}},
+		{"newer cannot be fetched in time, rest of older can", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, false, 0.86}, fetched: progress{3, false, 0.1}}, last - cfg.Lead/2, Step{Stage, 2}},
-		{"newer can be had in time", serving(1), stateOf(newAssignment(3, 2, 3), 2),
+		{"newer can be fetched in time", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, false, 0.86}, fetched: progress{3, false, 0.6}}, last - cfg.Lead/2, Step{Fetch, 3}},
-		{"neither can be had in time", serving(1), stateOf(newAssignment(3, 2, 3), 2),
+		{"neither can be fetched in time", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, false, 0.2}, fetched: progress{3, false, 0.1}}, last - cfg.Lead/2, Step{Fetch, 3}},
-		{"newer withheld, the older is staged", serving(1), withheld(stateOf(newAssignment(3, 2, 3), 2)), holdings{staged: progress{2, false, 0.2}}, 0, Step{Stage, 2}},
-		{"newer withheld, turn of the older not come", serving(1), withheld(stateOf(newAssignment(3, 2, 3), 2)), complete(2), cfg.Lead, Step{Fetch, 3}},
-		{"newer withheld, turn of the older", serving(1), withheld(stateOf(newAssignment(3, 0, 3), 2)), complete(2), cfg.Lead, Step{Load, 2}},
-		{"newer withheld, there is no older", serving(1), withheld(stateOf(newAssignment(3, 2, 3), 0)), holdings{}, 0, Step{Stage, 3}},
-		{"newer stalls, the older is staged", serving(1), stateOf(newAssignment(3, 2, 3), 2), holdings{stalled: 3}, 0, Step{Stage, 2}},
-		{"newer stalls near its end", serving(1), stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{3, false, 0.9}, stalled: 3}, time.Second, Step{Stage, 3}},
+		{"newer withheld, older staged", serving(1), withheld(stateOf(newAssignment(3, 2, 3), 2)), holdings{staged: progress{2, false, 0.2}}, 0, Step{Stage, 2}},
+		{"newer withheld, before turn of older", serving(1), withheld(stateOf(newAssignment(3, 2, 3), 2)), complete(2), cfg.Lead, Step{Fetch, 3}},
+		{"newer withheld, turn of older", serving(1), withheld(stateOf(newAssignment(3, 0, 3), 2)), complete(2), cfg.Lead, Step{Load, 2}},
+		{"newer withheld, no older version", serving(1), withheld(stateOf(newAssignment(3, 2, 3), 0)), holdings{}, 0, Step{Stage, 3}},
+		{"newer stalled, older staged", serving(1), stateOf(newAssignment(3, 2, 3), 2), holdings{stalled: 3}, 0, Step{Stage, 2}},
+		{"newer stalled when almost complete", serving(1), stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{3, false, 0.9}, stalled: 3}, time.Second, Step{Stage, 3}},
 
 		{"order in doubt, newest version", serving(1), stateOf(newAssignment(2, 0, 3), 0), inDoubt(2, complete(2)), 0, Step{Load, 2}},
-		{"not to be repeated yet", serving(1), stateOf(newAssignment(2, 0, 3), 0), inDoubt(2, complete(2)), -1, Step{Await, 2}},
-		{"older order is repeated", serving(1), stateOf(newAssignment(3, 0, 3), 2), inDoubt(2, complete(2)), 0, Step{Load, 2}},
-		{"even if the newer is whole", serving(1), stateOf(newAssignment(3, 0, 3), 2),
+		{"order in doubt, before next repeat", serving(1), stateOf(newAssignment(2, 0, 3), 0), inDoubt(2, complete(2)), -1, Step{Await, 2}},
+		{"order in doubt for older version is repeated", serving(1), stateOf(newAssignment(3, 0, 3), 2), inDoubt(2, complete(2)), 0, Step{Load, 2}},
+		{"repeated even if newer is complete", serving(1), stateOf(newAssignment(3, 0, 3), 2),
 			inDoubt(2, holdings{staged: progress{2, true, 1}, fetched: progress{3, true, 1}}), 0, Step{Load, 2}},
-		{"newer is kept in memory meanwhile", serving(1), stateOf(newAssignment(3, 0, 3), 2), inDoubt(2, complete(2)), -1, Step{Fetch, 3}},
-		{"newer is whole in memory", serving(1), stateOf(newAssignment(3, 0, 3), 2),
+		{"newer fetched between repeats", serving(1), stateOf(newAssignment(3, 0, 3), 2), inDoubt(2, complete(2)), -1, Step{Fetch, 3}},
+		{"newer complete in memory", serving(1), stateOf(newAssignment(3, 0, 3), 2),
 			inDoubt(2, holdings{staged: progress{2, true, 1}, fetched: progress{3, true, 1}}), -1, Step{Await, 2}},
-		{"spoilt piece of what is in doubt", serving(1), stateOf(newAssignment(3, 0, 3), 2),
+		{"corrupt piece of version in doubt", serving(1), stateOf(newAssignment(3, 0, 3), 2),
 			inDoubt(2, holdings{staged: progress{2, false, 0.9}, fetched: progress{3, true, 1}}), 0, Step{Stage, 2}},
-		{"what was staged is not known any more", serving(1), stateOf(newAssignment(3, 0, 3), 2), inDoubt(2, holdings{}), 0, Step{Stage, 2}},
-		{"spoilt piece cannot be had", serving(1), stateOf(newAssignment(3, 0, 3), 2),
+		{"staged pieces of version in doubt unknown", serving(1), stateOf(newAssignment(3, 0, 3), 2), inDoubt(2, holdings{}), 0, Step{Stage, 2}},
+		{"corrupt piece unavailable", serving(1), stateOf(newAssignment(3, 0, 3), 2),
 			inDoubt(2, holdings{staged: progress{2, false, 0.9}, stalled: 2}), 0, Step{Fence, 1}},
-		{"nor shut out at an engine that serves nothing", Report{}, stateOf(newAssignment(3, 0, 3), 2),
+		{"corrupt piece unavailable, empty engine cannot be fenced", Report{}, stateOf(newAssignment(3, 0, 3), 2),
 			inDoubt(2, holdings{staged: progress{2, false, 0.9}, stalled: 2}), 0, Step{Fetch, 3}},
 		{"order in doubt in progress", busy, stateOf(newAssignment(3, 0, 3), 2), inDoubt(2, complete(2)), 0, Step{Action: Watch}},
 
-		{"agent before at a serving engine", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, 0, Step{Fence, 1}},
-		{"not shut out yet", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, -1, Step{Fetch, 2}},
-		{"engine heeds no tokens", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: ignoresTokens}, 0, Step{Inspect, 2}},
-		{"agent before at an empty engine", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, 0, Step{Inspect, 2}},
-		{"its pieces are unknown", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: inspected}, 0, Step{Fetch, 2}},
-		{"its pieces are unknown, newest in memory", Report{}, stateOf(newAssignment(2, 0, 3), 0),
+		{"previous agent, serving engine", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, 0, Step{Fence, 1}},
+		{"previous agent, before next fencing attempt", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, -1, Step{Fetch, 2}},
+		{"previous agent, engine ignores tokens", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: ignoresTokens}, 0, Step{Inspect, 2}},
+		{"previous agent, empty engine", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, 0, Step{Inspect, 2}},
+		{"previous agent, staged version unknown", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: inspected}, 0, Step{Fetch, 2}},
+		{"previous agent, staged version unknown, newest in memory", Report{}, stateOf(newAssignment(2, 0, 3), 0),
 			holdings{inDoubt: inspected, fetched: progress{2, true, 1}}, 0, Step{Await, 2}},
-		{"what it staged is the newest", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before, staged: progress{2, true, 1}}, 0, Step{Load, 2}},
-		{"nothing to do", serving(2), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, 0, Step{}},
+		{"previous agent staged newest", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before, staged: progress{2, true, 1}}, 0, Step{Load, 2}},
+		{"previous agent, assigned version served", serving(2), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, 0, Step{}},
 	} {
 		got := cfg.Plan(start.Add(c.after), c.report, c.as, c.h)
 		assert.Equal(t, got, c.want, c.name)
@@ -209,7 +209,7 @@
 	seen := newAssignment(3, 19, 20)
 	as := assignmentState{}.merge(start, guess)
 	cfg := Config{}.applyDefaults()
-	assert.Equal(t, cfg.Plan(start, serving(1), as, holdings{}), Step{Stage, 2}, "nobody knows better")
+	assert.Equal(t, cfg.Plan(start, serving(1), as, holdings{}), Step{Stage, 2}, "no entry observed the announcement")
 	as = as.merge(start, seen)
 	pending := as.pending(1)
 	assert.Equal(t, len(pending), 1)
@@ -217,7 +217,7 @@
 	known := newAssignment(2, 0, 20)
 	known.AgeMs = 3000
 	as = as.merge(start, known)
-	assert.Equal(t, as.pending(1)[0], announcedVersion{version: 2, announced: start.Add(-3 * time.Second)}, "another entry saw it")
+	assert.Equal(t, as.pending(1)[0], announcedVersion{version: 2, announced: start.Add(-3 * time.Second)}, "another entry observed the announcement")
 	as = as.merge(start, guess)
 	assert.Equal(t, as.pending(1)[0].announced, start.Add(-3*time.Second))
 }
@@ -237,12 +237,12 @@
 	assert.Equal(t, last, 8*time.Second-cfg.Margin)
 	short := newAssignment(2, 1, 2)
 	short.TimeoutMs = 1000
-	assert.Equal(t, at(short, 0, 0), time.Duration(0), "no time for turns")
-	assert.Equal(t, at(newAssignment(2, 0, 1), 0, 0), time.Duration(0), "alone")
-	assert.Equal(t, at(newAssignment(3, 0, 12), 2, 0), cfg.Lead, "the older version keeps its time")
+	assert.Equal(t, at(short, 0, 0), time.Duration(0), "time-out too short for turns")
+	assert.Equal(t, at(newAssignment(2, 0, 1), 0, 0), time.Duration(0), "single engine")
+	assert.Equal(t, at(newAssignment(3, 0, 12), 2, 0), cfg.Lead, "window of older version is unchanged")
 	assert.Equal(t, at(newAssignment(3, 0, 12), 2, 1), time.Second+cfg.Lead)
 	for k := range 2 {
-		assert.Equal(t, at(newAssignment(3, 11, 12), 2, k), 8*time.Second-cfg.Margin, "until the older must be served")
+		assert.Equal(t, at(newAssignment(3, 11, 12), 2, k), 8*time.Second-cfg.Margin, "window ends at the deadline of the older version")
 	}
 }
 
@@ -265,12 +265,12 @@
 	as = as.merge(start, two)
 	two.Entry, two.Withheld = "b", false
 	as = as.merge(start, two)
-	assert.Assert(t, as.withheld(), "one entry fails to read it")
+	assert.Assert(t, as.withheld(), "one entry fails to read the version")
 	two.Entry = "a"
 	assert.Assert(t, !as.merge(start, two).withheld())
 	other := newAssignment(1, 0, 0)
 	other.Model = "other"
-	assert.Equal(t, len(as.merge(start, other).versions), 1, "another model starts anew")
+	assert.Equal(t, len(as.merge(start, other).versions), 1, "another model resets the versions")
 	for v := range 10 {
 		as = as.merge(start, newAssignment(v, 0, 0))
 	}
@@ -287,5 +287,5 @@
 	assert.Equal(t, as.Turn, 7)
 	assert.Equal(t, as.Turns, 9)
 	as = as.merge(start, newAssignment(3, 0, 0))
-	assert.Equal(t, as.Turns, 0, "of another version")
+	assert.Equal(t, as.Turns, 0, "turns of another version are not kept")
 }
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -140,7 +140,7 @@
 	step := s.cfg.Plan(now, r, as, s.holdings(now))
 	if step != s.step {
 		s.log.WithFields(logrus.Fields{"step": step.Action.String(), "from": s.step.Action.String(), "model": as.Model,
-			"version": step.Version, "assigned": as.Version, "serves": serves, "running": r.Running}).Info("Next step.")
+			"version": step.Version, "assigned": as.Version, "serves": serves, "running": r.Running}).Info("Step changed.")
 		s.step = step
 	}
 	return s.do(ctx, step, as, r)
@@ -181,7 +181,7 @@
 	if err == nil || errors.Is(err, context.DeadlineExceeded) {
 		return 0
 	}
-	s.log.WithError(err).WithField("version", version).Info("Newer version not fetched yet.")
+	s.log.WithError(err).WithField("version", version).Info("Prefetch of newer version failed.")
 	s.stall(version)
 	return s.cfg.PollBusy
 }
@@ -209,7 +209,7 @@
 
 func (s *Sidecar) engineLost(err error) {
 	if s.up || !s.polled {
-		s.log.WithError(err).WithField("engine", s.engineAddr).Warn("Engine lost.")
+		s.log.WithError(err).WithField("engine", s.engineAddr).Warn("Engine does not answer.")
 	}
 	s.up, s.polled = false, true
 	if s.reached {
@@ -227,7 +227,7 @@
 		return
 	}
 	s.published = state
-	s.log.WithFields(logrus.Fields{"model": model, "version": version, "loading": loading}).Info("Engine state.")
+	s.log.WithFields(logrus.Fields{"model": model, "version": version, "loading": loading}).Info("Engine state published.")
 	s.publish(state)
 }
 
@@ -239,13 +239,13 @@
 	}
 	if !s.stage.isFor(as.Model, version) {
 		if err := s.beginStage(ctx, as.Model, version); err != nil {
-			s.log.WithError(err).WithField("version", version).Warn("Staging could not begin.")
+			s.log.WithError(err).WithField("version", version).Warn("Staging could not be started.")
 			s.stall(version)
 			return s.cfg.Poll
 		}
 	}
 	if err := s.fetchMissing(ctx, func() int { return s.parallel(as, r) }); err != nil {
-		s.log.WithError(err).WithFields(logrus.Fields{"version": version, "missing": s.stage.missing}).Warn("Staging is not complete.")
+		s.log.WithError(err).WithFields(logrus.Fields{"version": version, "missing": s.stage.missing}).Warn("Staging incomplete.")
 		s.stall(version)
 		return s.cfg.PollBusy
 	}
@@ -254,7 +254,7 @@
 		s.stats.stageTime.Update(took)
 		s.log.WithFields(logrus.Fields{"model": as.Model, "version": version, "pieces": len(s.stage.staged),
 			"ms": took, "fetch_ms": s.stage.transferTimes.fetching.Load() / int64(time.Millisecond),
-			"put_ms": s.stage.transferTimes.staging.Load() / int64(time.Millisecond)}).Info("Staged.")
+			"put_ms": s.stage.transferTimes.staging.Load() / int64(time.Millisecond)}).Info("Version staged.")
 	}
 	return 0
 }
@@ -295,7 +295,7 @@
 	s.stats.count(err)
 	switch {
 	case err == nil:
-		s.log.WithFields(fields).Info("Load ordered.")
+		s.log.WithFields(fields).Info("Load order accepted.")
 		if s.inDoubt.open {
 			s.settle(clock.Now(), "answered")
 		}
@@ -364,6 +364,6 @@
 		s.inDoubt.ignoresTokens = true
 	}
 	s.log.WithError(err).WithFields(logrus.Fields{"model": model, "version": serving, "tries": s.inDoubt.attempts,
-		"unfenced": s.inDoubt.ignoresTokens}).Info("Older orders not shut out.")
+		"unfenced": s.inDoubt.ignoresTokens}).Info("Older load orders not fenced.")
 	return s.cfg.PollBusy
 }
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -248,8 +248,8 @@
 	runSidecar(t, Config{}, e, &fakeSource{delay: 30 * time.Millisecond}, func(s *Sidecar, published func() peer.EngineState) {
 		s.Assign(time.Now(), newAssignment(2, 1, 2)) // the last turn comes after 6.7 s
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, e.orders, 0, "it is not this engine's turn")
-		e.set(func() { e.staged[2] = "rot" })
+		assert.Equal(t, e.orders, 0, "before this engine's turn")
+		e.set(func() { e.staged[2] = "corrupt" })
 		time.Sleep(4 * time.Second)
 		assert.Equal(t, published().Version, 2)
 		assert.Assert(t, !e.loadedInvalid)
@@ -262,7 +262,7 @@
 	runSidecar(t, Config{Fetches: 1}, e, &fakeSource{delay: time.Second}, func(s *Sidecar, published func() peer.EngineState) {
 		s.Assign(time.Now(), newAssignment(1, 0, 0))
 		time.Sleep(5 * time.Second)
-		e.set(func() { e.staged[0] = "rot" })
+		e.set(func() { e.staged[0] = "corrupt" })
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, published().Version, 1)
 		assert.Assert(t, !e.loadedInvalid)
@@ -283,7 +283,7 @@
 		time.Sleep(time.Second)
 		assert.Equal(t, published().Version, 1)
 		source.mu.Lock()
-		assert.Equal(t, source.fetched, pieces, "none is fetched twice")
+		assert.Equal(t, source.fetched, pieces, "no piece is fetched twice")
 		source.mu.Unlock()
 	})
 }
@@ -389,21 +389,21 @@
 	}{
 		{"while a newer version is staged", seconds(2.9), 1, false, false, false},
 		{"after a newer version was loaded", seconds(9), 1, false, false, false},
-		{"at an engine that serves nothing", seconds(6), 0, false, false, false},
-		{"several without an answer", seconds(11, 7, 5, 4, 12, 8), 1, false, false, false},
-		{"several that never come", seconds(-1, -1, -1), 1, false, false, false},
-		{"agent started anew while it stages", seconds(2.5), 1, true, false, false},
-		{"agent started anew and done", seconds(8), 1, true, false, false},
-		{"agent started anew, its orders without an answer", seconds(8, 5, 6, 3, 9), 1, true, false, false},
-		{"agent started anew at an engine that serves nothing", seconds(8), 0, true, false, false},
-		{"agent started anew, several at an engine that serves nothing", seconds(12, 9, 4), 0, true, false, false},
-		{"engine started anew", seconds(6), 1, false, true, false},
-		{"engine started anew, several without an answer", seconds(9, 7, 5), 1, false, true, false},
-		{"engine and agent started anew", seconds(9, 7, 5), 1, true, true, false},
-		{"no tokens", seconds(8), 1, false, false, true},
-		{"no tokens, agent started anew", seconds(8), 1, true, false, true},
-		{"no tokens, agent started anew, several", seconds(8, 7, 6, 5), 1, true, false, true},
-		{"no tokens, engine and agent started anew", seconds(9, 7, 5), 1, true, true, true},
+		{"empty engine", seconds(6), 0, false, false, false},
+		{"several unanswered", seconds(11, 7, 5, 4, 12, 8), 1, false, false, false},
+		{"several never delivered", seconds(-1, -1, -1), 1, false, false, false},
+		{"agent restarted while staging", seconds(2.5), 1, true, false, false},
+		{"agent restarted, newer version loaded", seconds(8), 1, true, false, false},
+		{"agent restarted, its orders unanswered", seconds(8, 5, 6, 3, 9), 1, true, false, false},
+		{"agent restarted, empty engine", seconds(8), 0, true, false, false},
+		{"agent restarted, several unanswered, empty engine", seconds(12, 9, 4), 0, true, false, false},
+		{"engine restarted", seconds(6), 1, false, true, false},
+		{"engine restarted, several unanswered", seconds(9, 7, 5), 1, false, true, false},
+		{"engine and agent restarted", seconds(9, 7, 5), 1, true, true, false},
+		{"tokens ignored", seconds(8), 1, false, false, true},
+		{"tokens ignored, agent restarted", seconds(8), 1, true, false, true},
+		{"tokens ignored, agent restarted, several unanswered", seconds(8, 7, 6, 5), 1, true, false, true},
+		{"tokens ignored, engine and agent restarted", seconds(9, 7, 5), 1, true, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -422,7 +422,7 @@
 				s.Assign(time.Now(), thirdAfterSecond())
 				time.Sleep(30 * time.Second)
 				stop()
-				assert.Assert(t, !e.loadedInvalid, "loaded what was not whole")
+				assert.Assert(t, !e.loadedInvalid, "loaded missing, corrupt or mixed pieces")
 				assert.Equal(t, e.serves, 3)
 				assert.Equal(t, published().Version, 3)
 				assert.Assert(t, !s.inDoubt.open)
@@ -469,7 +469,7 @@
 		s.Assign(time.Now(), newAssignment(2, 0, 1))
 		time.Sleep(time.Second)
 		s.Assign(time.Now(), thirdAfterSecond())
-		e.set(func() { e.staged[5] = "rot" })
+		e.set(func() { e.staged[5] = "corrupt" })
 		time.Sleep(3 * time.Second)
 		e.set(func() {
 			for i := range pieces {
@@ -494,9 +494,9 @@
 		source.mu.Lock()
 		source.unavailable = 2
 		source.mu.Unlock()
-		e.set(func() { e.staged[5] = "rot" })
+		e.set(func() { e.staged[5] = "corrupt" })
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, published().Version, 3, "before the order comes")
+		assert.Equal(t, published().Version, 3, "before the delayed order arrives")
 		time.Sleep(20 * time.Second)
 		assert.Equal(t, published().Version, 3)
 		assert.Assert(t, !e.loadedInvalid)
@@ -515,7 +515,7 @@
 		source.mu.Lock()
 		source.unavailable, source.delay = 2, 5900*time.Millisecond
 		source.mu.Unlock()
-		e.set(func() { e.staged[5] = "rot" })
+		e.set(func() { e.staged[5] = "corrupt" })
 		time.Sleep(20 * time.Second)
 	})
 	assert.Assert(t, !e.loadedInvalid)
@@ -625,7 +625,7 @@
 	d := inDoubtOrder{open: true, model: "m", version: 2, sequence: 0, startTimeMs: 1000, lastSent: start}
 	assert.Equal(t, d.settled(start, "m", Report{Sequence: 1, StartTimeMs: 2000}, 0, time.Minute), "engine_restarted")
 	assert.Equal(t, d.settled(start, "m", Report{Sequence: 1, StartTimeMs: 1000}, 0, time.Minute), "begun")
-	assert.Equal(t, d.settled(start, "m", Report{Sequence: 1}, 0, time.Minute), "begun", "it does not tell")
+	assert.Equal(t, d.settled(start, "m", Report{Sequence: 1}, 0, time.Minute), "begun", "start time not reported")
 }
 
 // An engine that neither counts orders nor enforces tokens still gets new versions.
@@ -767,10 +767,10 @@
 			stop()
 		})
 		if e.loadedInvalid {
-			rt.Fatalf("loaded what was not whole")
+			rt.Fatalf("loaded missing, corrupt or mixed pieces")
 		}
 		if last.Version != version || e.serves != version {
-			rt.Fatalf("serves %d, said %d, want %d", e.serves, last.Version, version)
+			rt.Fatalf("serves version %d, published %d, want %d", e.serves, last.Version, version)
 		}
 	})
 }
--- a/sidecar/stage.go
+++ b/sidecar/stage.go
@@ -75,14 +75,14 @@
 
 // errPreviousAgentOrder is returned while the staged pieces must not be changed because of
 // an order of the previous agent.
-var errPreviousAgentOrder = errors.New("sidecar: an earlier agent's order may still take effect")
+var errPreviousAgentOrder = errors.New("sidecar: load order of a previous agent may still take effect")
 
 // manifest reads the manifest of a version.
 func (s *Sidecar) manifest(ctx context.Context, model string, version int) (*weights.Manifest, error) {
 	ctx, cancel := clock.WithTimeout(ctx, s.cfg.FetchTimeout)
 	defer cancel()
 	m, err := s.source.Manifest(ctx, model, version)
-	return m, errors.Wrap(err, "sidecar: manifest")
+	return m, errors.Wrap(err, "sidecar: read manifest")
 }
 
 // beginStage starts the staging of a version. It uses the prefetched pieces if there are any.
@@ -115,7 +115,7 @@
 	}
 	data, err := s.engine.StagedPiece(ctx, s.engineAddr, q.Model, q.Index)
 	if err != nil {
-		s.log.WithError(err).WithFields(logrus.Fields{"model": q.Model, "version": q.Version, "piece": q.Index}).Info("Piece not handed out.")
+		s.log.WithError(err).WithFields(logrus.Fields{"model": q.Model, "version": q.Version, "piece": q.Index}).Info("Staged piece could not be read for entry.")
 	}
 	// If the reply is lost, the requester's own timeout detects it.
 	_ = st.SendLast(ctx, &peer.Blob{Found: err == nil, Data: data})
--- a/sidecar/stage_test.go
+++ b/sidecar/stage_test.go
@@ -75,7 +75,7 @@
 				s.Assign(time.Now(), newAssignment(3, 0, 1))
 				time.Sleep(30 * time.Second)
 				stop()
-				assert.Assert(t, !e.loadedInvalid, "loaded what was not whole")
+				assert.Assert(t, !e.loadedInvalid, "loaded missing, corrupt or mixed pieces")
 				assert.Equal(t, published().Version, 3)
 			})
 		})
@@ -85,7 +85,7 @@
 // One of the pieces that the previous agent has staged is missing or corrupt, possibly the
 // first. The other pieces identify the version.
 func TestStageWithOneBadPieceIsAdopted(t *testing.T) {
-	for _, data := range []string{"", "rot"} {
+	for _, data := range []string{"", "corrupt"} {
 		for index := range pieces {
 			e := &fakeEngine{staged: stagedVersion(2)}
 			e.staged[index] = data
@@ -128,7 +128,7 @@
 		checked[index] = time.Now()
 		mu.Unlock()
 		if pauseNow {
-			e.set(func() { e.staged[0] = "rot" })
+			e.set(func() { e.staged[0] = "corrupt" })
 			time.Sleep(pauseTime)
 		}
 		return nil
@@ -168,7 +168,7 @@
 		s.Assign(time.Now(), thirdAfterSecond())
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, published().Version, 3)
-		assert.Assert(t, !e.loadedInvalid, "loaded what was not whole")
+		assert.Assert(t, !e.loadedInvalid, "loaded missing, corrupt or mixed pieces")
 	})
 }
 
--- a/sidecar/suspension_test.go
+++ b/sidecar/suspension_test.go
@@ -22,12 +22,12 @@
 		runSidecar(t, Config{VerifyAge: 10 * time.Second, OrderAge: 12 * time.Second}, e, &fakeSource{}, func(s *Sidecar, published func() peer.EngineState) {
 			s.Assign(clock.Now(), newAssignment(2, 1, 2)) // the last turn comes after 6.7 s
 			time.Sleep(2 * time.Second)
-			assert.Equal(t, e.orders, 0, "it is not this engine's turn")
-			e.set(func() { e.staged[2] = "rot" })
+			assert.Equal(t, e.orders, 0, "before this engine's turn")
+			e.set(func() { e.staged[2] = "corrupt" })
 			machine.Suspend(d)
 			time.Sleep(max(5*time.Second-d, time.Second))
-			assert.Check(t, published().Version == 2, "after %v", d)
-			assert.Check(t, d < 10*time.Second || !e.loadedInvalid, "after %v", d)
+			assert.Check(t, published().Version == 2, "after a suspension of %v", d)
+			assert.Check(t, d < 10*time.Second || !e.loadedInvalid, "after a suspension of %v", d)
 		})
 	}
 }
--- a/sidecar/verify.go
+++ b/sidecar/verify.go
@@ -121,7 +121,7 @@
 		return true
 	}
 	s.stats.bad.Inc(int64(n.bad))
-	s.log.WithFields(logrus.Fields{"pieces": n.bad, "unanswered": n.unanswered, "version": s.stage.version}).Info("Staged pieces are missing or spoilt.")
+	s.log.WithFields(logrus.Fields{"pieces": n.bad, "unanswered": n.unanswered, "version": s.stage.version}).Info("Staged pieces are missing, corrupt or unreadable.")
 	return false
 }
 
@@ -139,6 +139,6 @@
 		}
 		age = s.cfg.VerifyAge
 	}
-	s.log.WithField("version", s.stage.version).Warn("Checks of staged pieces take too long for an order.")
+	s.log.WithField("version", s.stage.version).Warn("Checks of staged pieces too slow; load order not sent.")
 	return false
 }
