--- a/command/sidecar.go
+++ b/command/sidecar.go
@@ -35,7 +35,7 @@
 // entrySource reads weights from the entries.
 type entrySource struct {
 	mesh *mesh.Mesh
-	call weights.Caller
+	call weights.PeerCall
 }
 
 // Manifest implements sidecar.Source.
--- a/weights/relay.go
+++ b/weights/relay.go
@@ -61,8 +61,8 @@
 	return c
 }
 
-// Caller asks another entry.
-type Caller func(ctx context.Context, addr string, m peer.Message) (peer.Message, error)
+// PeerCall asks another entry.
+type PeerCall func(ctx context.Context, addr string, m peer.Message) (peer.Message, error)
 
 // Holders returns the agents of a failure domain that have a version staged.
 type Holders func(domain, model string, version int) []string
@@ -76,7 +76,7 @@
 	holders Holders
 	origin  func() *fleet.Origin
 	from    Origin
-	call    Caller
+	call    PeerCall
 	log     logrus.FieldLogger
 
 	flight   syncx.SingleFlight
@@ -99,7 +99,7 @@
 
 // NewRelay returns an empty relay.
 func NewRelay(cfg Config, self peer.Presence, entries func() []peer.Presence, holders Holders, origin func() *fleet.Origin, from Origin,
-	call Caller, log logrus.FieldLogger) *Relay {
+	call PeerCall, log logrus.FieldLogger) *Relay {
 	cfg = cfg.applyDefaults()
 	return &Relay{cfg: cfg, self: self, entries: entries, holders: holders, origin: origin, from: from, call: call, log: log,
 		flight: syncx.NewSingleFlight(), versions: map[string][]*held{}}
