--- a/command/sidecar.go
+++ b/command/sidecar.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if !weights.Answered(msg) {
+	if !weights.HasContent(msg) {
 		return nil, weights.ErrNoSource
 	}
 	return msg, nil
--- a/weights/relay.go
+++ b/weights/relay.go
@@ -174,8 +174,8 @@
 	return DecodeManifest(q.Model, q.Version, msg)
 }
 
-// Answered reports whether an entry's reply holds what it was asked for.
-func Answered(msg peer.Message) bool {
+// HasContent reports whether an entry's reply holds what it was asked for.
+func HasContent(msg peer.Message) bool {
 	switch m := msg.(type) {
 	case *peer.Manifest:
 		return len(m.Digests) > 0
