--- a/weights/prefetch.go
+++ b/weights/prefetch.go
@@ -57,7 +57,7 @@
 		}
 		r.log.WithError(err).WithFields(logrus.Fields{"model": model, "version": version, "missing": len(missing),
 			"ms": clock.Since(start).Milliseconds()}).Warn("Pieces not read ahead.")
-		if !r.recovery.pause(ctx, r.cfg.AheadPause) {
+		if !r.recovery.pause(ctx, r.cfg.PrefetchRetryPause) {
 			return
 		}
 	}
--- a/weights/relay.go
+++ b/weights/relay.go
@@ -40,9 +40,9 @@
 	// RetryPause is the pause after the first try; it doubles with each. Sources
 	// that refuse at once are not asked in a tight loop. Default 50 ms.
 	RetryPause time.Duration
-	// AheadPause is the pause before pieces that could not be read ahead are
+	// PrefetchRetryPause is the pause before pieces that could not be read ahead are
 	// tried again; the origin may be away for seconds. Default 200 ms.
-	AheadPause time.Duration
+	PrefetchRetryPause time.Duration
 	// Overlap is how long the version before the newest is still handed out:
 	// until the newest can be had whole, engines may have to change to it.
 	// Default 10 s, somewhat more than a change of version takes.
@@ -56,7 +56,7 @@
 	c.HolderWait = cmp.Or(c.HolderWait, 4*time.Second)
 	c.Tries = cmp.Or(c.Tries, 4)
 	c.RetryPause = cmp.Or(c.RetryPause, 50*time.Millisecond)
-	c.AheadPause = cmp.Or(c.AheadPause, 200*time.Millisecond)
+	c.PrefetchRetryPause = cmp.Or(c.PrefetchRetryPause, 200*time.Millisecond)
 	c.Overlap = cmp.Or(c.Overlap, 10*time.Second)
 	return c
 }
