--- a/weights/gate.go
+++ b/weights/gate.go
@@ -7,24 +7,24 @@
 	"sync"
 )
 
-// gate bounds how many calls run at once. The bound may differ from call to
-// call, since it depends on how many entries live. Of the calls that wait, the
-// one with the lowest rank goes first.
-type gate struct {
+// limiter limits the number of concurrent calls. The limit may differ from call to call,
+// since it depends on the number of live entries. Waiting calls are admitted by ascending
+// rank.
+type limiter struct {
 	mu      sync.Mutex
 	running int
 	waiting []*waiter // by rank, then by arrival
 }
 
-// rank orders the reads of a model's pieces. An older version goes first: it has to be in
-// force first. Agents take pieces in the order of their index, so that one that comes late
-// holds up all after it.
+// rank is the priority of a read of a model's pieces. Older versions take precedence, since
+// they must be served first. Within a version, reads are ordered by index: agents fetch pieces
+// in this order, and a late piece delays all following ones.
 type rank struct {
 	version, index int
 }
 
-// manifestIndex puts a manifest before all pieces of its version: nothing can be checked
-// without.
+// manifestIndex ranks a manifest before all pieces of its version, which cannot be verified
+// without it.
 const manifestIndex = -1
 
 func (r rank) compare(o rank) int {
@@ -32,53 +32,53 @@
 }
 
 type waiter struct {
-	rank  rank
-	limit int
-	enter chan struct{} // closed when the call may run
+	rank     rank
+	limit    int
+	admitted chan struct{} // closed when the call is admitted
 }
 
-// enter waits until fewer than limit calls run.
-func (g *gate) enter(ctx context.Context, limit int, r rank) error {
-	w := g.join(limit, r)
+// acquire waits until the call is admitted with fewer than limit calls running.
+func (l *limiter) acquire(ctx context.Context, limit int, r rank) error {
+	w := l.enqueue(limit, r)
 	select {
-	case <-w.enter:
+	case <-w.admitted:
 		return nil
 	case <-ctx.Done():
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if i := slices.Index(g.waiting, w); i >= 0 {
-		g.waiting = slices.Delete(g.waiting, i, i+1)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if i := slices.Index(l.waiting, w); i >= 0 {
+		l.waiting = slices.Delete(l.waiting, i, i+1)
 		return ctx.Err()
 	}
-	return nil // it was let in at the same moment
+	return nil // admitted at the same moment
 }
 
-func (g *gate) join(limit int, r rank) *waiter {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	w := &waiter{rank: r, limit: limit, enter: make(chan struct{})}
+func (l *limiter) enqueue(limit int, r rank) *waiter {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	w := &waiter{rank: r, limit: limit, admitted: make(chan struct{})}
 	i := 0
-	for i < len(g.waiting) && g.waiting[i].rank.compare(r) <= 0 {
+	for i < len(l.waiting) && l.waiting[i].rank.compare(r) <= 0 {
 		i++
 	}
-	g.waiting = slices.Insert(g.waiting, i, w)
-	g.admit()
+	l.waiting = slices.Insert(l.waiting, i, w)
+	l.admit()
 	return w
 }
 
-func (g *gate) leave() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.running--
-	g.admit()
+func (l *limiter) release() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.running--
+	l.admit()
 }
 
-// admit lets waiting calls run; the lock is held.
-func (g *gate) admit() {
-	for len(g.waiting) > 0 && g.running < g.waiting[0].limit {
-		close(g.waiting[0].enter)
-		g.waiting = g.waiting[1:]
-		g.running++
+// admit admits waiting calls. The caller must hold the lock.
+func (l *limiter) admit() {
+	for len(l.waiting) > 0 && l.running < l.waiting[0].limit {
+		close(l.waiting[0].admitted)
+		l.waiting = l.waiting[1:]
+		l.running++
 	}
 }
--- a/weights/manifest.go
+++ b/weights/manifest.go
@@ -1,7 +1,8 @@
-// Package weights brings the pieces of model weights from their origin to the
-// hosts. Entries relay: of each failure domain one entry per piece fetches it
-// once, in the origin's domain from the origin and elsewhere from there, so
-// that a version leaves the origin once and crosses each border once.
+// Package weights distributes the pieces of model weights from their origin to the
+// hosts. Entries act as relays. In each failure domain one entry, the reader, is
+// responsible for fetching a given piece: in the origin's domain from the origin, in
+// other domains from the reader in the origin's domain. So a version is read from the
+// origin once and is sent once to each other failure domain.
 package weights
 
 import (
@@ -13,9 +14,9 @@
 
 // Errors of the package.
 var (
-	// ErrCorrupt says that bytes do not match their digest.
+	// ErrCorrupt is returned if data does not match its digest.
 	ErrCorrupt = errors.New("weights: piece does not match its digest")
-	// ErrNoSource says that no entry and no origin could serve.
+	// ErrNoSource is returned if neither an entry nor the origin provided the data.
 	ErrNoSource = errors.New("weights: no source could serve")
 )
 
@@ -26,7 +27,7 @@
 	Digests [][sha256.Size]byte
 }
 
-// Verify checks the bytes of one piece.
+// Verify checks the data of one piece against its digest.
 func (m *Manifest) Verify(index int, data []byte) error {
 	if index < 0 || index >= len(m.Digests) || sha256.Sum256(data) != m.Digests[index] {
 		return errors.Wrapf(ErrCorrupt, "%s version %d piece %d", m.Model, m.Version, index)
@@ -34,7 +35,7 @@
 	return nil
 }
 
-// Origin is where weights come from.
+// Origin is the client of the origin server of the weights.
 type Origin interface {
 	Manifest(ctx context.Context, addr, model string, version int) (*Manifest, error)
 	Piece(ctx context.Context, addr, model string, version, index int) ([]byte, error)
--- a/weights/prefetch.go
+++ b/weights/prefetch.go
@@ -11,20 +11,18 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// Want holds the pieces of a version. It reads those for which this entry is the
-// reader of its failure domain before an agent asks for them: by then the origin
-// may be away.
+// Want holds the pieces of a version. It prefetches those for which this entry is the reader
+// of its failure domain, since the origin may be unavailable when agents request them.
 func (r *Relay) Want(ctx context.Context, model string, version, pieces int) {
 	if r.Hold(model, version) {
 		go r.prefetch(ctx, model, version, pieces)
 	}
 }
 
-// Hold holds the pieces of a version as agents ask for them. That is enough for
-// a version that was announced before this process started: most engines have it
-// staged, and reading it ahead would only keep the origin's link from the
-// manifest, without which they cannot go on. It reports whether the version is
-// new here.
+// Hold holds the pieces of a version once agents have requested them. That is sufficient for a
+// version that was announced before this process started: most engines have it staged, and
+// prefetching it would only delay the manifest on the origin's link, and agents cannot proceed
+// without the manifest. It reports whether the version is new to this relay.
 func (r *Relay) Hold(model string, version int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -33,7 +31,7 @@
 	if len(before) > 0 && before[0].version >= version {
 		return false
 	}
-	next := []*held{{version: version, since: now, pieces: map[int][]byte{}}}
+	next := []*heldVersion{{version: version, since: now, pieces: map[int][]byte{}}}
 	if len(before) > 0 && now.Sub(before[0].since) < r.cfg.Overlap {
 		next = append(next, before[0])
 	}
@@ -41,23 +39,23 @@
 	return true
 }
 
-// prefetch reads the pieces of which this entry is the reader until it has all
-// of them, or the version is no longer held.
+// prefetch reads the pieces of which this entry is the reader until all of them are held or
+// the version is no longer held.
 func (r *Relay) prefetch(ctx context.Context, model string, version, pieces int) {
 	start := clock.Now()
 	r.awaitHolders(ctx, model, version)
 	for {
-		missing := r.ownMissing(model, version, pieces)
+		missing := r.missingOwnPieces(model, version, pieces)
 		if len(missing) == 0 {
 			break
 		}
-		err := r.readAhead(ctx, model, version, missing)
+		err := r.prefetchPieces(ctx, model, version, missing)
 		if err == nil {
 			continue
 		}
 		r.log.WithError(err).WithFields(logrus.Fields{"model": model, "version": version, "missing": len(missing),
 			"ms": clock.Since(start).Milliseconds()}).Warn("Pieces not read ahead.")
-		if !r.recovery.pause(ctx, r.cfg.PrefetchRetryPause) {
+		if !r.recovery.wait(ctx, r.cfg.PrefetchRetryPause) {
 			return
 		}
 	}
@@ -65,9 +63,9 @@
 		"ms": clock.Since(start).Milliseconds()}).Info("Own pieces read.")
 }
 
-// ownMissing returns the pieces of which this entry is the reader and that it
-// does not hold; none if the version is no longer held.
-func (r *Relay) ownMissing(model string, version, pieces int) []int {
+// missingOwnPieces returns the pieces of which this entry is the reader and which it does not
+// hold. It returns none if the version is no longer held.
+func (r *Relay) missingOwnPieces(model string, version, pieces int) []int {
 	var own []int
 	for i := range pieces {
 		if r.reader(PieceKey(model, version, i), r.self.Domain) == r.self.Addr {
@@ -89,8 +87,8 @@
 	return out
 }
 
-// readAhead reads pieces, several at once, and returns an error if any failed.
-func (r *Relay) readAhead(ctx context.Context, model string, version int, pieces []int) error {
+// prefetchPieces reads pieces concurrently and returns an error if any read failed.
+func (r *Relay) prefetchPieces(ctx context.Context, model string, version int, pieces []int) error {
 	var wg sync.WaitGroup
 	errs := make([]error, len(pieces))
 	slots := make(chan struct{}, r.cfg.OriginConns)
@@ -121,7 +119,7 @@
 	}
 }
 
-// Failing reports whether pieces of a version could not be read ahead lately.
+// Failing reports whether the latest prefetch of a piece of a version failed.
 func (r *Relay) Failing(model string, version int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,15 +127,15 @@
 	return h != nil && h.failing
 }
 
-// awaitHolders waits for agents that have the version staged already, if there
-// is reason to expect any: a version that engines held at their start.
+// awaitHolders waits for agents that have already staged the version. It does so only for a
+// version that engines may hold when the fleet starts.
 func (r *Relay) awaitHolders(ctx context.Context, model string, version int) {
 	if version > firstVersion {
 		return
 	}
 	deadline := clock.Now().Add(r.cfg.HolderWait)
 	for clock.Now().Before(deadline) && len(r.holders(r.self.Domain, model, version)) == 0 {
-		if !loop.Sleep(ctx, holderPoll) {
+		if !loop.Sleep(ctx, holderPollInterval) {
 			return
 		}
 	}
@@ -146,5 +144,5 @@
 // firstVersion is the version that engines may hold when the fleet starts.
 const firstVersion = 1
 
-// holderPoll is the time between two looks for holders.
-const holderPoll = 100 * time.Millisecond
+// holderPollInterval is the interval between checks for holders.
+const holderPollInterval = 100 * time.Millisecond
--- a/weights/recovery.go
+++ b/weights/recovery.go
@@ -8,17 +8,17 @@
 	"github.com/springgate/springgate/clock"
 )
 
-// recovery tells those that wait before they try the origin again that it has answered
-// another read. Without it a read that must go first may still be in its pause, while
-// reads that began later take the origin's link.
+// recovery wakes reads that are waiting to retry as soon as the origin has answered another
+// read. Otherwise a read of high priority could still be in its back-off while reads that
+// started later occupy the origin's link.
 type recovery struct {
 	mu      sync.Mutex
 	failing bool
-	back    chan struct{} // closed at the first success after a failure
+	signal  chan struct{} // closed at the first success after a failure
 }
 
-// note takes the end of a read at the origin.
-func (r *recovery) note(err error) {
+// record records the result of a read from the origin.
+func (r *recovery) record(err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	switch {
@@ -26,30 +26,30 @@
 		r.failing = true
 	case err == nil && r.failing:
 		r.failing = false
-		if r.back != nil {
-			close(r.back)
-			r.back = nil
+		if r.signal != nil {
+			close(r.signal)
+			r.signal = nil
 		}
 	}
 }
 
-// answers returns a channel that is closed when the origin answers after a failure.
-func (r *recovery) answers() <-chan struct{} {
+// recovered returns a channel that is closed at the first success after a failure.
+func (r *recovery) recovered() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.back == nil {
-		r.back = make(chan struct{})
+	if r.signal == nil {
+		r.signal = make(chan struct{})
 	}
-	return r.back
+	return r.signal
 }
 
-// pause waits for d or until the origin answers again. It reports whether ctx still lives.
-func (r *recovery) pause(ctx context.Context, d time.Duration) bool {
+// wait waits for d or until the origin answers again. It reports false if ctx has ended.
+func (r *recovery) wait(ctx context.Context, d time.Duration) bool {
 	timer := clock.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-r.answers():
+	case <-r.recovered():
 	case <-ctx.Done():
 	}
 	return ctx.Err() == nil
--- a/weights/relay.go
+++ b/weights/relay.go
@@ -19,33 +19,34 @@
 
 // Config holds the limits of a Relay.
 type Config struct {
-	// Off are mechanisms that are switched off.
+	// Off lists the mechanisms that are disabled.
 	Off mechanism.Off
-	// OriginTimeout bounds one read at the origin. Its link sends a whole
-	// version in about 2 s, and all readers share it. Default 4 s.
+	// OriginTimeout bounds one read from the origin. The origin's link transfers a
+	// complete version in about 2 s, and all readers share it. Default 4 s.
 	OriginTimeout time.Duration
-	// PeerTimeout bounds one read at another entry, which may have to read
-	// the origin first. Default 5 s.
+	// PeerTimeout bounds one read from another entry, which may have to read
+	// from the origin first. Default 5 s.
 	PeerTimeout time.Duration
-	// OriginConns is how many reads at the origin run at once at the most; two
-	// keep its link busy. Default 3. Many entries take fewer each: the origin
-	// resets connections beyond a number for all callers together.
+	// OriginConns is the maximum number of concurrent reads from the origin. Two
+	// saturate its link. Default 3. With many entries each of them uses fewer,
+	// because the origin resets connections above a total limit.
 	OriginConns int
-	// HolderWait is how long agents that hold the first version are awaited
+	// HolderWait is the maximum wait for agents that hold the first version,
 	// before it is read from the origin. Default 4 s.
 	HolderWait time.Duration
-	// Tries is how often the sources are gone through. Default 4; 2 for what
-	// another entry asks for, which has tries of its own.
+	// Tries is the number of passes over the sources. Default 4. Requests of other
+	// entries, which retry themselves, get at most 2.
 	Tries int
-	// RetryPause is the pause after the first try; it doubles with each. Sources
-	// that refuse at once are not asked in a tight loop. Default 50 ms.
+	// RetryPause is the back-off after the first pass, which doubles with each
+	// further one. It prevents tight loops on sources that refuse immediately.
+	// Default 50 ms.
 	RetryPause time.Duration
-	// PrefetchRetryPause is the pause before pieces that could not be read ahead are
-	// tried again; the origin may be away for seconds. Default 200 ms.
+	// PrefetchRetryPause is the pause before failed prefetches are retried. The
+	// origin may be unavailable for seconds. Default 200 ms.
 	PrefetchRetryPause time.Duration
-	// Overlap is how long the version before the newest is still handed out:
-	// until the newest can be had whole, engines may have to change to it.
-	// Default 10 s, somewhat more than a change of version takes.
+	// Overlap is the age below which a version is still kept when a newer one
+	// arrives: engines may have to load it until the newest is completely available.
+	// Default 10 s, which is somewhat longer than a version change.
 	Overlap time.Duration
 }
 
@@ -61,59 +62,60 @@
 	return c
 }
 
-// PeerCall asks another entry.
+// PeerCall sends a request to an entry or agent and returns the reply.
 type PeerCall func(ctx context.Context, addr string, m peer.Message) (peer.Message, error)
 
-// Holders returns the agents of a failure domain that have a version staged.
+// Holders returns the addresses of the agents in a failure domain that have a version staged.
 type Holders func(domain, model string, version int) []string
 
-// Relay holds the pieces of the newest version of each model in an entry, for a
-// while also of the one before, and serves them to agents and other entries.
+// Relay holds the pieces of the newest version of each model in an entry, and those of the
+// preceding version if that was recent (see Config.Overlap). It serves them to agents and other
+// entries.
 type Relay struct {
-	cfg     Config
-	self    peer.Presence
-	entries func() []peer.Presence // live ones, without this
-	holders Holders
-	origin  func() *fleet.Origin
-	from    Origin
-	call    PeerCall
-	log     logrus.FieldLogger
+	cfg          Config
+	self         peer.Presence
+	entries      func() []peer.Presence // live entries except this one
+	holders      Holders
+	origin       func() *fleet.Origin
+	originClient Origin
+	call         PeerCall
+	log          logrus.FieldLogger
 
-	flight   syncx.SingleFlight
-	gate     gate // of reads at the origin
-	recovery recovery
+	inFlight      syncx.SingleFlight
+	originLimiter limiter // of reads from the origin
+	recovery      recovery
 
 	mu       sync.Mutex
-	versions map[string][]*held // by model, newest first
+	versions map[string][]*heldVersion // by model, newest first
 }
 
-// held is what a relay has of one version.
-type held struct {
-	version  int
-	since    time.Time
-	manifest *Manifest
-	pieces   map[int][]byte
-	fails    int  // pieces that did not match in a row
-	failing  bool // the last piece that was read ahead could not be had
+// heldVersion is the state of one version in a relay.
+type heldVersion struct {
+	version    int
+	since      time.Time
+	manifest   *Manifest
+	pieces     map[int][]byte
+	mismatches int  // consecutive pieces that did not match the manifest
+	failing    bool // the latest prefetch of a piece failed
 }
 
 // NewRelay returns an empty relay.
-func NewRelay(cfg Config, self peer.Presence, entries func() []peer.Presence, holders Holders, origin func() *fleet.Origin, from Origin,
+func NewRelay(cfg Config, self peer.Presence, entries func() []peer.Presence, holders Holders, origin func() *fleet.Origin, originClient Origin,
 	call PeerCall, log logrus.FieldLogger) *Relay {
 	cfg = cfg.applyDefaults()
-	return &Relay{cfg: cfg, self: self, entries: entries, holders: holders, origin: origin, from: from, call: call, log: log,
-		flight: syncx.NewSingleFlight(), versions: map[string][]*held{}}
+	return &Relay{cfg: cfg, self: self, entries: entries, holders: holders, origin: origin, originClient: originClient, call: call, log: log,
+		inFlight: syncx.NewSingleFlight(), versions: map[string][]*heldVersion{}}
 }
 
-// PieceKey is what the readers of a piece are chosen by.
+// PieceKey returns the key by which the readers of a piece are selected.
 func PieceKey(model string, version, index int) string {
 	return fmt.Sprintf("%s/%d/%d", model, version, index)
 }
 
-// ManifestKey is what the readers of a manifest are chosen by.
+// ManifestKey returns the key by which the readers of a manifest are selected.
 func ManifestKey(model string, version int) string { return fmt.Sprintf("%s/%d", model, version) }
 
-func (r *Relay) held(model string, version int) *held {
+func (r *Relay) held(model string, version int) *heldVersion {
 	for _, h := range r.versions[model] {
 		if h.version == version {
 			return h
@@ -134,7 +136,7 @@
 		return nil, ErrNoSource
 	}
 	key := ManifestKey(q.Model, q.Version)
-	v, err := r.flight.Do(key, func() (any, error) { return r.readManifest(ctx, key, q) })
+	v, err := r.inFlight.Do(key, func() (any, error) { return r.readManifest(ctx, key, q) })
 	if err != nil {
 		return nil, err
 	}
@@ -144,13 +146,13 @@
 func (r *Relay) readManifest(ctx context.Context, key string, q *peer.GetManifest) (*Manifest, error) {
 	var last error
 	for try := range r.tries(q.Hops) {
-		if try > 0 && !r.recovery.pause(ctx, r.cfg.RetryPause<<(try-1)) {
+		if try > 0 && !r.recovery.wait(ctx, r.cfg.RetryPause<<(try-1)) {
 			break
 		}
 		for _, src := range r.sources(key, q.Hops, try) {
 			m, err := r.manifestFrom(ctx, src, q)
 			if err == nil {
-				r.keepManifest(m)
+				r.storeManifest(m)
 				return m, nil
 			}
 			last = err
@@ -174,7 +176,7 @@
 	return DecodeManifest(q.Model, q.Version, msg)
 }
 
-// HasContent reports whether an entry's reply holds what it was asked for.
+// HasContent reports whether an entry's reply contains the requested manifest or piece.
 func HasContent(msg peer.Message) bool {
 	switch m := msg.(type) {
 	case *peer.Manifest:
@@ -185,7 +187,7 @@
 	return false
 }
 
-// DecodeManifest turns an entry's reply into a manifest.
+// DecodeManifest decodes the manifest in an entry's reply.
 func DecodeManifest(model string, version int, msg peer.Message) (*Manifest, error) {
 	reply, ok := msg.(*peer.Manifest)
 	if !ok || len(reply.Digests) == 0 {
@@ -208,16 +210,16 @@
 	}
 	ctx, cancel := clock.WithTimeout(ctx, r.cfg.OriginTimeout)
 	defer cancel()
-	if err := r.gate.enter(ctx, r.originConns(o), rank{q.Version, manifestIndex}); err != nil {
+	if err := r.originLimiter.acquire(ctx, r.originConns(o), rank{q.Version, manifestIndex}); err != nil {
 		return nil, err
 	}
-	defer r.gate.leave()
-	m, err := r.from.Manifest(ctx, o.Addr, q.Model, q.Version)
-	r.recovery.note(err)
+	defer r.originLimiter.release()
+	m, err := r.originClient.Manifest(ctx, o.Addr, q.Model, q.Version)
+	r.recovery.record(err)
 	return m, err
 }
 
-func (r *Relay) keepManifest(m *Manifest) {
+func (r *Relay) storeManifest(m *Manifest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if h := r.held(m.Model, m.Version); h != nil {
@@ -237,7 +239,7 @@
 		return nil, ErrNoSource
 	}
 	key := PieceKey(q.Model, q.Version, q.Index)
-	v, err := r.flight.Do(key, func() (any, error) { return r.readPiece(ctx, key, q) })
+	v, err := r.inFlight.Do(key, func() (any, error) { return r.readPiece(ctx, key, q) })
 	if err != nil {
 		return nil, err
 	}
@@ -247,7 +249,7 @@
 func (r *Relay) readPiece(ctx context.Context, key string, q *peer.GetPiece) ([]byte, error) {
 	var last error
 	for try := range r.tries(q.Hops) {
-		if try > 0 && !r.recovery.pause(ctx, r.cfg.RetryPause<<(try-1)) {
+		if try > 0 && !r.recovery.wait(ctx, r.cfg.RetryPause<<(try-1)) {
 			break
 		}
 		m, err := r.Manifest(ctx, &peer.GetManifest{Model: q.Model, Version: q.Version})
@@ -258,10 +260,10 @@
 			data, err := r.pieceFrom(ctx, src, q)
 			if err == nil {
 				err = m.Verify(q.Index, data)
-				r.verified(q, err == nil)
+				r.recordVerification(q, err == nil)
 			}
 			if err == nil {
-				r.keepPiece(q, data)
+				r.storePiece(q, data)
 				return data, nil
 			}
 			last = err
@@ -272,11 +274,11 @@
 	return nil, errors.Wrapf(ErrNoSource, "piece %d of %s version %d: %v", q.Index, q.Model, q.Version, last)
 }
 
-// suspectManifest is how many pieces in a row may fail before the manifest
-// itself, which may arrive corrupted like any other answer, is read again.
-const suspectManifest = 3
+// maxPieceMismatches is the number of consecutive mismatching pieces after which the manifest
+// is read again, since it may itself have been corrupted in transit.
+const maxPieceMismatches = 3
 
-func (r *Relay) verified(q *peer.GetPiece, ok bool) {
+func (r *Relay) recordVerification(q *peer.GetPiece, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	h := r.held(q.Model, q.Version)
@@ -284,16 +286,16 @@
 		return
 	}
 	if ok {
-		h.fails = 0
+		h.mismatches = 0
 		return
 	}
-	h.fails++
-	if h.fails >= suspectManifest {
-		h.fails, h.manifest = 0, nil
+	h.mismatches++
+	if h.mismatches >= maxPieceMismatches {
+		h.mismatches, h.manifest = 0, nil
 	}
 }
 
-func (r *Relay) keepPiece(q *peer.GetPiece, data []byte) {
+func (r *Relay) storePiece(q *peer.GetPiece, data []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if h := r.held(q.Model, q.Version); h != nil {
@@ -326,12 +328,12 @@
 	}
 	ctx, cancel := clock.WithTimeout(ctx, r.cfg.OriginTimeout)
 	defer cancel()
-	if err := r.gate.enter(ctx, r.originConns(o), rank{q.Version, q.Index}); err != nil {
+	if err := r.originLimiter.acquire(ctx, r.originConns(o), rank{q.Version, q.Index}); err != nil {
 		return nil, err
 	}
-	defer r.gate.leave()
-	data, err := r.from.Piece(ctx, o.Addr, q.Model, q.Version, q.Index)
-	r.recovery.note(err)
+	defer r.originLimiter.release()
+	data, err := r.originClient.Piece(ctx, o.Addr, q.Model, q.Version, q.Index)
+	r.recovery.record(err)
 	return data, err
 }
 
@@ -345,7 +347,7 @@
 		data, err := r.Piece(context.WithoutCancel(ctx), q)
 		reply = &peer.Blob{Found: err == nil, Data: data}
 	}
-	// The asker notices a reply that does not arrive by its own timeout.
+	// If the reply is lost, the requester's own timeout detects it.
 	_ = s.SendLast(ctx, reply)
 }
 
--- a/weights/relay_test.go
+++ b/weights/relay_test.go
@@ -24,13 +24,13 @@
 
 func piece(version, index int) []byte { return fmt.Appendf(nil, "version %d piece %d", version, index) }
 
-// fakeOrigin counts what it hands out, and spoils it if told so.
+// fakeOrigin counts the pieces that it serves, and corrupts replies on demand.
 type fakeOrigin struct {
-	mu            sync.Mutex
-	down          bool
-	spoilPieces   int // how many of the next pieces are spoilt
-	spoilManifest int
-	pieces        map[int]int // how often each was sent
+	mu               sync.Mutex
+	down             bool
+	corruptPieces    int // number of following pieces to corrupt
+	corruptManifests int
+	pieces           map[int]int // number of times each piece was sent
 }
 
 func (o *fakeOrigin) Manifest(_ context.Context, _, model string, version int) (*Manifest, error) {
@@ -43,8 +43,8 @@
 	for i := range testPieces {
 		m.Digests = append(m.Digests, sha256.Sum256(piece(version, i)))
 	}
-	if o.spoilManifest > 0 {
-		o.spoilManifest--
+	if o.corruptManifests > 0 {
+		o.corruptManifests--
 		m.Digests[3][0] ^= 1
 	}
 	return m, nil
@@ -57,19 +57,19 @@
 		return nil, errors.New("origin down")
 	}
 	o.pieces[index]++
-	if o.spoilPieces > 0 {
-		o.spoilPieces--
+	if o.corruptPieces > 0 {
+		o.corruptPieces--
 		return []byte("spoilt"), nil
 	}
 	return piece(version, index), nil
 }
 
-// network joins relays and agents by address.
+// network connects relays and agents by address.
 type network struct {
 	origin  *fakeOrigin
 	relays  map[string]*Relay
-	agents  map[string]int    // version staged, by address
-	domains map[string]string // of the agents
+	agents  map[string]int    // staged version by address
+	domains map[string]string // of the agents, by address
 }
 
 func newNetwork(entries map[string]string) *network {
@@ -122,8 +122,8 @@
 	return nil, errors.New("not understood")
 }
 
-// want makes all relays hold a version, without reading ahead.
-func (n *network) want(version int) {
+// hold makes all relays hold a version without prefetching it.
+func (n *network) hold(version int) {
 	for _, r := range n.relays {
 		r.Hold(testModel, version)
 	}
@@ -142,9 +142,9 @@
 	}
 }
 
-func TestVersionLeavesTheOriginOnce(t *testing.T) {
+func TestVersionIsReadFromOriginOnce(t *testing.T) {
 	n := newNetwork(threeDomains())
-	n.want(2)
+	n.hold(2)
 	for _, r := range n.relays {
 		readAll(t, r, 2)
 	}
@@ -153,8 +153,8 @@
 	}
 }
 
-// Entries with slow links need them for live requests.
-func TestSlowLinksCarryNoPieces(t *testing.T) {
+// Entries with slow links need their links for live requests.
+func TestEntriesWithSlowLinksAreNotReaders(t *testing.T) {
 	n := newNetwork(threeDomains())
 	r := n.relays["a1"]
 	r.self.LinkMbps = 40
@@ -169,24 +169,24 @@
 	assert.Equal(t, len(seen), 2, "both carry, neither is much slower")
 }
 
-func TestSpoiltPieceIsReadAgain(t *testing.T) {
+func TestCorruptPieceIsReadAgain(t *testing.T) {
 	n := newNetwork(threeDomains())
-	n.want(2)
-	n.origin.spoilPieces = 2
+	n.hold(2)
+	n.origin.corruptPieces = 2
 	readAll(t, n.relays["b1"], 2)
 }
 
-// A manifest may arrive spoilt like any other answer: then no bytes match.
-func TestSpoiltManifestIsReadAgain(t *testing.T) {
+// A manifest may be corrupted in transit. Valid pieces do not match it then.
+func TestCorruptManifestIsReadAgain(t *testing.T) {
 	n := newNetwork(map[string]string{"a1": "a"})
-	n.want(2)
-	n.origin.spoilManifest = 1
+	n.hold(2)
+	n.origin.corruptManifests = 1
 	readAll(t, n.relays["a1"], 2)
 }
 
-func TestAgentsNearbyGoBeforeTheOrigin(t *testing.T) {
+func TestAgentsOfSameDomainTakePrecedenceOverOrigin(t *testing.T) {
 	n := newNetwork(threeDomains())
-	n.want(1)
+	n.hold(1)
 	for _, domain := range []string{"a", "b", "c"} {
 		n.agents["agent-"+domain] = 1
 		n.domains["agent-"+domain] = domain
@@ -198,24 +198,24 @@
 	assert.Equal(t, len(n.origin.pieces), 0)
 }
 
-// An agent that has staged the next version already hands out other bytes.
-func TestPieceOfAnotherVersionIsNotTaken(t *testing.T) {
+// An agent that has staged another version by now serves different bytes.
+func TestPieceOfAnotherVersionIsRejected(t *testing.T) {
 	n := newNetwork(threeDomains())
-	n.want(2)
+	n.hold(2)
 	n.agents["agent-b"] = 1
 	n.domains["agent-b"] = "b"
 	n.relays["b1"].holders = func(string, string, int) []string { return []string{"agent-b"} }
 	readAll(t, n.relays["b1"], 2)
 }
 
-// The origin turns callers away when too many are connected. What any entry
-// holds is then had from there, whoever is to read it.
-func TestEntriesThatHoldAVersionMakeUpForTheOrigin(t *testing.T) {
+// The origin refuses connections above its limit. Pieces are then read from any entry that holds
+// them, not only from their readers.
+func TestEntriesServeHeldVersionDuringOriginOutage(t *testing.T) {
 	n := newNetwork(threeDomains())
-	n.want(2)
+	n.hold(2)
 	readAll(t, n.relays["c1"], 2)
 	for _, reader := range []string{"a1", "a2"} {
-		n.relays[reader].versions[testModel] = []*held{{version: 2, pieces: map[int][]byte{}}}
+		n.relays[reader].versions[testModel] = []*heldVersion{{version: 2, pieces: map[int][]byte{}}}
 	}
 	n.origin.down = true
 	for _, addr := range []string{"a1", "b1", "b2"} {
@@ -225,10 +225,10 @@
 	}
 }
 
-// Entries that ask each other for what they hold do not pass the question on.
-func TestHeldOnlyIsNotPassedOn(t *testing.T) {
+// Requests for held pieces only are not forwarded.
+func TestHeldOnlyRequestIsNotForwarded(t *testing.T) {
 	n := newNetwork(threeDomains())
-	n.want(2)
+	n.hold(2)
 	_, err := n.relays["b1"].Piece(t.Context(), &peer.GetPiece{Model: testModel, Version: 2, HeldOnly: true})
 	assert.ErrorIs(t, err, ErrNoSource)
 	_, err = n.relays["b1"].Manifest(t.Context(), &peer.GetManifest{Model: testModel, Version: 2, HeldOnly: true})
@@ -236,8 +236,8 @@
 	assert.Equal(t, len(n.origin.pieces), 0)
 }
 
-// A version that is not new is read when agents ask for it, not ahead.
-func TestHeldVersionIsNotReadAhead(t *testing.T) {
+// A version that is not new is read when agents request it and is not prefetched.
+func TestHeldVersionIsNotPrefetched(t *testing.T) {
 	n := newNetwork(map[string]string{"a1": "a"})
 	r := n.relays["a1"]
 	assert.Assert(t, r.Hold(testModel, 2))
@@ -247,37 +247,37 @@
 	readAll(t, r, 2)
 }
 
-// Until a newer version can be had whole, engines may have to change to the one
-// before; it is handed out meanwhile.
-func TestVersionBeforeTheNewestIsHandedOut(t *testing.T) {
+// Engines may have to load the preceding version until the newer one is completely available,
+// so both are served.
+func TestPrecedingVersionIsServed(t *testing.T) {
 	n := newNetwork(threeDomains())
-	n.want(2)
+	n.hold(2)
 	readAll(t, n.relays["b1"], 2)
-	n.want(3)
+	n.hold(3)
 	n.origin.down = true
 	readAll(t, n.relays["b1"], 2)
 	_, err := n.relays["b1"].Piece(t.Context(), &peer.GetPiece{Model: testModel, Version: 3})
 	assert.ErrorIs(t, err, ErrNoSource)
 	r := n.relays["b1"]
 	r.versions[testModel][0].since = time.Time{}
-	n.want(4)
+	n.hold(4)
 	assert.Assert(t, r.held(testModel, 4) != nil && r.held(testModel, 3) == nil && r.held(testModel, 2) == nil)
 }
 
-// The origin may go away in the middle; reading ahead goes on when it is back.
-func TestReadingAheadOutlivesTheOrigin(t *testing.T) {
+// Prefetching resumes after an outage of the origin.
+func TestPrefetchResumesAfterOriginOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork(map[string]string{"a1": "a"})
 		n.origin.down = true
 		r := n.relays["a1"]
 		r.Want(t.Context(), testModel, 2, testPieces)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, len(r.ownMissing(testModel, 2, testPieces)), testPieces)
+		assert.Equal(t, len(r.missingOwnPieces(testModel, 2, testPieces)), testPieces)
 		n.origin.mu.Lock()
 		n.origin.down = false
 		n.origin.mu.Unlock()
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, len(r.ownMissing(testModel, 2, testPieces)), 0)
+		assert.Equal(t, len(r.missingOwnPieces(testModel, 2, testPieces)), 0)
 	})
 }
 
@@ -290,35 +290,35 @@
 	}
 }
 
-func TestGate(t *testing.T) {
-	g := &gate{}
-	assert.NilError(t, g.enter(t.Context(), 1, rank{}))
+func TestLimiter(t *testing.T) {
+	l := &limiter{}
+	assert.NilError(t, l.acquire(t.Context(), 1, rank{}))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.ErrorIs(t, g.enter(ctx, 1, rank{}), context.Canceled)
-	assert.Equal(t, len(g.waiting), 0, "who gives up does not wait")
-	assert.NilError(t, g.enter(t.Context(), 2, rank{}), "a higher limit")
-	g.leave()
-	newer, high, low, same := g.join(1, rank{2, 0}), g.join(1, rank{1, 7}), g.join(1, rank{1, 3}), g.join(1, rank{1, 3})
+	assert.ErrorIs(t, l.acquire(ctx, 1, rank{}), context.Canceled)
+	assert.Equal(t, len(l.waiting), 0, "who gives up does not wait")
+	assert.NilError(t, l.acquire(t.Context(), 2, rank{}), "a higher limit")
+	l.release()
+	newer, high, low, same := l.enqueue(1, rank{2, 0}), l.enqueue(1, rank{1, 7}), l.enqueue(1, rank{1, 3}), l.enqueue(1, rank{1, 3})
 	for _, w := range []*waiter{low, same, high, newer} {
-		g.leave()
-		<-w.enter
+		l.release()
+		<-w.admitted
 	}
-	assert.Equal(t, g.running, 1)
+	assert.Equal(t, l.running, 1)
 }
 
 func TestNoSourceIsAnError(t *testing.T) {
 	n := newNetwork(threeDomains())
-	n.want(2)
+	n.hold(2)
 	n.origin.down = true
 	_, err := n.relays["c1"].Piece(t.Context(), &peer.GetPiece{Model: testModel, Version: 2, Index: 0})
 	assert.ErrorIs(t, err, ErrNoSource)
 }
 
-// Entries that disagree about who reads a piece must not ask each other for ever.
+// Entries that disagree on the reader of a piece must not forward requests forever.
 func TestHopsAreBounded(t *testing.T) {
 	n := newNetwork(map[string]string{"a1": "a", "a2": "a"})
-	n.want(2)
+	n.hold(2)
 	r := n.relays["a1"]
 	for i := range testPieces {
 		got := r.sources(PieceKey(testModel, 2, i), maxHops, 0)
@@ -326,10 +326,10 @@
 	}
 }
 
-func TestOlderVersionIsNotHeldAgain(t *testing.T) {
+func TestOlderVersionDoesNotReplaceNewer(t *testing.T) {
 	n := newNetwork(map[string]string{"a1": "a"})
 	r := n.relays["a1"]
-	n.want(3)
+	n.hold(3)
 	r.Want(t.Context(), testModel, 2, testPieces)
 	assert.Equal(t, r.versions[testModel][0].version, 3)
 }
--- a/weights/sources.go
+++ b/weights/sources.go
@@ -7,24 +7,24 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// maxHops bounds how often a request is passed on: to the reader of the own
-// failure domain, and from there to the one of the origin's domain.
+// maxHops limits how often a request is forwarded: to the reader of the requester's failure
+// domain, and from there to the reader of the origin's domain.
 const maxHops = 2
 
-// otherSources is how many entries beside the readers are asked for what they
-// hold, once the readers and the origin have failed.
-const otherSources = 4
+// maxOtherSources limits the number of entries other than the readers that are asked for
+// pieces they hold, after the readers and the origin have failed.
+const maxOtherSources = 4
 
-// originConnShare is the part of the connections that the origin accepts which
-// all entries use together. The rest is for connections of hosts that lost
-// power: the origin keeps them until its own idle timeout.
+// originConnShare is the share of the connections accepted by the origin that all entries
+// together use. The rest is reserved for stale connections of hosts that lost power, which the
+// origin keeps until its own idle time-out.
 const originConnShare = 0.4
 
-// source is where a manifest or a piece may be had: an entry or an agent, or
-// the origin if addr is empty.
+// source is a server of manifests or pieces: an entry, an agent, or the origin if addr is
+// empty.
 type source struct {
 	addr     string
-	heldOnly bool // the entry is asked only for what it holds itself
+	heldOnly bool // the entry must answer only from the pieces that it holds
 }
 
 func (s source) isOrigin() bool { return s.addr == "" }
@@ -37,7 +37,7 @@
 	return s.addr
 }
 
-// tries returns how often the sources are gone through.
+// tries returns the number of passes over the sources.
 func (r *Relay) tries(hops int) int {
 	if hops > 0 {
 		return min(r.cfg.Tries, 2)
@@ -45,8 +45,8 @@
 	return r.cfg.Tries
 }
 
-// reader returns the entry of a failure domain that reads key, this one
-// included, or "" if the domain has none. Entries with slow links read nothing.
+// reader returns the entry of a failure domain that is the reader for key, or "" if the domain
+// has none. It may be this entry. Entries with slow links are not selected.
 func (r *Relay) reader(key, domain string) string {
 	var list []peer.Presence
 	if r.self.Domain == domain {
@@ -64,21 +64,20 @@
 	return membership.First(key, addrs)
 }
 
-// pieceSources returns whom to ask for a piece: an agent nearby that has it
-// staged goes first, since it costs neither the origin nor a link between
-// regions.
+// pieceSources returns the sources of a piece in order. An agent of the same failure domain that
+// has it staged comes first, since it loads neither the origin nor a link between regions.
 func (r *Relay) pieceSources(key string, q *peer.GetPiece, try int) []source {
 	out := r.sources(key, q.Hops, try)
-	near := membership.First(key, r.holders(r.self.Domain, q.Model, q.Version))
-	if near == "" || q.Hops > maxHops || r.cfg.Off.Has(mechanism.NearRelay) {
+	agent := membership.First(key, r.holders(r.self.Domain, q.Model, q.Version))
+	if agent == "" || q.Hops > maxHops || r.cfg.Off.Has(mechanism.NearRelay) {
 		return out
 	}
-	return append([]source{{addr: near}}, out...)
+	return append([]source{{addr: agent}}, out...)
 }
 
-// sources returns whom to ask for key, in order: the reader of the own failure
-// domain, the one of the origin's, the origin. When these have failed once,
-// other entries may still hold it, and go before the origin.
+// sources returns the sources for key in order: the reader of this entry's failure domain, the
+// reader of the origin's domain, and the origin. From the second try on, other entries that may
+// hold the data come before the origin.
 func (r *Relay) sources(key string, hops, try int) []source {
 	var out []source
 	o := r.origin()
@@ -93,18 +92,18 @@
 
 func (r *Relay) readers(key string, o *fleet.Origin) []source {
 	var out []source
-	if near := r.reader(key, r.self.Domain); near != r.self.Addr {
-		out = append(out, source{addr: near})
+	if own := r.reader(key, r.self.Domain); own != r.self.Addr {
+		out = append(out, source{addr: own})
 	}
 	if r.self.Domain != o.Domain {
-		if far := r.reader(key, o.Domain); far != "" {
-			out = append(out, source{addr: far})
+		if remote := r.reader(key, o.Domain); remote != "" {
+			out = append(out, source{addr: remote})
 		}
 	}
 	return out
 }
 
-// others returns entries that are not among asked, by rendezvous hashing.
+// others returns entries that are not in asked, selected by rendezvous hashing.
 func (r *Relay) others(key string, asked []source) []source {
 	skip := map[string]bool{}
 	for _, s := range asked {
@@ -117,13 +116,13 @@
 		}
 	}
 	var out []source
-	for _, addr := range membership.Rank(key, addrs, otherSources) {
+	for _, addr := range membership.Rank(key, addrs, maxOtherSources) {
 		out = append(out, source{addr: addr, heldOnly: true})
 	}
 	return out
 }
 
-// originConns returns how many reads this entry may run at the origin at once.
+// originConns returns the number of reads that this entry may run concurrently at the origin.
 func (r *Relay) originConns(o *fleet.Origin) int {
 	if o.MaxConns <= 0 {
 		return r.cfg.OriginConns
