--- a/weights/manifest.go
+++ b/weights/manifest.go
@@ -17,7 +17,7 @@
 	// ErrCorrupt is returned if data does not match its digest.
 	ErrCorrupt = errors.New("weights: piece does not match its digest")
 	// ErrNoSource is returned if neither an entry nor the origin provided the data.
-	ErrNoSource = errors.New("weights: no source could serve")
+	ErrNoSource = errors.New("weights: not available from any source")
 )
 
 // Manifest lists the digests of a version's pieces.
--- a/weights/order_test.go
+++ b/weights/order_test.go
@@ -60,7 +60,7 @@
 	defer func() { <-o.link }()
 	time.Sleep(o.perPiece)
 	if o.unavailable() {
-		return nil, errors.New("origin gone meanwhile")
+		return nil, errors.New("origin went down during transfer")
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -91,7 +91,9 @@
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		noHolders := func(string, string, int) []string { return nil }
-		noPeers := func(context.Context, string, peer.Message) (peer.Message, error) { return nil, errors.New("nobody") }
+		noPeers := func(context.Context, string, peer.Message) (peer.Message, error) {
+			return nil, errors.New("no such peer")
+		}
 		r := NewRelay(Config{}, peer.Presence{Addr: "a1", Domain: "a"}, func() []peer.Presence { return nil }, noHolders,
 			func() *fleet.Origin { return &fleet.Origin{Addr: "origin", Domain: "a"} }, o, noPeers, log)
 		r.Want(t.Context(), testModel, 2, slowOriginPieces)
@@ -99,7 +101,7 @@
 		o.setUnavailable(true)
 		time.Sleep(time.Second)
 		before := o.sentUpToLast(2)
-		assert.Assert(t, before > slowOriginPieces/2 && before < slowOriginPieces, "%d pieces", before)
+		assert.Assert(t, before > slowOriginPieces/2 && before < slowOriginPieces, "%d pieces sent before the outage", before)
 		r.Want(t.Context(), testModel, 3, slowOriginPieces)
 		time.Sleep(3 * time.Second)
 		o.setUnavailable(false)
@@ -108,6 +110,6 @@
 		assert.Equal(t, len(r.missingOwnPieces(testModel, 2, slowOriginPieces)), 0)
 		// Once the started reads of the newer version have ended, the older version gets at
 		// least half of the link.
-		assert.Assert(t, o.sentUpToLast(2) <= slowOriginPieces+missing+r.cfg.OriginConns, "the last piece of the older is the %dth of all", o.sentUpToLast(2))
+		assert.Assert(t, o.sentUpToLast(2) <= slowOriginPieces+missing+r.cfg.OriginConns, "last piece of the older version sent as piece %d in total", o.sentUpToLast(2))
 	})
 }
--- a/weights/prefetch.go
+++ b/weights/prefetch.go
@@ -54,13 +54,13 @@
 			continue
 		}
 		r.log.WithError(err).WithFields(logrus.Fields{"model": model, "version": version, "missing": len(missing),
-			"ms": clock.Since(start).Milliseconds()}).Warn("Pieces not read ahead.")
+			"ms": clock.Since(start).Milliseconds()}).Warn("Prefetch of pieces failed.")
 		if !r.recovery.wait(ctx, r.cfg.PrefetchRetryPause) {
 			return
 		}
 	}
 	r.log.WithFields(logrus.Fields{"model": model, "version": version,
-		"ms": clock.Since(start).Milliseconds()}).Info("Own pieces read.")
+		"ms": clock.Since(start).Milliseconds()}).Info("Prefetch of own pieces ended.")
 }
 
 // missingOwnPieces returns the pieces of which this entry is the reader and which it does not
--- a/weights/relay.go
+++ b/weights/relay.go
@@ -157,7 +157,7 @@
 			}
 			last = err
 			r.log.WithError(err).WithFields(logrus.Fields{"model": q.Model, "version": q.Version, "try": try,
-				"source": src.String()}).Debug("Manifest not had from a source.")
+				"source": src.String()}).Debug("Read of manifest from source failed.")
 		}
 	}
 	return nil, errors.Wrapf(ErrNoSource, "manifest of %s version %d: %v", q.Model, q.Version, last)
@@ -196,7 +196,7 @@
 	m := &Manifest{Model: model, Version: version}
 	for _, d := range reply.Digests {
 		if len(d) != sha256.Size {
-			return nil, errors.Wrap(ErrCorrupt, "manifest")
+			return nil, errors.Wrap(ErrCorrupt, "manifest digest has wrong length")
 		}
 		m.Digests = append(m.Digests, [sha256.Size]byte(d))
 	}
@@ -268,7 +268,7 @@
 			}
 			last = err
 			r.log.WithError(err).WithFields(logrus.Fields{"model": q.Model, "version": q.Version, "piece": q.Index,
-				"try": try, "source": src.String()}).Debug("Piece not had from a source.")
+				"try": try, "source": src.String()}).Debug("Read of piece from source failed.")
 		}
 	}
 	return nil, errors.Wrapf(ErrNoSource, "piece %d of %s version %d: %v", q.Index, q.Model, q.Version, last)
@@ -355,7 +355,7 @@
 	reply := &peer.Manifest{}
 	m, err := r.Manifest(context.WithoutCancel(ctx), q)
 	if err != nil {
-		r.log.WithError(err).Info("Manifest not had.")
+		r.log.WithError(err).Info("Manifest not available.")
 		return reply
 	}
 	for _, d := range m.Digests {
--- a/weights/relay_test.go
+++ b/weights/relay_test.go
@@ -59,7 +59,7 @@
 	o.pieces[index]++
 	if o.corruptPieces > 0 {
 		o.corruptPieces--
-		return []byte("spoilt"), nil
+		return []byte("corrupt"), nil
 	}
 	return piece(version, index), nil
 }
@@ -119,7 +119,7 @@
 		data, err := r.Piece(ctx, q)
 		return &peer.Blob{Found: err == nil, Data: data}, nil
 	}
-	return nil, errors.New("not understood")
+	return nil, errors.New("unexpected message type")
 }
 
 // hold makes all relays hold a version without prefetching it.
@@ -166,7 +166,7 @@
 		assert.Equal(t, r.reader(PieceKey(testModel, 2, i), "a"), "a2")
 		seen[r.reader(PieceKey(testModel, 2, i), "b")] = true
 	}
-	assert.Equal(t, len(seen), 2, "both carry, neither is much slower")
+	assert.Equal(t, len(seen), 2, "both are readers, neither is much slower")
 }
 
 func TestCorruptPieceIsReadAgain(t *testing.T) {
@@ -286,7 +286,7 @@
 	r := n.relays["a1"]
 	for _, c := range []struct{ accepted, want int }{{0, 3}, {48, 3}, {20, 1}, {3, 1}} {
 		got := r.originConns(&fleet.Origin{MaxConns: c.accepted})
-		assert.Equal(t, got, c.want, "of %d", c.accepted)
+		assert.Equal(t, got, c.want, "of %d accepted connections", c.accepted)
 	}
 }
 
@@ -296,7 +296,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	assert.ErrorIs(t, l.acquire(ctx, 1, rank{}), context.Canceled)
-	assert.Equal(t, len(l.waiting), 0, "who gives up does not wait")
+	assert.Equal(t, len(l.waiting), 0, "cancelled call is removed from the queue")
 	assert.NilError(t, l.acquire(t.Context(), 2, rank{}), "a higher limit")
 	l.release()
 	newer, high, low, same := l.enqueue(1, rank{2, 0}), l.enqueue(1, rank{1, 7}), l.enqueue(1, rank{1, 3}), l.enqueue(1, rank{1, 3})
