--- a/gateway/endings.go
+++ b/gateway/endings.go
@@ -32,7 +32,7 @@
 )
 
 // lifeOf returns the name of a target's life.
-func lifeOf(i fleet.Instance) quarantine.Life { return quarantine.Life{Target: i.ID, Born: i.Born} }
+func lifeOf(i fleet.Instance) quarantine.Incarnation { return quarantine.Incarnation{Target: i.ID, Born: i.Born} }
 
 // ending is a target's life at which connections broke.
 type ending struct {
@@ -53,11 +53,11 @@
 	log   logrus.FieldLogger
 
 	mu    sync.Mutex
-	lives map[quarantine.Life]*ending
+	lives map[quarantine.Incarnation]*ending
 }
 
 func newEndings(table *quarantine.Table, host string, log logrus.FieldLogger) *endings {
-	return &endings{table: table, host: host, log: log, lives: map[quarantine.Life]*ending{}}
+	return &endings{table: table, host: host, log: log, lives: map[quarantine.Incarnation]*ending{}}
 }
 
 // lost takes that a content's connection to a target broke, which it was sent to at sent.
--- a/mesh/crashes.go
+++ b/mesh/crashes.go
@@ -90,7 +90,7 @@
 			continue
 		}
 		n.Crashes = append(n.Crashes, quarantine.Crash{Content: quarantine.Fingerprint(c.Content),
-			Life: quarantine.Life{Target: c.Target, Born: c.Born}, At: now.Add(-fromMilliseconds(c.AgeMs)), Seen: c.Host, Void: c.Void})
+			Life: quarantine.Incarnation{Target: c.Target, Born: c.Born}, At: now.Add(-fromMilliseconds(c.AgeMs)), Seen: c.Host, Void: c.Void})
 	}
 	for _, s := range msg.Survivals {
 		if len(s.Content) == len(quarantine.Fingerprint{}) {
--- a/quarantine/storm_test.go
+++ b/quarantine/storm_test.go
@@ -52,7 +52,7 @@
 	targets [stormTargets][]running
 	downTo  [stormTargets]time.Duration
 	lives   int
-	life    [stormTargets]Life
+	life    [stormTargets]Incarnation
 	causes  map[Fingerprint]*cause
 	refused map[Fingerprint]int
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -25,8 +25,8 @@
 	suspectFirst = 2 * time.Second
 )
 
-// Life names one life of a target.
-type Life struct {
+// Incarnation names one life of a target.
+type Incarnation struct {
 	Target string // its ID
 	Born   int64  // Unix milliseconds; 0 if not known
 }
@@ -34,7 +34,7 @@
 // Crash says that a life of a target ended while a content was at work there.
 type Crash struct {
 	Content Fingerprint
-	Life    Life
+	Life    Incarnation
 	At      time.Time // when the entry that saw it lost the connection
 	Seen    string    // host of that entry
 	// Void is true if the target was heard after all: it had not ended.
@@ -132,7 +132,7 @@
 }
 
 // RetractCrash notes that a life which had seemed to end was heard again.
-func (t *Table) RetractCrash(life Life) {
+func (t *Table) RetractCrash(life Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	found := false
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -20,7 +20,7 @@
 	return f
 }
 
-func life(n int) Life { return Life{fmt.Sprintf("i-%d", n), int64(n)} }
+func life(n int) Incarnation { return Incarnation{fmt.Sprintf("i-%d", n), int64(n)} }
 
 func crash(f Fingerprint, l int, when time.Duration) Crash {
 	return Crash{Content: f, Life: life(l), At: at(when), Seen: "entry-0"}
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -63,16 +63,16 @@
 }
 
 // at reports whether the content was at work on a life as it ended.
-func (s *suspect) at(life Life) bool {
+func (s *suspect) at(life Incarnation) bool {
 	return slices.ContainsFunc(s.crashes, func(c Crash) bool { return c.Life == life })
 }
 
 // inquest is all that is known, for one round of verdicts.
 type inquest struct {
 	suspects  []*suspect // those with most crashes first
-	at        map[Life][]*suspect
+	at        map[Incarnation][]*suspect
 	ends      []Crash // one for each life, by time
-	explained map[Life]bool
+	explained map[Incarnation]bool
 }
 
 // condemn returns the contents that are sent no more. Those with most crashes are looked
@@ -93,7 +93,7 @@
 }
 
 func newInquest(records map[Fingerprint]*record) *inquest {
-	q := &inquest{at: map[Life][]*suspect{}, explained: map[Life]bool{}}
+	q := &inquest{at: map[Incarnation][]*suspect{}, explained: map[Incarnation]bool{}}
 	for f, r := range records {
 		open := r.open()
 		if len(open) == 0 {
@@ -134,7 +134,7 @@
 // ended one elsewhere too, for a reason that is not known. Where several causes are about
 // at once, a bystander at an end of each has three before any of them has: of 600 played
 // storms of three causes one shut a bystander out, and with this none, at as many ends.
-func (q *inquest) contested(s *suspect, life Life) bool {
+func (q *inquest) contested(s *suspect, life Incarnation) bool {
 	return slices.ContainsFunc(q.at[life], func(o *suspect) bool {
 		return o != s && !o.proven && slices.ContainsFunc(o.crashes, func(c Crash) bool {
 			return !q.explained[c.Life] && !s.at(c.Life)
