--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -34,7 +34,7 @@
 // Crash says that a life of a target ended while a content was at work there.
 type Crash struct {
 	Content Fingerprint
-	Life    Incarnation
+	Incarnation    Incarnation
 	At      time.Time // when the entry that saw it lost the connection
 	Seen    string    // host of that entry
 	// Void is true if the target was heard after all: it had not ended.
@@ -138,7 +138,7 @@
 	found := false
 	for _, r := range t.records {
 		for i := range r.crashes {
-			if c := &r.crashes[i]; c.is.Life == life && !c.is.Void {
+			if c := &r.crashes[i]; c.is.Incarnation == life && !c.is.Void {
 				c.is.Void, c.seq, c.own, found = true, t.next(), true, true
 			}
 		}
@@ -175,7 +175,7 @@
 		}
 	}
 	for i := range r.crashes {
-		if old := &r.crashes[i]; old.is.Life == c.Life {
+		if old := &r.crashes[i]; old.is.Incarnation == c.Incarnation {
 			if c.Void && !old.is.Void {
 				old.is.Void, old.seq, old.own = true, t.next(), own
 			}
@@ -184,7 +184,7 @@
 	}
 	r.crashes = append(r.crashes, noted[Crash]{c, t.next(), own})
 	slices.SortFunc(r.crashes, func(a, b noted[Crash]) int {
-		return cmp.Or(a.is.At.Compare(b.is.At), cmp.Compare(a.is.Life.Target, b.is.Life.Target))
+		return cmp.Or(a.is.At.Compare(b.is.At), cmp.Compare(a.is.Incarnation.Target, b.is.Incarnation.Target))
 	})
 	r.crashes = r.crashes[max(len(r.crashes)-maxCrashes, 0):]
 }
@@ -369,7 +369,7 @@
 	}
 	// A hash takes all that is written.
 	_, _ = h.Write(c.Content[:])
-	_, _ = h.Write([]byte(c.Life.Target))
+	_, _ = h.Write([]byte(c.Incarnation.Target))
 	_, _ = h.Write([]byte{void})
 	return h.Sum64()
 }
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -64,7 +64,7 @@
 
 // at reports whether the content was at work on a life as it ended.
 func (s *suspect) at(life Incarnation) bool {
-	return slices.ContainsFunc(s.crashes, func(c Crash) bool { return c.Life == life })
+	return slices.ContainsFunc(s.crashes, func(c Crash) bool { return c.Incarnation == life })
 }
 
 // inquest is all that is known, for one round of verdicts.
@@ -85,7 +85,7 @@
 			continue
 		}
 		for _, c := range s.crashes {
-			q.explained[c.Life] = true
+			q.explained[c.Incarnation] = true
 		}
 		out[s.content] = findingOf(s.crashes)
 	}
@@ -102,10 +102,10 @@
 		s := &suspect{f, open, !r.survived.is.IsZero()}
 		q.suspects = append(q.suspects, s)
 		for _, c := range open {
-			if q.at[c.Life] == nil {
+			if q.at[c.Incarnation] == nil {
 				q.ends = append(q.ends, c)
 			}
-			q.at[c.Life] = append(q.at[c.Life], s)
+			q.at[c.Incarnation] = append(q.at[c.Incarnation], s)
 		}
 	}
 	slices.SortFunc(q.suspects, func(a, b *suspect) int {
@@ -117,11 +117,11 @@
 
 // guilty decides by the crashes that no other content explains.
 func (q *inquest) guilty(s *suspect) bool {
-	left := slices.DeleteFunc(slices.Clone(s.crashes), func(c Crash) bool { return q.explained[c.Life] })
+	left := slices.DeleteFunc(slices.Clone(s.crashes), func(c Crash) bool { return q.explained[c.Incarnation] })
 	switch {
 	case len(left) < crashThreshold:
 		return false
-	case len(left) == crashThreshold && slices.ContainsFunc(left, func(c Crash) bool { return q.contested(s, c.Life) }):
+	case len(left) == crashThreshold && slices.ContainsFunc(left, func(c Crash) bool { return q.contested(s, c.Incarnation) }):
 		return false
 	case s.proven:
 		return len(grouped(left)) >= provenThreshold
@@ -137,7 +137,7 @@
 func (q *inquest) contested(s *suspect, life Incarnation) bool {
 	return slices.ContainsFunc(q.at[life], func(o *suspect) bool {
 		return o != s && !o.proven && slices.ContainsFunc(o.crashes, func(c Crash) bool {
-			return !q.explained[c.Life] && !s.at(c.Life)
+			return !q.explained[c.Incarnation] && !s.at(c.Incarnation)
 		})
 	})
 }
@@ -174,7 +174,7 @@
 	from, to := group[0].At.Add(-correlationWindow), group[len(group)-1].At.Add(correlationWindow)
 	i, _ := slices.BinarySearchFunc(q.ends, from, func(c Crash, t time.Time) int { return c.At.Compare(t) })
 	for ; i < len(q.ends) && !q.ends[i].At.After(to); i++ {
-		if life := q.ends[i].Life; !q.explained[life] && !s.at(life) {
+		if life := q.ends[i].Incarnation; !q.explained[life] && !s.at(life) {
 			n++
 		}
 	}
@@ -186,7 +186,7 @@
 func (q *inquest) shared(s *suspect, left []Crash) bool {
 	with := map[*suspect]int{}
 	for _, c := range left {
-		for _, o := range q.at[c.Life] {
+		for _, o := range q.at[c.Incarnation] {
 			with[o]++
 		}
 	}
