--- a/gateway/endings.go
+++ b/gateway/endings.go
@@ -32,7 +32,7 @@
 )
 
 // lifeOf returns the name of a target's life.
-func lifeOf(i fleet.Instance) quarantine.Incarnation { return quarantine.Incarnation{Target: i.ID, Born: i.Born} }
+func lifeOf(i fleet.Instance) quarantine.Incarnation { return quarantine.Incarnation{Target: i.ID, StartMs: i.Born} }
 
 // ending is a target's life at which connections broke.
 type ending struct {
@@ -147,7 +147,7 @@
 	}
 	for _, i := range list {
 		for life, x := range e.lives {
-			same := i.ID == life.Target && fleet.SameLife(i.Born, life.Born)
+			same := i.ID == life.Target && fleet.SameLife(i.Born, life.StartMs)
 			if !same && (i.ID == life.Target || i.Addr == x.target.Addr) && i.Revision > x.target.Revision {
 				e.end(x, "another life is listed")
 			}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -28,7 +28,7 @@
 // Incarnation names one life of a target.
 type Incarnation struct {
 	Target string // its ID
-	Born   int64  // Unix milliseconds; 0 if not known
+	StartMs   int64  // Unix milliseconds; 0 if not known
 }
 
 // Crash says that a life of a target ended while a content was at work there.
