--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -57,7 +57,7 @@
 
 // Finding is what is known of a content that is sent no more.
 type Finding struct {
-	Lives       int       // targets that ended under it
+	Crashes       int       // targets that ended under it
 	First, Last time.Time // when they did
 	Seen        []string  // hosts of the entries that saw it, each once
 	ProbeAt     time.Time // when it may be tried again
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -41,7 +41,7 @@
 	if !found {
 		return Send, Finding{}
 	}
-	if probeAt := later(finding.ProbeAt, r.probed.Add(probeAfter(finding.Lives))); now.Before(probeAt) || !home() {
+	if probeAt := later(finding.ProbeAt, r.probed.Add(probeAfter(finding.Crashes))); now.Before(probeAt) || !home() {
 		return Refuse, finding
 	}
 	r.probed = now
@@ -199,12 +199,12 @@
 }
 
 func findingOf(crashes []Crash) Finding {
-	f := Finding{Lives: len(crashes), First: crashes[0].At, Last: crashes[len(crashes)-1].At}
+	f := Finding{Crashes: len(crashes), First: crashes[0].At, Last: crashes[len(crashes)-1].At}
 	for _, c := range crashes {
 		if !slices.Contains(f.Seen, c.Seen) {
 			f.Seen = append(f.Seen, c.Seen)
 		}
 	}
-	f.ProbeAt = f.Last.Add(probeAfter(f.Lives))
+	f.ProbeAt = f.Last.Add(probeAfter(f.Crashes))
 	return f
 }
