--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -41,7 +41,7 @@
 // logFinding adds what is known of a request that is sent no more.
 func logFinding(f logrus.Fields, x *quarantine.Finding, now time.Time) {
 	f["ended"], f["first_age_ms"], f["last_age_ms"] = x.Crashes, now.Sub(x.First).Milliseconds(), now.Sub(x.Last).Milliseconds()
-	f["seen_by"], f["again_in_ms"] = x.Seen, x.ProbeAt.Sub(now).Milliseconds()
+	f["seen_by"], f["again_in_ms"] = x.Reporters, x.ProbeAt.Sub(now).Milliseconds()
 }
 
 // lostAt notes that the connection to a target broke under the request. If the target has
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -59,7 +59,7 @@
 type Finding struct {
 	Crashes       int       // targets that ended under it
 	First, Last time.Time // when they did
-	Seen        []string  // hosts of the entries that saw it, each once
+	Reporters        []string  // hosts of the entries that saw it, each once
 	ProbeAt     time.Time // when it may be tried again
 }
 
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -48,7 +48,7 @@
 	x.RecordCrashes(at(0), crash(bad, 3, 300*time.Millisecond))
 	v, f := x.Judge(at(time.Second), bad, elsewhere)
 	assert.Equal(t, v, Refuse)
-	assert.DeepEqual(t, f, Finding{Crashes: 3, First: at(0), Last: at(300 * time.Millisecond), Seen: []string{"entry-0"},
+	assert.DeepEqual(t, f, Finding{Crashes: 3, First: at(0), Last: at(300 * time.Millisecond), Reporters: []string{"entry-0"},
 		ProbeAt: at(300*time.Millisecond + firstProbe)})
 	assert.Assert(t, !refused(x, time.Second, poll))
 }
