--- a/gateway/endings.go
+++ b/gateway/endings.go
@@ -95,7 +95,7 @@
 	if !x.over {
 		x.brokeAt = now
 	}
-	x.lost = append(x.lost, quarantine.Crash{Content: content, Incarnation: life, At: now, Seen: e.host})
+	x.lost = append(x.lost, quarantine.Crash{Content: content, Incarnation: life, At: now, Reporter: e.host})
 	x.lost = x.lost[max(len(x.lost)-lostKept, 0):]
 	e.report(x)
 	return x, true
--- a/mesh/crashes_test.go
+++ b/mesh/crashes_test.go
@@ -24,7 +24,7 @@
 // sawThree makes an entry see that.
 func (e *entry) sawThree() {
 	for i := range 3 {
-		e.crashes.RecordCrashes(time.Now(), quarantine.Crash{Content: bad, Incarnation: quarantine.Incarnation{Target: fmt.Sprint("i-", i), StartMs: 5}, At: time.Now(), Seen: e.addr})
+		e.crashes.RecordCrashes(time.Now(), quarantine.Crash{Content: bad, Incarnation: quarantine.Incarnation{Target: fmt.Sprint("i-", i), StartMs: 5}, At: time.Now(), Reporter: e.addr})
 	}
 }
 
--- a/quarantine/storm_test.go
+++ b/quarantine/storm_test.go
@@ -127,7 +127,7 @@
 	s.targets[i] = nil
 	under := map[*cause]bool{}
 	for _, r := range lost {
-		n.Crashes = append(n.Crashes, Crash{Content: r.content, Incarnation: s.life[i], At: at(now), Seen: "e"})
+		n.Crashes = append(n.Crashes, Crash{Content: r.content, Incarnation: s.life[i], At: at(now), Reporter: "e"})
 		if c := s.causes[r.content]; c != nil {
 			under[c] = true
 		}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -36,7 +36,7 @@
 	Content Fingerprint
 	Incarnation    Incarnation
 	At      time.Time // when the entry that saw it lost the connection
-	Seen    string    // host of that entry
+	Reporter    string    // host of that entry
 	// Void is true if the target was heard after all: it had not ended.
 	Void bool
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -23,7 +23,7 @@
 func life(n int) Incarnation { return Incarnation{fmt.Sprintf("i-%d", n), int64(n)} }
 
 func crash(f Fingerprint, l int, when time.Duration) Crash {
-	return Crash{Content: f, Incarnation: life(l), At: at(when), Seen: "entry-0"}
+	return Crash{Content: f, Incarnation: life(l), At: at(when), Reporter: "entry-0"}
 }
 
 // elsewhere is home of no content.
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -201,8 +201,8 @@
 func findingOf(crashes []Crash) Finding {
 	f := Finding{Crashes: len(crashes), First: crashes[0].At, Last: crashes[len(crashes)-1].At}
 	for _, c := range crashes {
-		if !slices.Contains(f.Reporters, c.Seen) {
-			f.Reporters = append(f.Reporters, c.Seen)
+		if !slices.Contains(f.Reporters, c.Reporter) {
+			f.Reporters = append(f.Reporters, c.Reporter)
 		}
 	}
 	f.ProbeAt = f.Last.Add(probeAfter(f.Crashes))
