--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -230,7 +230,7 @@
 	assert.Equal(t, len(n.Crashes), 1)
 	g.endings.answered(i, sent.Add(time.Second))
 	n, _ = g.cfg.Crashes.Changes(0, 1)
-	assert.Assert(t, n.Crashes[0].Void)
+	assert.Assert(t, n.Crashes[0].Retracted)
 }
 
 // Half a minute after the last end one request of the content is let through. It ends well,
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -37,8 +37,8 @@
 	Incarnation    Incarnation
 	At      time.Time // when the entry that saw it lost the connection
 	Reporter    string    // host of that entry
-	// Void is true if the target was heard after all: it had not ended.
-	Void bool
+	// Retracted is true if the target was heard after all: it had not ended.
+	Retracted bool
 }
 
 // Survival says that a target has survived a run of a content that had been suspected.
@@ -138,8 +138,8 @@
 	found := false
 	for _, r := range t.records {
 		for i := range r.crashes {
-			if c := &r.crashes[i]; c.is.Incarnation == life && !c.is.Void {
-				c.is.Void, c.seq, c.own, found = true, t.next(), true, true
+			if c := &r.crashes[i]; c.is.Incarnation == life && !c.is.Retracted {
+				c.is.Retracted, c.seq, c.own, found = true, t.next(), true, true
 			}
 		}
 	}
@@ -176,8 +176,8 @@
 	}
 	for i := range r.crashes {
 		if old := &r.crashes[i]; old.is.Incarnation == c.Incarnation {
-			if c.Void && !old.is.Void {
-				old.is.Void, old.seq, old.own = true, t.next(), own
+			if c.Retracted && !old.is.Retracted {
+				old.is.Retracted, old.seq, old.own = true, t.next(), own
 			}
 			return
 		}
@@ -200,7 +200,7 @@
 func (r *record) open() []Crash {
 	var out []Crash
 	for _, c := range r.crashes {
-		if !c.is.Void && c.is.At.After(r.survived.is) {
+		if !c.is.Retracted && c.is.At.After(r.survived.is) {
 			out = append(out, c.is)
 		}
 	}
@@ -364,7 +364,7 @@
 func (c Crash) digest() uint64 {
 	h := fnv.New64a()
 	void := byte(0)
-	if c.Void {
+	if c.Retracted {
 		void = 1
 	}
 	// A hash takes all that is written.
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -275,7 +275,7 @@
 		for i := range 30 {
 			when := time.Duration(i) * 300 * time.Millisecond
 			n := News{Crashes: []Crash{crash(content(rng.IntN(2), rng.IntN(4)), rng.IntN(12), when)}}
-			n.Crashes[0].Void = rng.IntN(8) == 0
+			n.Crashes[0].Retracted = rng.IntN(8) == 0
 			if rng.IntN(6) == 0 {
 				n = News{Survivals: []Survival{{content(rng.IntN(2), rng.IntN(4)), at(when)}}}
 			}
