--- a/mesh/crashes.go
+++ b/mesh/crashes.go
@@ -67,7 +67,7 @@
 	return t.table.Changed()
 }
 
-func encodeCrashes(now time.Time, n quarantine.News) *peer.Crashes {
+func encodeCrashes(now time.Time, n quarantine.Update) *peer.Crashes {
 	if n.Empty() {
 		return nil
 	}
@@ -83,8 +83,8 @@
 }
 
 // decodeCrashes drops what names no content.
-func decodeCrashes(now time.Time, msg *peer.Crashes) quarantine.News {
-	var n quarantine.News
+func decodeCrashes(now time.Time, msg *peer.Crashes) quarantine.Update {
+	var n quarantine.Update
 	for _, c := range msg.Crashes {
 		if len(c.Content) != len(quarantine.Fingerprint{}) {
 			continue
--- a/quarantine/storm_test.go
+++ b/quarantine/storm_test.go
@@ -47,7 +47,7 @@
 type storm struct {
 	rng     *rand.Rand
 	table   *Table
-	late    []News
+	late    []Update
 	lateAt  []time.Duration
 	targets [stormTargets][]running
 	downTo  [stormTargets]time.Duration
@@ -122,7 +122,7 @@
 
 // crash ends a target; what was at work there goes on elsewhere, or comes again.
 func (s *storm) crash(now time.Duration, i int) {
-	var n News
+	var n Update
 	lost := s.targets[i]
 	s.targets[i] = nil
 	under := map[*cause]bool{}
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -47,14 +47,14 @@
 	At      time.Time
 }
 
-// News is what one process tells another.
-type News struct {
+// Update is what one process tells another.
+type Update struct {
 	Crashes   []Crash
 	Survivals []Survival
 }
 
 // Empty reports whether there is nothing to tell.
-func (n News) Empty() bool { return len(n.Crashes)+len(n.Survivals) == 0 }
+func (n Update) Empty() bool { return len(n.Crashes)+len(n.Survivals) == 0 }
 
 // record is what is known of one content.
 type record struct {
@@ -92,13 +92,13 @@
 
 // RecordCrashes takes crashes that this process has seen.
 func (t *Table) RecordCrashes(now time.Time, crashes ...Crash) bool {
-	return t.add(now, News{Crashes: crashes}, true)
+	return t.add(now, Update{Crashes: crashes}, true)
 }
 
 // Merge takes what another process tells. It reports whether any of it is news.
-func (t *Table) Merge(now time.Time, n News) bool { return t.add(now, n, false) }
+func (t *Table) Merge(now time.Time, n Update) bool { return t.add(now, n, false) }
 
-func (t *Table) add(now time.Time, n News, own bool) bool {
+func (t *Table) add(now time.Time, n Update, own bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before := t.seq
@@ -290,10 +290,10 @@
 
 // Seen returns what this process itself has seen after a place in the order, and the
 // place reached. It is what entries tell each other at once.
-func (t *Table) Seen(place uint64) (News, uint64) {
+func (t *Table) Seen(place uint64) (Update, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var n News
+	var n Update
 	if t.seq == place {
 		return n, place
 	}
@@ -312,10 +312,10 @@
 
 // Changes returns all that is known of the contents with so many crashes at the least of
 // which something was learned after a place in the order, and the place reached.
-func (t *Table) Changes(place uint64, crashes int) (News, uint64) {
+func (t *Table) Changes(place uint64, crashes int) (Update, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var n News
+	var n Update
 	if t.seq == place {
 		return n, place
 	}
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -192,7 +192,7 @@
 	n, _ := x.Seen(0)
 	y.Merge(at(4*time.Second), n)
 	assert.Assert(t, !refused(x, 5*time.Second, bad) && !refused(y, 5*time.Second, bad))
-	y.Merge(at(5*time.Second), News{Crashes: []Crash{crash(bad, 9, 3*time.Second)}}) // heard late
+	y.Merge(at(5*time.Second), Update{Crashes: []Crash{crash(bad, 9, 3*time.Second)}}) // heard late
 	assert.Assert(t, !refused(y, 5*time.Second, bad))
 }
 
@@ -271,13 +271,13 @@
 func TestTablesAgree(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
-		var all []News
+		var all []Update
 		for i := range 30 {
 			when := time.Duration(i) * 300 * time.Millisecond
-			n := News{Crashes: []Crash{crash(content(rng.IntN(2), rng.IntN(4)), rng.IntN(12), when)}}
+			n := Update{Crashes: []Crash{crash(content(rng.IntN(2), rng.IntN(4)), rng.IntN(12), when)}}
 			n.Crashes[0].Retracted = rng.IntN(8) == 0
 			if rng.IntN(6) == 0 {
-				n = News{Survivals: []Survival{{content(rng.IntN(2), rng.IntN(4)), at(when)}}}
+				n = Update{Survivals: []Survival{{content(rng.IntN(2), rng.IntN(4)), at(when)}}}
 			}
 			all = append(all, n)
 		}
