--- a/mesh/crashes.go
+++ b/mesh/crashes.go
@@ -47,7 +47,7 @@
 
 // seen returns what this process has seen since, or nil.
 func (t *toldCrashes) seen() *peer.Crashes {
-	n, place := t.table.Seen(t.place)
+	n, place := t.table.LocalChanges(t.place)
 	t.place = place
 	return encodeCrashes(clock.Now(), n)
 }
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -288,9 +288,9 @@
 	return t.changed
 }
 
-// Seen returns what this process itself has seen after a place in the order, and the
+// LocalChanges returns what this process itself has seen after a place in the order, and the
 // place reached. It is what entries tell each other at once.
-func (t *Table) Seen(place uint64) (Update, uint64) {
+func (t *Table) LocalChanges(place uint64) (Update, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var n Update
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -189,7 +189,7 @@
 	exchange(x, y, at(3*time.Second))
 	assert.Assert(t, refused(y, 3*time.Second, bad))
 	x.RecordSuccess(at(4*time.Second), bad)
-	n, _ := x.Seen(0)
+	n, _ := x.LocalChanges(0)
 	y.Merge(at(4*time.Second), n)
 	assert.Assert(t, !refused(x, 5*time.Second, bad) && !refused(y, 5*time.Second, bad))
 	y.Merge(at(5*time.Second), Update{Crashes: []Crash{crash(bad, 9, 3*time.Second)}}) // heard late
@@ -206,7 +206,7 @@
 	x.RetractCrash(life(1))
 	assert.Assert(t, !refused(x, 4*time.Second, bad))
 	assert.Assert(t, x.Digest() != y.Digest())
-	n, _ := x.Seen(0)
+	n, _ := x.LocalChanges(0)
 	y.Merge(at(4*time.Second), n)
 	assert.Assert(t, !refused(y, 4*time.Second, bad))
 	assert.Equal(t, x.Digest(), y.Digest())
