--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// A full table, as after a flood of contents that all end targets. Judged anew after each
-// piece of news it took 8.3 ms on a busy machine, with a load of 8 on 5 cores.
-func BenchmarkJudgeOfAFullTable(b *testing.B) {
+// A full table, as after a flood of contents that all crash targets. Evaluation after each
+// new crash took 8.3 ms on a busy machine, with a load of 8 on 5 cores.
+func BenchmarkJudgeFullTable(b *testing.B) {
 	x := NewTable()
 	now := time.Duration(0)
-	for i := range maxContents - spare {
+	for i := range maxContents - evictionBatch {
 		for l := range 3 {
 			now += 100 * time.Millisecond
 			x.RecordCrashes(at(now), crash(content(9, i), 3*i+l, now))
@@ -19,14 +19,14 @@
 	n := 0
 	for b.Loop() {
 		n++
-		now += judgeEvery
+		now += evaluationInterval
 		x.RecordCrashes(at(now), crash(content(8, n%32), 100000+n, now))
 		refused(x, now, content(8, n%32))
 	}
 }
 
-// A storm: one content ends targets, with eight others at work on each.
-func BenchmarkJudgeInAStorm(b *testing.B) {
+// A crash storm: one content crashes targets while eight others are in flight on each.
+func BenchmarkJudgeCrashStorm(b *testing.B) {
 	x := NewTable()
 	now := time.Duration(0)
 	n := 0
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -15,39 +15,40 @@
 	contentBytes = 12
 )
 
-// Fingerprint names a request by its content, whichever attempt of the caller carries it.
-// It begins with the name of the caller, so that one caller's records can be bounded. It
-// goes into logs and to other processes in place of body and API key, neither of which it
-// gives away: it is a keyed hash.
+// Fingerprint identifies a request by its content, whichever attempt carries it. It begins
+// with a hash of the caller, so that the records of one caller can be limited. It is a
+// keyed hash, so it can be logged and sent to other processes without revealing the body
+// or the API key.
 type Fingerprint [callerBytes + contentBytes]byte
 
-// Caller is the part of a fingerprint that names the caller.
+// Caller is the part of a fingerprint that identifies the caller.
 type Caller [callerBytes]byte
 
-// Caller returns whose request it is.
+// Caller returns the part that identifies the caller.
 func (f Fingerprint) Caller() Caller { return Caller(f[:callerBytes]) }
 
-// String returns the form for log lines.
+// String returns the fingerprint in hexadecimal.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// Content is what makes two requests the same one. What differs between attempts of it
-// is left out: the attempt's ID, the time left, the event that a stream goes on after.
+// Content holds the fields that identify a request. Fields that differ between its
+// attempts are excluded: the attempt ID, the remaining time, and the event after which a
+// stream resumes.
 type Content struct {
 	Caller string // name of the team, or the API key where there are no teams
 	Method string
 	Host   string
-	URI    string // path and query as they came
+	URI    string // path and query as received
 	Body   []byte
 }
 
-// Hasher makes fingerprints. All processes of a fleet need the same key.
+// Hasher computes fingerprints. All processes of a fleet must use the same key.
 type Hasher struct{ key []byte }
 
-// defaultKey tells these hashes from any others of the same bytes. A secret key in its
-// place keeps those who know a fingerprint from finding the content by trying.
+// defaultKey separates these hashes from other hashes of the same bytes. A secret key
+// prevents anyone who knows a fingerprint from finding the content by brute force.
 const defaultKey = "springgate request content"
 
-// NewHasher returns a hasher with a secret key; empty for a key that is public.
+// NewHasher returns a hasher with the given secret key. An empty key selects a public one.
 func NewHasher(key string) Hasher {
 	if key == "" {
 		key = defaultKey
@@ -55,7 +56,7 @@
 	return Hasher{[]byte(key)}
 }
 
-// Fingerprint returns the name of the content.
+// Fingerprint returns the fingerprint of c.
 func (h Hasher) Fingerprint(c Content) (f Fingerprint) {
 	caller := hmac.New(sha256.New, h.key)
 	writeField(caller, c.Caller)
@@ -63,15 +64,15 @@
 	for _, field := range []string{c.Caller, c.Method, c.Host, c.URI} {
 		writeField(content, field)
 	}
-	// A hash takes all that is written.
+	// Write on a hash never returns an error.
 	_, _ = content.Write(c.Body)
 	copy(f[:callerBytes], caller.Sum(nil))
 	copy(f[callerBytes:], content.Sum(nil))
 	return f
 }
 
-// writeField writes a field with its length before it, so that no two lists of fields
-// are the same bytes.
+// writeField writes a length-prefixed field, so that different lists of fields never
+// produce the same bytes.
 func writeField(h hash.Hash, s string) {
 	var size [8]byte
 	binary.LittleEndian.PutUint64(size[:], uint64(len(s)))
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFingerprintNamesTheContent(t *testing.T) {
+func TestFingerprintIdentifiesContent(t *testing.T) {
 	h := NewHasher("")
 	base := Content{Caller: "blue", Method: "POST", Host: "h.example", URI: "/a/b?c=1", Body: []byte("body")}
 	assert.Equal(t, h.Fingerprint(base), h.Fingerprint(base))
@@ -28,7 +28,7 @@
 	}
 }
 
-func TestFingerprintNeedsTheKey(t *testing.T) {
+func TestFingerprintDependsOnKey(t *testing.T) {
 	c := Content{Caller: "blue", Body: []byte("body")}
 	assert.Assert(t, NewHasher("one").Fingerprint(c) != NewHasher("two").Fingerprint(c))
 	assert.Assert(t, NewHasher("one").Fingerprint(c) != NewHasher("").Fingerprint(c))
--- a/quarantine/proven.go
+++ b/quarantine/proven.go
@@ -2,26 +2,27 @@
 
 import "encoding/binary"
 
-// provenEach bounds how many contents that ended well are remembered, in two generations
-// of so many each: 150 KB in all. At 30 requests/s a content that comes each minute is
-// still known at its next turn.
-const provenEach = 2048
+// successesPerGeneration bounds how many successful contents are remembered in each of two
+// generations: 150 KB in all. At 30 requests/s a content that is sent once a minute is
+// still remembered at its next request.
+const successesPerGeneration = 2048
 
-// proven are contents that ended well lately at this entry, by a part of their
-// fingerprint: one that is taken for another wrongly needs more evidence, no less.
-type proven struct{ young, old map[uint64]struct{} }
+// successCache remembers the contents that succeeded recently at this entry, by part of
+// their fingerprint. A collision raises the evidence required against a content and never
+// lowers it.
+type successCache struct{ current, previous map[uint64]struct{} }
 
-func (p *proven) add(f Fingerprint) {
-	if p.young == nil || len(p.young) >= provenEach {
-		p.young, p.old = make(map[uint64]struct{}), p.young
+func (c *successCache) add(f Fingerprint) {
+	if c.current == nil || len(c.current) >= successesPerGeneration {
+		c.current, c.previous = make(map[uint64]struct{}), c.current
 	}
-	p.young[short(f)] = struct{}{}
+	c.current[shortHash(f)] = struct{}{}
 }
 
-func (p *proven) has(f Fingerprint) bool {
-	_, young := p.young[short(f)]
-	_, old := p.old[short(f)]
-	return young || old
+func (c *successCache) has(f Fingerprint) bool {
+	_, current := c.current[shortHash(f)]
+	_, previous := c.previous[shortHash(f)]
+	return current || previous
 }
 
-func short(f Fingerprint) uint64 { return binary.LittleEndian.Uint64(f[callerBytes:]) }
+func shortHash(f Fingerprint) uint64 { return binary.LittleEndian.Uint64(f[callerBytes:]) }
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -1,21 +1,23 @@
-// Package quarantine decides when a request is sent no more because targets end under
-// it, and what lets it go again. It is pure: it does no I/O, and clock readings are
-// arguments.
+// Package quarantine decides which requests are no longer sent because targets crash
+// while processing them, and when such a request is tried again. It performs no I/O, and
+// clock readings are passed as arguments.
 //
-// The load that it answers: a request whose content crashes each target that begins to
-// run it, and that comes again with the same content at any entry. Two targets an attempt
-// ended under one, 40 of 20 engines in 75 s, and a tenth to three fifths of the requests
-// beside it were refused meanwhile.
+// It protects the fleet against a request whose content crashes every target that starts
+// to process it, and that callers retry through any entry. Without quarantine, one such
+// request crashed two targets per attempt and caused 40 crashes among 20 engines in 75 s,
+// while 10 to 60 % of the concurrent requests were refused.
 //
-// What is known is evidence: a life of a target ended while a content was at work there.
-// All that was at work on it is suspected alike; what tells the cause from the bystanders:
+// The evidence is that an incarnation of a target ended while a content was in flight
+// there. All contents in flight on it are suspected equally. Three properties distinguish
+// the cause from the bystanders:
 //
-//   - It is there each time. A life is explained if another content that was at work on it
-//     has ended more targets; what remains unexplained counts.
-//   - It never ends well. A run that the target survives clears all that was before it, and
-//     a content that has ended well lately must end targets at provenThreshold moments.
-//   - Its targets end one by one. Where many others end in the same moment, a common cause
-//     is likelier, and the moment counts once.
+//   - It is in flight at every crash. A crash is explained if another content in flight on
+//     the same incarnation has crashed more targets; only unexplained crashes count.
+//   - It never succeeds. A run that the target survives clears all earlier crashes, and a
+//     content that succeeded recently must crash targets at recentSuccessThreshold
+//     separate moments.
+//   - Its targets crash one at a time. Where many other targets crash in the same moment,
+//     a common cause is likelier, and the crashes of that moment count once.
 package quarantine
 
 import "time"
@@ -25,49 +27,50 @@
 	// quarantined. Lower values quarantine requests that merely ran on a target when it
 	// crashed.
 	crashThreshold = 3
-	// ambiguousThreshold is enough also where another content was in flight at all the same
-	// crashes, so that the two cannot be told apart: one more send of each mostly tells.
+	// ambiguousThreshold applies where another content was in flight at all the same
+	// crashes, so that the two cannot be distinguished: one more send of each usually
+	// separates them.
 	ambiguousThreshold = 5
-	// provenThreshold is the number of successive moments with crashes after which a content
-	// is quarantined that succeeded lately. Such contents are in flight on several targets
-	// at a time, and lose all of them at once when a rack fails.
-	provenThreshold = 8
+	// recentSuccessThreshold is the number of successive moments with crashes after which
+	// a content that succeeded recently is quarantined. Such a content is in flight on
+	// several targets at a time, and all of them crash at once when a rack fails.
+	recentSuccessThreshold = 8
 	// correlationWindow groups crashes that likely share an external cause, such as the
 	// loss of a rack.
 	correlationWindow = 100 * time.Millisecond
 	// correlationFactor is how many times more other targets must crash in a window than
 	// targets with the content, for a common cause to be likelier.
 	correlationFactor = 2
-	// successInterval is the least time between two records of a content that succeeds.
+	// successInterval is the minimum time between two recorded successes of a content.
 	successInterval = time.Second
 )
 
-// A condemned content is tried again once, by one entry, when its last crash is
-// firstProbe ago; each further crash makes that probeFactor times longer: 30 s, 4 min,
-// 32 min, up to longestProbe. A wrong verdict so lasts half a minute, and a right one
-// costs one target in that time, three in an hour.
+// A quarantined content is sent once more, as a probe by one entry, initialProbeDelay after
+// its last crash. Each further crash multiplies the delay by probeBackoffFactor: 30 s,
+// 4 min, 32 min, up to maxProbeDelay. A wrong verdict thus lasts half a minute, and a
+// correct one costs one target in that time and three in an hour.
 const (
-	firstProbe   = 30 * time.Second
-	probeFactor  = 8
-	longestProbe = 4 * time.Hour
+	initialProbeDelay  = 30 * time.Second
+	probeBackoffFactor = 8
+	maxProbeDelay      = 4 * time.Hour
 )
 
-// suspectFor is how long evidence is kept that condemns nobody yet.
-const suspectFor = 10 * time.Minute
+// suspectRetention is how long evidence is kept on contents that are not quarantined.
+const suspectRetention = 10 * time.Minute
 
-// Finding is what is known of a content that is sent no more.
+// Finding describes why a content is quarantined and when it may be sent again.
 type Finding struct {
-	Crashes       int       // targets that ended under it
-	First, Last time.Time // when they did
-	Reporters        []string  // hosts of the entries that saw it, each once
-	ProbeAt     time.Time // when it may be tried again
+	Crashes     int       // attributed to the content
+	First, Last time.Time // times of the first and the last crash
+	Reporters   []string  // hosts of the entries that observed the crashes, without duplicates
+	ProbeAt     time.Time // earliest time of the next probe
 }
 
-// probeAfter is how long after its last crash a content is tried again.
-func probeAfter(lives int) time.Duration {
-	d := firstProbe
-	for ; lives > crashThreshold && d < longestProbe; lives-- {
-		d *= probeFactor
+// probeDelay returns the time from the last crash of a content to its next probe.
+func probeDelay(crashes int) time.Duration {
+	d := initialProbeDelay
+	for ; crashes > crashThreshold && d < maxProbeDelay; crashes-- {
+		d *= probeBackoffFactor
 	}
-	return min(d, longestProbe)
+	return min(d, maxProbeDelay)
 }
--- a/quarantine/storm_test.go
+++ b/quarantine/storm_test.go
@@ -8,53 +8,54 @@
 	"gotest.tools/v3/assert"
 )
 
-// Shape of the storms that TestStorms plays: a fleet of targets in which requests run 10
-// to 900 ms, sent twice an attempt at the most by callers that come back once.
+// Parameters of the simulated crash storms: a fleet of targets on which requests run for 10
+// to 900 ms, with at most two sends per attempt and two retries by the caller.
 const (
-	stormTargets = 20
-	stormSeeds   = 60
-	stormFor     = 12 * time.Second
-	stormStep    = 5 * time.Millisecond
-	stormBack    = 2 * time.Second // until a target that ended serves again
-	newsTakes    = 20 * time.Millisecond
-	attemptSends = 2
-	callerTries  = 2
-	// sendsAllowed is how often the users let it be sent once three targets have ended.
-	sendsAllowed = 3
-	// contact is how long after the third end that is counted.
-	contact = 3 * time.Second
+	stormTargets     = 20
+	stormSeeds       = 60
+	stormDuration    = 12 * time.Second
+	stormStep        = 5 * time.Millisecond
+	stormRestart     = 2 * time.Second // until a crashed target serves again
+	updateDelay      = 20 * time.Millisecond
+	sendsPerAttempt  = 2
+	retriesPerCaller = 2
+	// maxSendsAfterThreshold is how often the cause may still be sent once three targets
+	// have crashed.
+	maxSendsAfterThreshold = 3
+	// settleTime is how long after the third crash sends are not counted as late.
+	settleTime = 3 * time.Second
 )
 
-// running is a request at a target.
+// running is a request in progress on a target.
 type running struct {
-	content Fingerprint
-	since   time.Duration
-	ends    time.Duration
-	sends   int // left for the attempt
-	tries   int // left for the caller
+	content   Fingerprint
+	startedAt time.Duration
+	endsAt    time.Duration
+	sends     int // remaining in the attempt
+	retries   int // remaining for the caller
 }
 
-// cause is a request that ends the targets that run it.
+// cause is a request that crashes the targets that run it.
 type cause struct {
-	content Fingerprint
-	ended   int           // targets, under it
-	knownAt time.Duration // when the news of the third end is everywhere; 0 before it
-	after   int           // sends of it after that
-	late    int           // sends of it later than contact after that
+	content    Fingerprint
+	crashes    int           // targets that crashed with it in flight
+	knownAt    time.Duration // when the third crash is known everywhere; 0 before that
+	sendsAfter int           // sends after knownAt
+	lateSends  int           // sends more than settleTime after knownAt
 }
 
-// storm is one play. It has one table, whose news come late.
+// storm is one simulation. It has a single table, which receives updates with a delay.
 type storm struct {
-	rng     *rand.Rand
-	table   *Table
-	late    []Update
-	lateAt  []time.Duration
-	targets [stormTargets][]running
-	downTo  [stormTargets]time.Duration
-	lives   int
-	life    [stormTargets]Incarnation
-	causes  map[Fingerprint]*cause
-	refused map[Fingerprint]int
+	rng          *rand.Rand
+	table        *Table
+	pending      []Update
+	pendingAt    []time.Duration
+	targets      [stormTargets][]running
+	downUntil    [stormTargets]time.Duration
+	started      int
+	incarnations [stormTargets]Incarnation
+	causes       map[Fingerprint]*cause
+	refused      map[Fingerprint]int
 }
 
 func newStorm(seed uint64, causes ...Fingerprint) *storm {
@@ -62,15 +63,15 @@
 	for _, c := range causes {
 		s.causes[c] = &cause{content: c}
 	}
-	for i := range s.life {
-		s.newLife(i)
+	for i := range s.incarnations {
+		s.newIncarnation(i)
 	}
 	return s
 }
 
-func (s *storm) newLife(i int) {
-	s.lives++
-	s.life[i] = life(s.lives)
+func (s *storm) newIncarnation(i int) {
+	s.started++
+	s.incarnations[i] = incarnation(s.started)
 }
 
 func (s *storm) arrive(now time.Duration, r running) {
@@ -79,87 +80,88 @@
 		return
 	}
 	i := s.rng.IntN(stormTargets)
-	if now < s.downTo[i] {
-		return // refused for want of a target
+	if now < s.downUntil[i] {
+		return // refused: the target is down
 	}
 	if c := s.causes[r.content]; c != nil && c.knownAt > 0 && now > c.knownAt {
-		c.after++
-		if now > c.knownAt+contact {
-			c.late++
+		c.sendsAfter++
+		if now > c.knownAt+settleTime {
+			c.lateSends++
 		}
 	}
 	r.sends--
-	r.since, r.ends = now, now+time.Duration(10+s.rng.IntN(890))*time.Millisecond
+	r.startedAt, r.endsAt = now, now+time.Duration(10+s.rng.IntN(890))*time.Millisecond
 	s.targets[i] = append(s.targets[i], r)
 }
 
-// step lets runs end, and targets under them.
+// step completes requests that have finished, and crashes targets that run a cause.
 func (s *storm) step(now time.Duration) {
-	for len(s.lateAt) > 0 && s.lateAt[0] <= now {
-		s.table.Merge(at(now), s.late[0])
-		s.late, s.lateAt = s.late[1:], s.lateAt[1:]
+	for len(s.pendingAt) > 0 && s.pendingAt[0] <= now {
+		s.table.Merge(at(now), s.pending[0])
+		s.pending, s.pendingAt = s.pending[1:], s.pendingAt[1:]
 	}
 	for i := range s.targets {
 		crashed := false
-		var left []running
+		var remaining []running
 		for _, r := range s.targets[i] {
 			switch {
 			case s.causes[r.content] != nil:
-				crashed = crashed || now-r.since >= 40*time.Millisecond
-				left = append(left, r)
-			case r.ends > now:
-				left = append(left, r)
+				crashed = crashed || now-r.startedAt >= 40*time.Millisecond
+				remaining = append(remaining, r)
+			case r.endsAt > now:
+				remaining = append(remaining, r)
 			default:
 				s.table.RecordSuccess(at(now), r.content)
 			}
 		}
-		s.targets[i] = left
+		s.targets[i] = remaining
 		if crashed {
 			s.crash(now, i)
 		}
 	}
 }
 
-// crash ends a target; what was at work there goes on elsewhere, or comes again.
+// crash ends a target; the requests in flight there are sent to another target or retried
+// by their callers.
 func (s *storm) crash(now time.Duration, i int) {
-	var n Update
+	var u Update
 	lost := s.targets[i]
 	s.targets[i] = nil
-	under := map[*cause]bool{}
+	crashedBy := map[*cause]bool{}
 	for _, r := range lost {
-		n.Crashes = append(n.Crashes, Crash{Content: r.content, Incarnation: s.life[i], At: at(now), Reporter: "e"})
+		u.Crashes = append(u.Crashes, Crash{Content: r.content, Incarnation: s.incarnations[i], At: at(now), Reporter: "e"})
 		if c := s.causes[r.content]; c != nil {
-			under[c] = true
+			crashedBy[c] = true
 		}
 	}
-	s.late, s.lateAt = append(s.late, n), append(s.lateAt, now+newsTakes)
-	for c := range under {
-		c.ended++
-		if c.ended == crashThreshold {
-			c.knownAt = now + newsTakes
+	s.pending, s.pendingAt = append(s.pending, u), append(s.pendingAt, now+updateDelay)
+	for c := range crashedBy {
+		c.crashes++
+		if c.crashes == crashThreshold {
+			c.knownAt = now + updateDelay
 		}
 	}
-	s.newLife(i)
-	s.downTo[i] = now + stormBack
+	s.newIncarnation(i)
+	s.downUntil[i] = now + stormRestart
 	for _, r := range lost {
 		switch {
 		case r.sends > 0:
 			s.arrive(now, r)
-		case r.tries > 0:
-			s.arrive(now, running{content: r.content, sends: attemptSends, tries: r.tries - 1})
+		case r.retries > 0:
+			s.arrive(now, running{content: r.content, sends: sendsPerAttempt, retries: r.retries - 1})
 		}
 	}
 }
 
-// play lets each cause come ten times a second in the mean, among 60 requests a second of
-// others; those have contents of their own, or are one of four polls.
-func (s *storm) play(causes []Fingerprint) {
+// run sends each cause ten times a second on average, among 60 other requests a second;
+// these have unique contents or are one of four polls.
+func (s *storm) run(causes []Fingerprint) {
 	unique := 0
-	for now := time.Duration(0); now < stormFor; now += stormStep {
+	for now := time.Duration(0); now < stormDuration; now += stormStep {
 		s.step(now)
 		for _, c := range causes {
 			if s.rng.IntN(20) == 0 {
-				s.arrive(now, running{content: c, sends: attemptSends, tries: 1})
+				s.arrive(now, running{content: c, sends: sendsPerAttempt, retries: 1})
 			}
 		}
 		if s.rng.IntN(10) < 3 {
@@ -168,47 +170,47 @@
 			if s.rng.IntN(4) == 0 {
 				c = content(9, s.rng.IntN(4))
 			}
-			s.arrive(now, running{content: c, sends: attemptSends, tries: callerTries})
+			s.arrive(now, running{content: c, sends: sendsPerAttempt, retries: retriesPerCaller})
 		}
 	}
 }
 
-// One request ends its targets. Few end, and nobody else is shut out, also not those who
-// were at three targets as they ended.
-func TestStorms(t *testing.T) {
+// One request crashes its targets. Few targets crash, and no other content is quarantined,
+// not even one that was in flight at three crashes.
+func TestCrashStorm(t *testing.T) {
 	most, sum := 0, 0
 	bad := content(1, 1)
 	for seed := range uint64(stormSeeds) {
 		s := newStorm(seed, bad)
-		s.play([]Fingerprint{bad})
+		s.run([]Fingerprint{bad})
 		for c := range s.refused {
 			assert.Equal(t, c, bad, "seed %d: a bystander was shut out", seed)
 		}
 		x := s.causes[bad]
 		assert.Assert(t, s.refused[bad] > 60, "seed %d: %d", seed, s.refused[bad])
-		assert.Assert(t, x.after <= sendsAllowed, "seed %d: sent %d times more", seed, x.after)
-		most, sum = max(most, x.ended), sum+x.ended
+		assert.Assert(t, x.sendsAfter <= maxSendsAfterThreshold, "seed %d: sent %d times more", seed, x.sendsAfter)
+		most, sum = max(most, x.crashes), sum+x.crashes
 	}
 	t.Logf("targets ended: %.1f in the mean, %d at the most", float64(sum)/stormSeeds, most)
 	assert.Assert(t, most <= stormTargets/2, "%d ended in one storm", most)
 }
 
-// Three requests of different callers end their targets at the same time: each is found,
-// and those that ran beside several of them are not put in their place.
-func TestStormsOfThree(t *testing.T) {
+// Three requests of different callers crash targets at the same time: each of them is
+// quarantined, and contents that ran beside several of them are not.
+func TestCrashStormWithThreeCauses(t *testing.T) {
 	causes := []Fingerprint{content(1, 1), content(7, 2), content(8, 3)}
 	most, sum, late := 0, 0, 0
 	for seed := range uint64(stormSeeds) {
 		s := newStorm(seed, causes...)
-		s.play(causes)
+		s.run(causes)
 		for c, n := range s.refused {
 			assert.Check(t, s.causes[c] != nil, "seed %d: a bystander was shut out %d times", seed, n)
 		}
 		for _, x := range s.causes {
 			assert.Check(t, s.refused[x.content] > 0, "seed %d", seed)
-			assert.Check(t, x.late <= sendsAllowed, "seed %d: sent %d times more", seed, x.late)
-			late = max(late, x.late)
-			most, sum = max(most, x.ended), sum+x.ended
+			assert.Check(t, x.lateSends <= maxSendsAfterThreshold, "seed %d: sent %d times more", seed, x.lateSends)
+			late = max(late, x.lateSends)
+			most, sum = max(most, x.crashes), sum+x.crashes
 		}
 	}
 	t.Logf("targets ended under each: %.1f in the mean, %d at the most; sent late %d times at the most", float64(sum)/float64(len(causes)*stormSeeds), most, late)
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -9,80 +9,82 @@
 	"time"
 )
 
-// Bounds of a table, for callers whose every request is another one that crashes: about
-// 250 B a content and 125 B a crash. The contents of the caller that has most of them go
-// first, so that nobody's flood drives out what is known of others.
+// Limits of a table, for callers that send many different contents that crash targets:
+// about 250 B per content and 125 B per crash. The contents of the caller with the most
+// records are evicted first, so that one caller's flood does not evict the evidence on
+// others.
 const (
-	maxContents = 512
-	maxCrashes  = 2 * provenThreshold // kept for each content, the newest
-	// pruneEvery is the least time between two searches for what is old.
-	pruneEvery = time.Second
-	// spare is how many contents are given up at once, so that the search for them is
-	// seldom: it takes 10 ms of the processor.
-	spare = 32
-	// suspectFirst is how old the last crash of a content is that is given up before
-	// those that are shut out: the next one follows sooner if it comes again at once.
-	suspectFirst = 2 * time.Second
+	maxContents          = 512
+	maxCrashesPerContent = 2 * recentSuccessThreshold // the newest are kept
+	// pruneInterval is the minimum time between two searches for expired records.
+	pruneInterval = time.Second
+	// evictionBatch is how many contents are evicted at once, because the search for them
+	// takes 10 ms of CPU time.
+	evictionBatch = 32
+	// idleSuspectAge is the age of its last crash from which a suspect is evicted before
+	// quarantined contents. A content that is retried immediately crashes the next target
+	// sooner than that.
+	idleSuspectAge = 2 * time.Second
 )
 
-// Incarnation names one life of a target.
+// Incarnation identifies one process start of a target.
 type Incarnation struct {
-	Target string // its ID
-	StartMs   int64  // Unix milliseconds; 0 if not known
+	Target  string // its ID
+	StartMs int64  // Unix milliseconds; 0 if unknown
 }
 
-// Crash says that a life of a target ended while a content was at work there.
+// Crash records that an incarnation of a target ended while a content was in flight there.
 type Crash struct {
-	Content Fingerprint
-	Incarnation    Incarnation
-	At      time.Time // when the entry that saw it lost the connection
-	Reporter    string    // host of that entry
-	// Retracted is true if the target was heard after all: it had not ended.
+	Content     Fingerprint
+	Incarnation Incarnation
+	At          time.Time // when the reporting entry lost the connection
+	Reporter    string    // host of the reporting entry
+	// Retracted is true if the incarnation was reached again later: it had not ended.
 	Retracted bool
 }
 
-// Survival says that a target has survived a run of a content that had been suspected.
+// Survival records that a target completed a request with a suspected content.
 type Survival struct {
 	Content Fingerprint
 	At      time.Time
 }
 
-// Update is what one process tells another.
+// Update is the evidence that one process sends to another.
 type Update struct {
 	Crashes   []Crash
 	Survivals []Survival
 }
 
-// Empty reports whether there is nothing to tell.
-func (n Update) Empty() bool { return len(n.Crashes)+len(n.Survivals) == 0 }
+// Empty reports whether the update contains no evidence.
+func (u Update) Empty() bool { return len(u.Crashes)+len(u.Survivals) == 0 }
 
-// record is what is known of one content.
+// record holds the evidence on one content.
 type record struct {
-	crashes  []noted[Crash] // by time
-	survived noted[time.Time]
-	probed   time.Time // when it was last let go as a probe by this process
+	crashes     []versioned[Crash] // by time
+	lastSuccess versioned[time.Time]
+	lastProbe   time.Time // when this process last allowed it as a probe
 }
 
-// noted is something with its place in the order in which this process learned it.
-type noted[T any] struct {
-	is  T
-	seq uint64
-	own bool // this process saw it itself
+// versioned is a value with the sequence number under which this process recorded it.
+type versioned[T any] struct {
+	value T
+	seq   uint64
+	local bool // observed by this process itself
 }
 
 // Table holds the evidence. Its methods may be called concurrently.
 type Table struct {
-	mu       sync.Mutex
-	records  map[Fingerprint]*record
-	proven   proven
-	seq      uint64
-	changed  chan struct{}
-	pruned   time.Time
-	digest   uint64 // as it was at digestAt, for it is asked for by each other entry
-	digestAt uint64
-	findings map[Fingerprint]Finding
-	stale    bool      // the findings must be worked out again
-	judgedAt time.Time // when they were
+	mu          sync.Mutex
+	records     map[Fingerprint]*record
+	successes   successCache
+	seq         uint64
+	changed     chan struct{}
+	lastPrune   time.Time
+	digest      uint64 // cached for sequence number digestAt, because every other entry requests it
+	digestAt    uint64
+	findings    map[Fingerprint]Finding
+	stale       bool      // the findings must be recomputed
+	evaluatedAt time.Time // when they were last computed
 }
 
 // NewTable returns an empty table.
@@ -90,56 +92,58 @@
 	return &Table{records: map[Fingerprint]*record{}, changed: make(chan struct{})}
 }
 
-// RecordCrashes takes crashes that this process has seen.
+// RecordCrashes adds crashes that this process has observed. It reports whether any of
+// them was new.
 func (t *Table) RecordCrashes(now time.Time, crashes ...Crash) bool {
 	return t.add(now, Update{Crashes: crashes}, true)
 }
 
-// Merge takes what another process tells. It reports whether any of it is news.
-func (t *Table) Merge(now time.Time, n Update) bool { return t.add(now, n, false) }
+// Merge adds the evidence of another process. It reports whether any of it was new.
+func (t *Table) Merge(now time.Time, u Update) bool { return t.add(now, u, false) }
 
-func (t *Table) add(now time.Time, n Update, own bool) bool {
+func (t *Table) add(now time.Time, u Update, local bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	before := t.seq
-	for _, c := range n.Crashes {
-		t.addCrash(now, c, own)
+	for _, c := range u.Crashes {
+		t.addCrash(now, c, local)
 	}
-	for _, s := range n.Survivals {
+	for _, s := range u.Survivals {
 		if r := t.records[s.Content]; r != nil {
-			t.survived(r, s.At, own)
+			t.updateSuccess(r, s.At, local)
 		}
 	}
 	if t.seq == before {
 		return false
 	}
-	t.bound(now)
+	t.evict(now)
 	t.signal()
 	return true
 }
 
-// RecordSuccess notes that a target has survived a run of a content, at this entry.
+// RecordSuccess records that a target completed a request with this content that this
+// process had sent.
 func (t *Table) RecordSuccess(now time.Time, f Fingerprint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.proven.add(f)
+	t.successes.add(f)
 	r := t.records[f]
-	if r == nil || len(r.open()) == 0 && now.Sub(r.survived.is) < successInterval {
+	if r == nil || len(r.activeCrashes()) == 0 && now.Sub(r.lastSuccess.value) < successInterval {
 		return
 	}
-	t.survived(r, now, true)
+	t.updateSuccess(r, now, true)
 	t.signal()
 }
 
-// RetractCrash notes that a life which had seemed to end was heard again.
-func (t *Table) RetractCrash(life Incarnation) {
+// RetractCrash records that an incarnation reported as crashed was reached again.
+func (t *Table) RetractCrash(inc Incarnation) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	found := false
 	for _, r := range t.records {
 		for i := range r.crashes {
-			if c := &r.crashes[i]; c.is.Incarnation == life && !c.is.Retracted {
-				c.is.Retracted, c.seq, c.own, found = true, t.next(), true, true
+			if c := &r.crashes[i]; c.value.Incarnation == inc && !c.value.Retracted {
+				c.value.Retracted, c.seq, c.local, found = true, t.nextSeq(), true, true
 			}
 		}
 	}
@@ -148,107 +152,108 @@
 	}
 }
 
-func (t *Table) next() uint64 {
+func (t *Table) nextSeq() uint64 {
 	t.seq++
 	return t.seq
 }
 
-// signal wakes those that wait for news; the lock is held.
+// signal wakes the receivers of Changed. The caller must hold the lock.
 func (t *Table) signal() {
 	t.stale = true
 	close(t.changed)
 	t.changed = make(chan struct{})
 }
 
-// addCrash adds a crash, or what is new of one that is known.
-func (t *Table) addCrash(now time.Time, c Crash, own bool) {
-	if now.Sub(c.At) >= longestProbe {
+// addCrash adds a crash, or updates one that is already recorded.
+func (t *Table) addCrash(now time.Time, c Crash, local bool) {
+	if now.Sub(c.At) >= maxProbeDelay {
 		return
 	}
 	r := t.records[c.Content]
 	if r == nil {
 		r = &record{}
 		t.records[c.Content] = r
-		if t.proven.has(c.Content) {
-			// When is not known, and does not matter: it was before the crash.
-			r.survived = noted[time.Time]{c.At.Add(-1), t.next(), true}
+		if t.successes.has(c.Content) {
+			// The exact time is unknown and irrelevant: it only has to precede the crash.
+			r.lastSuccess = versioned[time.Time]{c.At.Add(-1), t.nextSeq(), true}
 		}
 	}
 	for i := range r.crashes {
-		if old := &r.crashes[i]; old.is.Incarnation == c.Incarnation {
-			if c.Retracted && !old.is.Retracted {
-				old.is.Retracted, old.seq, old.own = true, t.next(), own
+		if old := &r.crashes[i]; old.value.Incarnation == c.Incarnation {
+			if c.Retracted && !old.value.Retracted {
+				old.value.Retracted, old.seq, old.local = true, t.nextSeq(), local
 			}
 			return
 		}
 	}
-	r.crashes = append(r.crashes, noted[Crash]{c, t.next(), own})
-	slices.SortFunc(r.crashes, func(a, b noted[Crash]) int {
-		return cmp.Or(a.is.At.Compare(b.is.At), cmp.Compare(a.is.Incarnation.Target, b.is.Incarnation.Target))
+	r.crashes = append(r.crashes, versioned[Crash]{c, t.nextSeq(), local})
+	slices.SortFunc(r.crashes, func(a, b versioned[Crash]) int {
+		return cmp.Or(a.value.At.Compare(b.value.At), cmp.Compare(a.value.Incarnation.Target, b.value.Incarnation.Target))
 	})
-	r.crashes = r.crashes[max(len(r.crashes)-maxCrashes, 0):]
+	r.crashes = r.crashes[max(len(r.crashes)-maxCrashesPerContent, 0):]
 }
 
-func (t *Table) survived(r *record, at time.Time, own bool) {
-	if at.After(r.survived.is) {
-		r.survived = noted[time.Time]{at, t.next(), own}
+func (t *Table) updateSuccess(r *record, at time.Time, local bool) {
+	if at.After(r.lastSuccess.value) {
+		r.lastSuccess = versioned[time.Time]{at, t.nextSeq(), local}
 	}
 }
 
-// open returns the crashes that count: since the content last ended well, at targets that
-// have not been heard since.
-func (r *record) open() []Crash {
+// activeCrashes returns the crashes that count as evidence: those after the content's last
+// success that have not been retracted.
+func (r *record) activeCrashes() []Crash {
 	var out []Crash
 	for _, c := range r.crashes {
-		if !c.is.Retracted && c.is.At.After(r.survived.is) {
-			out = append(out, c.is)
+		if !c.value.Retracted && c.value.At.After(r.lastSuccess.value) {
+			out = append(out, c.value)
 		}
 	}
 	return out
 }
 
-func (r *record) newest() time.Time {
+func (r *record) lastCrash() time.Time {
 	if len(r.crashes) == 0 {
 		return time.Time{}
 	}
-	return r.crashes[len(r.crashes)-1].is.At
+	return r.crashes[len(r.crashes)-1].value.At
 }
 
-// bound drops what is old, and the least of the callers with most contents while there
-// are too many.
-func (t *Table) bound(now time.Time) {
-	if now.Sub(t.pruned) >= pruneEvery {
-		t.pruned = now
+// evict deletes expired records and, if the table is full, a batch of records in the order
+// of evictionOrder.
+func (t *Table) evict(now time.Time) {
+	if now.Sub(t.lastPrune) >= pruneInterval {
+		t.lastPrune = now
 		for f, r := range t.records {
-			if now.Sub(r.newest()) >= r.keptFor() {
+			if now.Sub(r.lastCrash()) >= r.retention() {
 				delete(t.records, f)
 			}
 		}
 	}
 	if len(t.records) > maxContents {
-		for _, f := range t.least(now)[:spare] {
+		for _, f := range t.evictionOrder(now)[:evictionBatch] {
 			delete(t.records, f)
 		}
 	}
 }
 
-func (r *record) keptFor() time.Duration {
-	if len(r.open()) >= crashThreshold {
-		return longestProbe
+func (r *record) retention() time.Duration {
+	if len(r.activeCrashes()) >= crashThreshold {
+		return maxProbeDelay
 	}
-	return suspectFor
+	return suspectRetention
 }
 
-// least returns the contents of the caller that has most, those that are given up first
-// before others.
-func (t *Table) least(now time.Time) []Fingerprint {
+// evictionOrder returns all contents in the order in which they are evicted: those of the
+// caller with the most records first, idle suspects before the rest, then by the time of
+// the last crash.
+func (t *Table) evictionOrder(now time.Time) []Fingerprint {
 	count := map[Caller]int{}
-	var most Caller
+	var largest Caller
 	for f := range t.records {
 		c := f.Caller()
 		count[c]++
-		if count[c] > count[most] || count[c] == count[most] && bytes.Compare(c[:], most[:]) < 0 {
-			most = c
+		if count[c] > count[largest] || count[c] == count[largest] && bytes.Compare(c[:], largest[:]) < 0 {
+			largest = c
 		}
 	}
 	var out []Fingerprint
@@ -257,18 +262,19 @@
 	}
 	slices.SortFunc(out, func(f, g Fingerprint) int {
 		return cmp.Or(
-			-compareBool(f.Caller() == most, g.Caller() == most),
+			-compareBool(f.Caller() == largest, g.Caller() == largest),
 			-compareBool(t.idleSuspect(f, now), t.idleSuspect(g, now)),
-			t.records[f].newest().Compare(t.records[g].newest()),
+			t.records[f].lastCrash().Compare(t.records[g].lastCrash()),
 			bytes.Compare(f[:], g[:]))
 	})
 	return out
 }
 
-// idleSuspect reports whether a content is not shut out and has not ended a target lately.
+// idleSuspect reports whether a content is not quarantined and has not crashed a target
+// recently.
 func (t *Table) idleSuspect(f Fingerprint, now time.Time) bool {
 	r := t.records[f]
-	return len(r.open()) < crashThreshold && now.Sub(r.newest()) >= suspectFirst
+	return len(r.activeCrashes()) < crashThreshold && now.Sub(r.lastCrash()) >= idleSuspectAge
 }
 
 func compareBool(a, b bool) int {
@@ -281,80 +287,82 @@
 	return -1
 }
 
-// Changed returns a channel that is closed at the next news.
+// Changed returns a channel that is closed at the next change of the evidence.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.changed
 }
 
-// LocalChanges returns what this process itself has seen after a place in the order, and the
-// place reached. It is what entries tell each other at once.
-func (t *Table) LocalChanges(place uint64) (Update, uint64) {
+// LocalChanges returns the evidence that this process itself recorded after the given
+// sequence number, and the current sequence number. Entries send it to each other
+// immediately.
+func (t *Table) LocalChanges(since uint64) (Update, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var n Update
-	if t.seq == place {
-		return n, place
+	var u Update
+	if t.seq == since {
+		return u, since
 	}
 	for f, r := range t.records {
 		for _, c := range r.crashes {
-			if c.own && c.seq > place {
-				n.Crashes = append(n.Crashes, c.is)
+			if c.local && c.seq > since {
+				u.Crashes = append(u.Crashes, c.value)
 			}
 		}
-		if r.survived.own && r.survived.seq > place {
-			n.Survivals = append(n.Survivals, Survival{f, r.survived.is})
+		if r.lastSuccess.local && r.lastSuccess.seq > since {
+			u.Survivals = append(u.Survivals, Survival{f, r.lastSuccess.value})
 		}
 	}
-	return n, t.seq
+	return u, t.seq
 }
 
-// Changes returns all that is known of the contents with so many crashes at the least of
-// which something was learned after a place in the order, and the place reached.
-func (t *Table) Changes(place uint64, crashes int) (Update, uint64) {
+// Changes returns all evidence on the contents with at least minCrashes crashes whose
+// records changed after the given sequence number, and the current sequence number.
+func (t *Table) Changes(since uint64, minCrashes int) (Update, uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var n Update
-	if t.seq == place {
-		return n, place
+	var u Update
+	if t.seq == since {
+		return u, since
 	}
 	for f, r := range t.records {
-		if len(r.crashes) < crashes || r.seq() <= place {
+		if len(r.crashes) < minCrashes || r.lastSeq() <= since {
 			continue
 		}
 		for _, c := range r.crashes {
-			n.Crashes = append(n.Crashes, c.is)
+			u.Crashes = append(u.Crashes, c.value)
 		}
-		if r.survived.seq > 0 {
-			n.Survivals = append(n.Survivals, Survival{f, r.survived.is})
+		if r.lastSuccess.seq > 0 {
+			u.Survivals = append(u.Survivals, Survival{f, r.lastSuccess.value})
 		}
 	}
-	return n, t.seq
+	return u, t.seq
 }
 
-// seq returns the place at which something was last learned of the content.
-func (r *record) seq() uint64 {
-	newest := r.survived.seq
+// lastSeq returns the sequence number of the last change to the record.
+func (r *record) lastSeq() uint64 {
+	newest := r.lastSuccess.seq
 	for _, c := range r.crashes {
 		newest = max(newest, c.seq)
 	}
 	return newest
 }
 
-// Digest tells whether two tables hold the same crashes; 0 if there are none, or about
-// as many contents as there may be, so that what two tables gave up does not count as a difference.
+// Digest returns a hash by which two tables are compared for holding the same crashes. It
+// is 0 for an empty table and for one that is nearly full, because two full tables may have
+// evicted different contents.
 func (t *Table) Digest() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.records) >= maxContents-spare {
+	if len(t.records) >= maxContents-evictionBatch {
 		return 0
 	}
 	if t.digestAt != t.seq {
 		t.digest, t.digestAt = 0, t.seq
 		for _, r := range t.records {
 			for _, c := range r.crashes {
-				t.digest ^= c.is.digest()
+				t.digest ^= c.value.digest()
 			}
 		}
 	}
@@ -363,13 +371,13 @@
 
 func (c Crash) digest() uint64 {
 	h := fnv.New64a()
-	void := byte(0)
+	retracted := byte(0)
 	if c.Retracted {
-		void = 1
+		retracted = 1
 	}
-	// A hash takes all that is written.
+	// Write on a hash never returns an error.
 	_, _ = h.Write(c.Content[:])
 	_, _ = h.Write([]byte(c.Incarnation.Target))
-	_, _ = h.Write([]byte{void})
+	_, _ = h.Write([]byte{retracted})
 	return h.Sum64()
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -13,25 +13,25 @@
 
 func at(d time.Duration) time.Time { return epoch.Add(d) }
 
-// content names a content of a caller.
+// content returns the fingerprint of content n of a caller.
 func content(caller, n int) (f Fingerprint) {
 	f[0], f[1] = byte(caller), byte(caller>>8)
 	f[callerBytes], f[callerBytes+1], f[callerBytes+2] = byte(n), byte(n>>8), byte(caller)
 	return f
 }
 
-func life(n int) Incarnation { return Incarnation{fmt.Sprintf("i-%d", n), int64(n)} }
+func incarnation(n int) Incarnation { return Incarnation{fmt.Sprintf("i-%d", n), int64(n)} }
 
 func crash(f Fingerprint, l int, when time.Duration) Crash {
-	return Crash{Content: f, Incarnation: life(l), At: at(when), Reporter: "entry-0"}
+	return Crash{Content: f, Incarnation: incarnation(l), At: at(when), Reporter: "entry-0"}
 }
 
-// elsewhere is home of no content.
-func elsewhere() bool { return false }
+// notHome is the home function of an entry that probes no content.
+func notHome() bool { return false }
 
-// refused asks at an entry that does not probe.
+// refused reports whether an entry that does not probe refuses the content.
 func refused(t *Table, now time.Duration, f Fingerprint) bool {
-	v, _ := t.Judge(at(now), f, elsewhere)
+	v, _ := t.Judge(at(now), f, notHome)
 	return v == Refuse
 }
 
@@ -40,26 +40,27 @@
 	poll = content(2, 1)
 )
 
-func TestThirdEndShutsOut(t *testing.T) {
+func TestThirdCrashQuarantines(t *testing.T) {
 	x := NewTable()
 	x.RecordCrashes(at(0), crash(bad, 1, 0), crash(bad, 2, 100*time.Millisecond))
-	x.RecordCrashes(at(0), crash(bad, 2, 200*time.Millisecond)) // the same life
+	x.RecordCrashes(at(0), crash(bad, 2, 200*time.Millisecond)) // the same incarnation
 	assert.Assert(t, !refused(x, time.Second, bad))
 	x.RecordCrashes(at(0), crash(bad, 3, 300*time.Millisecond))
-	v, f := x.Judge(at(time.Second), bad, elsewhere)
+	v, f := x.Judge(at(time.Second), bad, notHome)
 	assert.Equal(t, v, Refuse)
 	assert.DeepEqual(t, f, Finding{Crashes: 3, First: at(0), Last: at(300 * time.Millisecond), Reporters: []string{"entry-0"},
-		ProbeAt: at(300*time.Millisecond + firstProbe)})
+		ProbeAt: at(300*time.Millisecond + initialProbeDelay)})
 	assert.Assert(t, !refused(x, time.Second, poll))
 }
 
-// Requests that ran beside the cause, also each time, are not shut out.
+// Requests that ran beside the cause are not quarantined, not even one that did at every
+// crash.
 func TestBystanders(t *testing.T) {
 	x := NewTable()
 	beside := make([]Fingerprint, 4)
 	for i := range beside {
 		beside[i] = content(3, i)
-		for l := range i { // the last one was at all three
+		for l := range i { // the last one was in flight at all three
 			x.RecordCrashes(at(0), crash(beside[i], l, time.Duration(l)*time.Second))
 		}
 	}
@@ -76,9 +77,9 @@
 	}
 }
 
-// A poll that has not ended well yet was at work on five of the six targets that ended: all
-// of these are explained.
-func TestBystanderAtManyEnds(t *testing.T) {
+// A poll that has not succeeded yet was in flight on five of the six targets that crashed:
+// all of these crashes are explained by another content.
+func TestBystanderAtManyCrashes(t *testing.T) {
 	x := NewTable()
 	for l := range 6 {
 		when := time.Duration(l) * time.Second
@@ -91,7 +92,7 @@
 	assert.Assert(t, !refused(x, 7*time.Second, poll))
 }
 
-// Three causes are about at once, and a bystander was at an end of each.
+// Three causes are active at once, and a bystander was in flight at one crash of each.
 func TestBystanderOfSeveralCauses(t *testing.T) {
 	x := NewTable()
 	causes := []Fingerprint{content(1, 1), content(7, 2), content(8, 3)}
@@ -109,8 +110,8 @@
 	}
 }
 
-// One more life apart tells neither of two from the other.
-func TestEndsAlmostAlike(t *testing.T) {
+// Two contents that each have one crash without the other cannot be distinguished yet.
+func TestNearlyIdenticalCrashes(t *testing.T) {
 	x := NewTable()
 	other := content(3, 0)
 	x.RecordCrashes(at(0), crash(bad, 1, 0), crash(bad, 2, 0), crash(bad, 3, 0), crash(other, 1, 0), crash(other, 2, 0), crash(other, 4, 0))
@@ -121,8 +122,9 @@
 	assert.Assert(t, !refused(x, 2*time.Second, other))
 }
 
-// Two contents that always come together are both the cause after five ends.
-func TestPairIsShutOutInTheEnd(t *testing.T) {
+// Of two contents that are in flight at the same crashes, bad is quarantined after
+// ambiguousThreshold crashes.
+func TestAmbiguousPairIsQuarantined(t *testing.T) {
 	x := NewTable()
 	pair := content(3, 0)
 	for l := range ambiguousThreshold {
@@ -132,11 +134,11 @@
 	assert.Assert(t, refused(x, 9*time.Second, bad))
 }
 
-// A rack loses power: twelve targets end, and a poll was at work on four of them.
-func TestTargetsThatEndTogether(t *testing.T) {
-	for name, ended := range map[string]bool{"has ended well": true, "is new": false} {
+// A rack loses power: twelve targets end, and a poll was in flight on four of them.
+func TestCorrelatedCrashes(t *testing.T) {
+	for name, succeeded := range map[string]bool{"has ended well": true, "is new": false} {
 		x := NewTable()
-		if ended {
+		if succeeded {
 			x.RecordSuccess(at(-time.Minute), poll)
 		}
 		for l := range 12 {
@@ -149,9 +151,9 @@
 	}
 }
 
-// Targets end for other reasons all the time, and one run in four of a poll with them:
-// what ends well says something too, at whichever entry.
-func TestPollsAreNotShutOut(t *testing.T) {
+// Targets keep crashing for other reasons while a quarter of the runs of a poll are in
+// flight there. Its successes at another entry keep it from being quarantined.
+func TestPollsAreNotQuarantined(t *testing.T) {
 	for seed := range uint64(20) {
 		a, b := NewTable(), NewTable()
 		b.RecordSuccess(at(0), poll)
@@ -169,11 +171,11 @@
 	}
 }
 
-// What had ended well, and ends all targets since, is shut out too.
-func TestContentThatTurnsBad(t *testing.T) {
+// A content that succeeded at first and then crashes every target is quarantined too.
+func TestContentThatStartsToCrash(t *testing.T) {
 	x := NewTable()
 	x.RecordSuccess(at(0), bad)
-	for l := range provenThreshold {
+	for l := range recentSuccessThreshold {
 		assert.Assert(t, !refused(x, time.Minute, bad), "%d ends", l)
 		when := time.Duration(1+l) * 200 * time.Millisecond
 		x.RecordCrashes(at(when), crash(bad, l, when))
@@ -181,7 +183,7 @@
 	assert.Assert(t, refused(x, time.Minute, bad))
 }
 
-func TestWhatEndsWellIsCleared(t *testing.T) {
+func TestSuccessClearsEvidence(t *testing.T) {
 	x, y := NewTable(), NewTable()
 	for l := range 3 {
 		x.RecordCrashes(at(0), crash(bad, l, time.Duration(l)*time.Second))
@@ -189,30 +191,31 @@
 	exchange(x, y, at(3*time.Second))
 	assert.Assert(t, refused(y, 3*time.Second, bad))
 	x.RecordSuccess(at(4*time.Second), bad)
-	n, _ := x.LocalChanges(0)
-	y.Merge(at(4*time.Second), n)
+	u, _ := x.LocalChanges(0)
+	y.Merge(at(4*time.Second), u)
 	assert.Assert(t, !refused(x, 5*time.Second, bad) && !refused(y, 5*time.Second, bad))
-	y.Merge(at(5*time.Second), Update{Crashes: []Crash{crash(bad, 9, 3*time.Second)}}) // heard late
+	y.Merge(at(5*time.Second), Update{Crashes: []Crash{crash(bad, 9, 3*time.Second)}}) // received late
 	assert.Assert(t, !refused(y, 5*time.Second, bad))
 }
 
-// A target had not ended: its address was cut off, and then it answered again.
-func TestLifeThatIsHeardAgain(t *testing.T) {
+// A target had not crashed: it was unreachable for a while and then answered again.
+func TestRetractCrash(t *testing.T) {
 	x, y := NewTable(), NewTable()
 	for l := range 3 {
 		x.RecordCrashes(at(0), crash(bad, l, time.Duration(l)*time.Second))
 	}
 	exchange(x, y, at(3*time.Second))
-	x.RetractCrash(life(1))
+	x.RetractCrash(incarnation(1))
 	assert.Assert(t, !refused(x, 4*time.Second, bad))
 	assert.Assert(t, x.Digest() != y.Digest())
-	n, _ := x.LocalChanges(0)
-	y.Merge(at(4*time.Second), n)
+	u, _ := x.LocalChanges(0)
+	y.Merge(at(4*time.Second), u)
 	assert.Assert(t, !refused(y, 4*time.Second, bad))
 	assert.Equal(t, x.Digest(), y.Digest())
 }
 
-// One entry tries it again after half a minute, once, and then ever more seldom.
+// One entry probes a quarantined content once after half a minute, and then at growing
+// intervals.
 func TestProbe(t *testing.T) {
 	x := NewTable()
 	for l := range 3 {
@@ -222,18 +225,19 @@
 		v, _ := x.Judge(at(now), bad, func() bool { return home })
 		return v == Probe
 	}
-	assert.Assert(t, !probed(firstProbe-1, true))
-	assert.Assert(t, !probed(firstProbe, false))
-	assert.Assert(t, probed(firstProbe, true))
-	assert.Assert(t, !probed(firstProbe+time.Second, true), "its outcome is not known yet")
-	again := firstProbe + time.Second
+	assert.Assert(t, !probed(initialProbeDelay-1, true))
+	assert.Assert(t, !probed(initialProbeDelay, false))
+	assert.Assert(t, probed(initialProbeDelay, true))
+	assert.Assert(t, !probed(initialProbeDelay+time.Second, true), "its outcome is not known yet")
+	again := initialProbeDelay + time.Second
 	x.RecordCrashes(at(again), crash(bad, 3, again))
-	assert.Assert(t, !probed(again+firstProbe*probeFactor-1, true))
-	assert.Assert(t, probed(again+firstProbe*probeFactor, true))
-	assert.Equal(t, probeAfter(100), longestProbe)
+	assert.Assert(t, !probed(again+initialProbeDelay*probeBackoffFactor-1, true))
+	assert.Assert(t, probed(again+initialProbeDelay*probeBackoffFactor, true))
+	assert.Equal(t, probeDelay(100), maxProbeDelay)
 }
 
-// A thousand contents of one caller that all end targets leave the records of others.
+// A thousand contents of one caller that all crash targets do not evict the records of
+// other callers.
 func TestFloodOfOneCaller(t *testing.T) {
 	x := NewTable()
 	for l := range 3 {
@@ -247,39 +251,41 @@
 		}
 	}
 	assert.Assert(t, refused(x, now, bad))
-	n, _ := x.Changes(0, 1)
-	assert.Assert(t, len(n.Crashes) <= maxContents*3, "%d", len(n.Crashes))
+	u, _ := x.Changes(0, 1)
+	assert.Assert(t, len(u.Crashes) <= maxContents*3, "%d", len(u.Crashes))
 	assert.Equal(t, x.Digest(), uint64(0), "what two tables gave up is not compared")
 	assert.Assert(t, refused(x, now, content(9, 999)), "the newest of the flood")
 }
 
-// What is known of a suspect is forgotten in the end, and of a cause after hours.
-func TestEvidenceGrowsOld(t *testing.T) {
+// Evidence on a suspect expires after suspectRetention, and on a quarantined content after
+// maxProbeDelay.
+func TestEvidenceExpires(t *testing.T) {
 	x := NewTable()
 	x.RecordCrashes(at(0), crash(poll, 1, 0), crash(bad, 2, 0), crash(bad, 3, time.Second), crash(bad, 4, 2*time.Second))
-	x.RecordCrashes(at(suspectFor), crash(content(5, 5), 9, suspectFor))
-	assert.Assert(t, refused(x, suspectFor, bad))
-	n, _ := x.Changes(0, 1)
-	assert.Equal(t, len(n.Crashes), 4)
+	x.RecordCrashes(at(suspectRetention), crash(content(5, 5), 9, suspectRetention))
+	assert.Assert(t, refused(x, suspectRetention, bad))
+	u, _ := x.Changes(0, 1)
+	assert.Equal(t, len(u.Crashes), 4)
 	x.RecordCrashes(at(5*time.Hour), crash(content(5, 5), 10, 5*time.Hour))
 	assert.Assert(t, !refused(x, 5*time.Hour, bad))
-	x.RecordCrashes(at(5*time.Hour), crash(bad, 2, 0)) // told by one whose clock of ages lags
+	x.RecordCrashes(at(5*time.Hour), crash(bad, 2, 0)) // from a process that has not expired it yet
 	assert.Assert(t, !refused(x, 5*time.Hour, bad))
 }
 
-// Whatever the order and how often, tables that were told the same hold the same.
-func TestTablesAgree(t *testing.T) {
+// Tables that merged the same updates hold the same evidence, whatever the order and the
+// number of repetitions.
+func TestTablesConverge(t *testing.T) {
 	for seed := range uint64(30) {
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var all []Update
 		for i := range 30 {
 			when := time.Duration(i) * 300 * time.Millisecond
-			n := Update{Crashes: []Crash{crash(content(rng.IntN(2), rng.IntN(4)), rng.IntN(12), when)}}
-			n.Crashes[0].Retracted = rng.IntN(8) == 0
+			u := Update{Crashes: []Crash{crash(content(rng.IntN(2), rng.IntN(4)), rng.IntN(12), when)}}
+			u.Crashes[0].Retracted = rng.IntN(8) == 0
 			if rng.IntN(6) == 0 {
-				n = Update{Survivals: []Survival{{content(rng.IntN(2), rng.IntN(4)), at(when)}}}
+				u = Update{Survivals: []Survival{{content(rng.IntN(2), rng.IntN(4)), at(when)}}}
 			}
-			all = append(all, n)
+			all = append(all, u)
 		}
 		a, b := NewTable(), NewTable()
 		for _, i := range rng.Perm(len(all)) {
@@ -294,10 +300,10 @@
 	}
 }
 
-// exchange makes each of two tables tell the other all.
+// exchange merges all evidence of each of two tables into the other.
 func exchange(a, b *Table, now time.Time) {
-	n, _ := a.Changes(0, 1)
-	b.Merge(now, n)
-	n, _ = b.Changes(0, 1)
-	a.Merge(now, n)
+	u, _ := a.Changes(0, 1)
+	b.Merge(now, u)
+	u, _ = b.Changes(0, 1)
+	a.Merge(now, u)
 }
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -13,38 +13,39 @@
 // Verdicts.
 const (
 	Send   Verdict = iota
-	Probe          // it is sent no more, and may be sent this once to find out whether that still holds
-	Refuse         // it is sent no more
+	Probe          // quarantined, but may be sent once to find out whether it still crashes targets
+	Refuse         // quarantined
 )
 
-// Verdicts on more contents than fewContents are worked out anew each judgeEvery at the
-// most: a full table takes 6 ms of the processor.
+// Tables with more contents than smallTableSize are evaluated at most once per
+// evaluationInterval, because a full table takes 6 ms of CPU time.
 const (
-	fewContents = 128
-	judgeEvery  = 50 * time.Millisecond
+	smallTableSize     = 128
+	evaluationInterval = 50 * time.Millisecond
 )
 
-// Judge decides about a content that is about to be sent, and tells what is known of one
-// that is sent no more. home reports whether this is the one entry that probes; the answer
-// Probe is given once, until the outcome is known or the time for it has passed again.
+// Judge decides whether a content may be sent, and returns the finding on one that is
+// quarantined. home reports whether this entry is the one that probes the content. Probe is
+// returned once, until the outcome of the probe is known or the probe delay has passed
+// again.
 func (t *Table) Judge(now time.Time, f Fingerprint, home func() bool) (Verdict, Finding) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
-	if r == nil || len(r.crashes) < crashThreshold { // most are bystanders
+	if r == nil || len(r.crashes) < crashThreshold { // most suspects are bystanders
 		return Send, Finding{}
 	}
-	if t.stale && (len(t.records) <= fewContents || now.Sub(t.judgedAt) >= judgeEvery) {
-		t.findings, t.stale, t.judgedAt = condemn(t.records), false, now
+	if t.stale && (len(t.records) <= smallTableSize || now.Sub(t.evaluatedAt) >= evaluationInterval) {
+		t.findings, t.stale, t.evaluatedAt = evaluate(t.records), false, now
 	}
 	finding, found := t.findings[f]
 	if !found {
 		return Send, Finding{}
 	}
-	if probeAt := later(finding.ProbeAt, r.probed.Add(probeAfter(finding.Crashes))); now.Before(probeAt) || !home() {
+	if probeAt := later(finding.ProbeAt, r.lastProbe.Add(probeDelay(finding.Crashes))); now.Before(probeAt) || !home() {
 		return Refuse, finding
 	}
-	r.probed = now
+	r.lastProbe = now
 	return Probe, finding
 }
 
@@ -55,98 +56,101 @@
 	return a
 }
 
-// suspect is a content with the crashes that count.
+// suspect is a content with its active crashes.
 type suspect struct {
-	content Fingerprint
-	crashes []Crash // by time
-	proven  bool    // it has ended well
+	content   Fingerprint
+	crashes   []Crash // by time
+	succeeded bool    // at least once
 }
 
-// at reports whether the content was at work on a life as it ended.
-func (s *suspect) at(life Incarnation) bool {
-	return slices.ContainsFunc(s.crashes, func(c Crash) bool { return c.Incarnation == life })
+// inFlightAt reports whether the content was in flight when the incarnation ended.
+func (s *suspect) inFlightAt(inc Incarnation) bool {
+	return slices.ContainsFunc(s.crashes, func(c Crash) bool { return c.Incarnation == inc })
 }
 
-// inquest is all that is known, for one round of verdicts.
-type inquest struct {
-	suspects  []*suspect // those with most crashes first
-	at        map[Incarnation][]*suspect
-	ends      []Crash // one for each life, by time
+// evaluation is the state of one evaluation of all records.
+type evaluation struct {
+	suspects  []*suspect // by descending number of crashes
+	inFlight  map[Incarnation][]*suspect
+	crashes   []Crash // one per incarnation, by time
 	explained map[Incarnation]bool
 }
 
-// condemn returns the contents that are sent no more. Those with most crashes are looked
-// at first: what they explain does not count against others.
-func condemn(records map[Fingerprint]*record) map[Fingerprint]Finding {
-	q := newInquest(records)
+// evaluate returns the findings on the contents to quarantine. Contents with the most
+// crashes are examined first; the crashes that they explain do not count against others.
+func evaluate(records map[Fingerprint]*record) map[Fingerprint]Finding {
+	e := newEvaluation(records)
 	out := map[Fingerprint]Finding{}
-	for _, s := range q.suspects {
-		if !q.guilty(s) {
+	for _, s := range e.suspects {
+		if !e.isCause(s) {
 			continue
 		}
 		for _, c := range s.crashes {
-			q.explained[c.Incarnation] = true
+			e.explained[c.Incarnation] = true
 		}
-		out[s.content] = findingOf(s.crashes)
+		out[s.content] = newFinding(s.crashes)
 	}
 	return out
 }
 
-func newInquest(records map[Fingerprint]*record) *inquest {
-	q := &inquest{at: map[Incarnation][]*suspect{}, explained: map[Incarnation]bool{}}
+func newEvaluation(records map[Fingerprint]*record) *evaluation {
+	e := &evaluation{inFlight: map[Incarnation][]*suspect{}, explained: map[Incarnation]bool{}}
 	for f, r := range records {
-		open := r.open()
-		if len(open) == 0 {
+		active := r.activeCrashes()
+		if len(active) == 0 {
 			continue
 		}
-		s := &suspect{f, open, !r.survived.is.IsZero()}
-		q.suspects = append(q.suspects, s)
-		for _, c := range open {
-			if q.at[c.Incarnation] == nil {
-				q.ends = append(q.ends, c)
+		s := &suspect{f, active, !r.lastSuccess.value.IsZero()}
+		e.suspects = append(e.suspects, s)
+		for _, c := range active {
+			if e.inFlight[c.Incarnation] == nil {
+				e.crashes = append(e.crashes, c)
 			}
-			q.at[c.Incarnation] = append(q.at[c.Incarnation], s)
+			e.inFlight[c.Incarnation] = append(e.inFlight[c.Incarnation], s)
 		}
 	}
-	slices.SortFunc(q.suspects, func(a, b *suspect) int {
+	slices.SortFunc(e.suspects, func(a, b *suspect) int {
 		return cmp.Or(cmp.Compare(len(b.crashes), len(a.crashes)), bytes.Compare(a.content[:], b.content[:]))
 	})
-	slices.SortFunc(q.ends, func(a, b Crash) int { return a.At.Compare(b.At) })
-	return q
+	slices.SortFunc(e.crashes, func(a, b Crash) int { return a.At.Compare(b.At) })
+	return e
 }
 
-// guilty decides by the crashes that no other content explains.
-func (q *inquest) guilty(s *suspect) bool {
-	left := slices.DeleteFunc(slices.Clone(s.crashes), func(c Crash) bool { return q.explained[c.Incarnation] })
+// isCause reports whether a content is considered the cause of its crashes, based on those
+// that no other content explains.
+func (e *evaluation) isCause(s *suspect) bool {
+	unexplained := slices.DeleteFunc(slices.Clone(s.crashes), func(c Crash) bool { return e.explained[c.Incarnation] })
 	switch {
-	case len(left) < crashThreshold:
+	case len(unexplained) < crashThreshold:
 		return false
-	case len(left) == crashThreshold && slices.ContainsFunc(left, func(c Crash) bool { return q.contested(s, c.Incarnation) }):
+	case len(unexplained) == crashThreshold && slices.ContainsFunc(unexplained, func(c Crash) bool { return e.hasRival(s, c.Incarnation) }):
 		return false
-	case s.proven:
-		return len(grouped(left)) >= provenThreshold
+	case s.succeeded:
+		return len(groupByTime(unexplained)) >= recentSuccessThreshold
 	}
-	n := q.weight(s, left)
-	return n >= ambiguousThreshold || n >= crashThreshold && !q.shared(s, left)
+	n := e.weightedCount(s, unexplained)
+	return n >= ambiguousThreshold || n >= crashThreshold && !e.isAmbiguous(s, unexplained)
 }
 
-// contested reports whether another content that was at work on a life as it ended has
-// ended one elsewhere too, for a reason that is not known. Where several causes are about
-// at once, a bystander at an end of each has three before any of them has: of 600 played
-// storms of three causes one shut a bystander out, and with this none, at as many ends.
-func (q *inquest) contested(s *suspect, life Incarnation) bool {
-	return slices.ContainsFunc(q.at[life], func(o *suspect) bool {
-		return o != s && !o.proven && slices.ContainsFunc(o.crashes, func(c Crash) bool {
-			return !q.explained[c.Incarnation] && !s.at(c.Incarnation)
+// hasRival reports whether another content that was in flight when the incarnation ended
+// also has an unexplained crash on another incarnation. Where several causes are active at
+// once, a bystander at one crash of each reaches three crashes before any of the causes
+// does: in 600 simulated storms of three causes one bystander was quarantined without this
+// check and none with it, at the same number of crashes.
+func (e *evaluation) hasRival(s *suspect, inc Incarnation) bool {
+	return slices.ContainsFunc(e.inFlight[inc], func(o *suspect) bool {
+		return o != s && !o.succeeded && slices.ContainsFunc(o.crashes, func(c Crash) bool {
+			return !e.explained[c.Incarnation] && !s.inFlightAt(c.Incarnation)
 		})
 	})
 }
 
-// weight counts the crashes, those that came together with a crowd of others once.
-func (q *inquest) weight(s *suspect, left []Crash) int {
+// weightedCount counts the crashes; a group that coincides with many other crashes counts
+// once.
+func (e *evaluation) weightedCount(s *suspect, unexplained []Crash) int {
 	n := 0
-	for _, g := range grouped(left) {
-		if q.othersAt(s, g) >= correlationFactor*len(g) {
+	for _, g := range groupByTime(unexplained) {
+		if e.otherCrashes(s, g) >= correlationFactor*len(g) {
 			n++
 		} else {
 			n += len(g)
@@ -155,8 +159,8 @@
 	return n
 }
 
-// grouped groups crashes, which are in order, by the moment in which they were.
-func grouped(crashes []Crash) [][]Crash {
+// groupByTime groups crashes, which must be sorted by time, by correlationWindow.
+func groupByTime(crashes []Crash) [][]Crash {
 	var out [][]Crash
 	for i, c := range crashes {
 		if i > 0 && c.At.Sub(out[len(out)-1][0].At) < correlationWindow {
@@ -168,43 +172,43 @@
 	return out
 }
 
-// othersAt counts the lives that ended around a group, without the content at work on
-// them and for no reason that is known.
-func (q *inquest) othersAt(s *suspect, group []Crash) (n int) {
+// otherCrashes counts the unexplained crashes around the time of a group that the content
+// was not in flight at.
+func (e *evaluation) otherCrashes(s *suspect, group []Crash) (n int) {
 	from, to := group[0].At.Add(-correlationWindow), group[len(group)-1].At.Add(correlationWindow)
-	i, _ := slices.BinarySearchFunc(q.ends, from, func(c Crash, t time.Time) int { return c.At.Compare(t) })
-	for ; i < len(q.ends) && !q.ends[i].At.After(to); i++ {
-		if life := q.ends[i].Incarnation; !q.explained[life] && !s.at(life) {
+	i, _ := slices.BinarySearchFunc(e.crashes, from, func(c Crash, t time.Time) int { return c.At.Compare(t) })
+	for ; i < len(e.crashes) && !e.crashes[i].At.After(to); i++ {
+		if inc := e.crashes[i].Incarnation; !e.explained[inc] && !s.inFlightAt(inc) {
 			n++
 		}
 	}
 	return n
 }
 
-// shared reports whether another content with as many crashes may have been the cause
-// of so many of these that too few are left.
-func (q *inquest) shared(s *suspect, left []Crash) bool {
-	with := map[*suspect]int{}
-	for _, c := range left {
-		for _, o := range q.at[c.Incarnation] {
-			with[o]++
+// isAmbiguous reports whether another content with at least as many crashes may have caused
+// so many of these that fewer than crashThreshold remain.
+func (e *evaluation) isAmbiguous(s *suspect, unexplained []Crash) bool {
+	shared := map[*suspect]int{}
+	for _, c := range unexplained {
+		for _, o := range e.inFlight[c.Incarnation] {
+			shared[o]++
 		}
 	}
-	for o, n := range with {
-		if o != s && !o.proven && len(o.crashes) >= len(s.crashes) && len(left)-n < crashThreshold {
+	for o, n := range shared {
+		if o != s && !o.succeeded && len(o.crashes) >= len(s.crashes) && len(unexplained)-n < crashThreshold {
 			return true
 		}
 	}
 	return false
 }
 
-func findingOf(crashes []Crash) Finding {
+func newFinding(crashes []Crash) Finding {
 	f := Finding{Crashes: len(crashes), First: crashes[0].At, Last: crashes[len(crashes)-1].At}
 	for _, c := range crashes {
 		if !slices.Contains(f.Reporters, c.Reporter) {
 			f.Reporters = append(f.Reporters, c.Reporter)
 		}
 	}
-	f.ProbeAt = f.Last.Add(probeAfter(f.Crashes))
+	f.ProbeAt = f.Last.Add(probeDelay(f.Crashes))
 	return f
 }
