--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -11,14 +11,14 @@
 	base := Content{Caller: "blue", Method: "POST", Host: "h.example", URI: "/a/b?c=1", Body: []byte("body")}
 	assert.Equal(t, h.Fingerprint(base), h.Fingerprint(base))
 	for name, change := range map[string]func(*Content){
-		"caller":                                func(c *Content) { c.Caller = "green" },
-		"method":                                func(c *Content) { c.Method = "PUT" },
-		"host":                                  func(c *Content) { c.Host = "i.example" },
-		"query":                                 func(c *Content) { c.URI = "/a/b?c=2" },
-		"body":                                  func(c *Content) { c.Body = []byte("bodz") },
-		"no body":                               func(c *Content) { c.Body = nil },
-		"a field that begins in the one before": func(c *Content) { c.Caller, c.Method = "blueP", "OST" },
-		"a body that begins in the path":        func(c *Content) { c.URI, c.Body = "/a/b?c=1b", []byte("ody") },
+		"caller":                            func(c *Content) { c.Caller = "green" },
+		"method":                            func(c *Content) { c.Method = "PUT" },
+		"host":                              func(c *Content) { c.Host = "i.example" },
+		"query":                             func(c *Content) { c.URI = "/a/b?c=2" },
+		"body":                              func(c *Content) { c.Body = []byte("bodz") },
+		"no body":                           func(c *Content) { c.Body = nil },
+		"bytes moved from method to caller": func(c *Content) { c.Caller, c.Method = "blueP", "OST" },
+		"bytes moved from body to path":     func(c *Content) { c.URI, c.Body = "/a/b?c=1b", []byte("ody") },
 	} {
 		other := base
 		change(&other)
--- a/quarantine/storm_test.go
+++ b/quarantine/storm_test.go
@@ -184,15 +184,15 @@
 		s := newStorm(seed, bad)
 		s.run([]Fingerprint{bad})
 		for c := range s.refused {
-			assert.Equal(t, c, bad, "seed %d: a bystander was shut out", seed)
+			assert.Equal(t, c, bad, "seed %d: a bystander was quarantined", seed)
 		}
 		x := s.causes[bad]
-		assert.Assert(t, s.refused[bad] > 60, "seed %d: %d", seed, s.refused[bad])
-		assert.Assert(t, x.sendsAfter <= maxSendsAfterThreshold, "seed %d: sent %d times more", seed, x.sendsAfter)
+		assert.Assert(t, s.refused[bad] > 60, "seed %d: refused %d times", seed, s.refused[bad])
+		assert.Assert(t, x.sendsAfter <= maxSendsAfterThreshold, "seed %d: sent %d times after the threshold", seed, x.sendsAfter)
 		most, sum = max(most, x.crashes), sum+x.crashes
 	}
-	t.Logf("targets ended: %.1f in the mean, %d at the most", float64(sum)/stormSeeds, most)
-	assert.Assert(t, most <= stormTargets/2, "%d ended in one storm", most)
+	t.Logf("targets crashed: mean %.1f, maximum %d", float64(sum)/stormSeeds, most)
+	assert.Assert(t, most <= stormTargets/2, "%d targets crashed in one storm", most)
 }
 
 // Three requests of different callers crash targets at the same time: each of them is
@@ -204,14 +204,14 @@
 		s := newStorm(seed, causes...)
 		s.run(causes)
 		for c, n := range s.refused {
-			assert.Check(t, s.causes[c] != nil, "seed %d: a bystander was shut out %d times", seed, n)
+			assert.Check(t, s.causes[c] != nil, "seed %d: a bystander was refused %d times", seed, n)
 		}
 		for _, x := range s.causes {
-			assert.Check(t, s.refused[x.content] > 0, "seed %d", seed)
-			assert.Check(t, x.lateSends <= maxSendsAfterThreshold, "seed %d: sent %d times more", seed, x.lateSends)
+			assert.Check(t, s.refused[x.content] > 0, "seed %d: cause was never refused", seed)
+			assert.Check(t, x.lateSends <= maxSendsAfterThreshold, "seed %d: sent %d times after the threshold", seed, x.lateSends)
 			late = max(late, x.lateSends)
 			most, sum = max(most, x.crashes), sum+x.crashes
 		}
 	}
-	t.Logf("targets ended under each: %.1f in the mean, %d at the most; sent late %d times at the most", float64(sum)/float64(len(causes)*stormSeeds), most, late)
+	t.Logf("targets crashed per cause: mean %.1f, maximum %d; late sends: maximum %d", float64(sum)/float64(len(causes)*stormSeeds), most, late)
 }
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -68,7 +68,7 @@
 		x.RecordCrashes(at(0), crash(bad, l, time.Duration(l)*time.Second))
 	}
 	assert.Assert(t, !refused(x, 3*time.Second, beside[3]))
-	assert.Assert(t, !refused(x, 3*time.Second, bad), "cannot be told from the bystander yet")
+	assert.Assert(t, !refused(x, 3*time.Second, bad), "cannot be distinguished from the bystander yet")
 	x.RecordCrashes(at(0), crash(bad, 3, 3*time.Second))
 	assert.Assert(t, refused(x, 4*time.Second, bad))
 	x.RecordCrashes(at(0), crash(beside[3], 4, 4*time.Second)) // for another reason
@@ -128,7 +128,7 @@
 	x := NewTable()
 	pair := content(3, 0)
 	for l := range ambiguousThreshold {
-		assert.Assert(t, !refused(x, 9*time.Second, bad), "%d ends", l)
+		assert.Assert(t, !refused(x, 9*time.Second, bad), "after %d crashes", l)
 		x.RecordCrashes(at(0), crash(bad, l, time.Duration(l)*time.Second), crash(pair, l, time.Duration(l)*time.Second))
 	}
 	assert.Assert(t, refused(x, 9*time.Second, bad))
@@ -136,7 +136,7 @@
 
 // A rack loses power: twelve targets end, and a poll was in flight on four of them.
 func TestCorrelatedCrashes(t *testing.T) {
-	for name, succeeded := range map[string]bool{"has ended well": true, "is new": false} {
+	for name, succeeded := range map[string]bool{"succeeded before": true, "new": false} {
 		x := NewTable()
 		if succeeded {
 			x.RecordSuccess(at(-time.Minute), poll)
@@ -176,7 +176,7 @@
 	x := NewTable()
 	x.RecordSuccess(at(0), bad)
 	for l := range recentSuccessThreshold {
-		assert.Assert(t, !refused(x, time.Minute, bad), "%d ends", l)
+		assert.Assert(t, !refused(x, time.Minute, bad), "after %d crashes", l)
 		when := time.Duration(1+l) * 200 * time.Millisecond
 		x.RecordCrashes(at(when), crash(bad, l, when))
 	}
@@ -228,7 +228,7 @@
 	assert.Assert(t, !probed(initialProbeDelay-1, true))
 	assert.Assert(t, !probed(initialProbeDelay, false))
 	assert.Assert(t, probed(initialProbeDelay, true))
-	assert.Assert(t, !probed(initialProbeDelay+time.Second, true), "its outcome is not known yet")
+	assert.Assert(t, !probed(initialProbeDelay+time.Second, true), "the outcome of the probe is not known yet")
 	again := initialProbeDelay + time.Second
 	x.RecordCrashes(at(again), crash(bad, 3, again))
 	assert.Assert(t, !probed(again+initialProbeDelay*probeBackoffFactor-1, true))
@@ -252,9 +252,9 @@
 	}
 	assert.Assert(t, refused(x, now, bad))
 	u, _ := x.Changes(0, 1)
-	assert.Assert(t, len(u.Crashes) <= maxContents*3, "%d", len(u.Crashes))
-	assert.Equal(t, x.Digest(), uint64(0), "what two tables gave up is not compared")
-	assert.Assert(t, refused(x, now, content(9, 999)), "the newest of the flood")
+	assert.Assert(t, len(u.Crashes) <= maxContents*3, "%d crashes kept", len(u.Crashes))
+	assert.Equal(t, x.Digest(), uint64(0), "nearly full tables are not compared")
+	assert.Assert(t, refused(x, now, content(9, 999)), "newest content of the flood")
 }
 
 // Evidence on a suspect expires after suspectRetention, and on a quarantined content after
