--- a/control/gossip.go
+++ b/control/gossip.go
@@ -96,7 +96,7 @@
 func (n *Node) heard(c *peer.Conn, h *peer.Heartbeat) {
 	now := clock.Now()
 	n.count.heartbeatsIn.Inc(1)
-	n.view.Heard(now, h.Host, h.Incarnation, h.Leaving, h.Revision)
+	n.view.RecordStatus(now, h.Host, h.Incarnation, h.Leaving, h.Revision)
 	for _, x := range h.Notices {
 		n.view.Noticed(now, membership.Notice{Host: x.Host, Incarnation: x.Incarnation})
 	}
--- a/membership/view.go
+++ b/membership/view.go
@@ -170,8 +170,8 @@
 	r.listed, r.inList = l, true
 }
 
-// Heard takes a host's statement about itself, received directly.
-func (v *View) Heard(now time.Time, host string, incarnation uint64, leaving bool, revision uint64) {
+// RecordStatus takes a host's statement about itself, received directly.
+func (v *View) RecordStatus(now time.Time, host string, incarnation uint64, leaving bool, revision uint64) {
 	r := v.hosts[host]
 	if r == nil || incarnation < r.incarnation {
 		return // not listed yet, or a late message of an earlier incarnation
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -37,7 +37,7 @@
 	assert.Equal(t, stateOf(v, now, "h0001"), Live, "one failure proves little")
 	now = now.Add(3 * time.Second)
 	assert.Equal(t, stateOf(v, now, "h0001"), Suspect)
-	v.Heard(now, "h0001", 5, false, 1)
+	v.RecordStatus(now, "h0001", 5, false, 1)
 	assert.Equal(t, stateOf(v, now, "h0001"), Live)
 
 	assert.Assert(t, v.ApplyList(now, 3, list(1)))
@@ -50,14 +50,14 @@
 func TestLeavingIsPassedOnAndEndsWithTheIncarnation(t *testing.T) {
 	v := New("self", Config{})
 	v.ApplyList(start, 1, list(2))
-	v.Heard(start, "h0000", 5, false, 1)
+	v.RecordStatus(start, "h0000", 5, false, 1)
 	assert.Assert(t, v.Noticed(start, Notice{"h0000", 5}))
 	assert.Assert(t, !v.Noticed(start, Notice{"h0000", 5}), "no news")
 	assert.Equal(t, stateOf(v, start, "h0000"), Leaving)
 	assert.DeepEqual(t, v.Notices(8), []Notice{{"h0000", 5}})
-	v.Heard(start, "h0000", 5, false, 1) // delayed from before
+	v.RecordStatus(start, "h0000", 5, false, 1) // delayed from before
 	assert.Equal(t, stateOf(v, start, "h0000"), Leaving)
-	v.Heard(start, "h0000", 6, false, 1)
+	v.RecordStatus(start, "h0000", 6, false, 1)
 	assert.Equal(t, stateOf(v, start, "h0000"), Live)
 	v.Tick(start.Add(time.Minute))
 	assert.Equal(t, len(v.Notices(8)), 0)
@@ -66,12 +66,12 @@
 func TestListedLeavingDoesNotOutliveReplacement(t *testing.T) {
 	v := New("self", Config{})
 	v.ApplyList(start, 1, list(1))
-	v.Heard(start, "h0000", 5, false, 1)
+	v.RecordStatus(start, "h0000", 5, false, 1)
 	l := list(1)
 	l[0].Leaving = true
 	v.ApplyList(start, 2, l)
 	assert.Equal(t, stateOf(v, start, "h0000"), Leaving)
-	v.Heard(start, "h0000", 6, false, 1)
+	v.RecordStatus(start, "h0000", 6, false, 1)
 	assert.Equal(t, stateOf(v, start, "h0000"), Live, "the list lags behind the replacement")
 	v.ApplyList(start, 3, l)
 	assert.Equal(t, stateOf(v, start, "h0000"), Live)
@@ -90,7 +90,7 @@
 		t.Repeat(map[string]func(*rapid.T){
 			"heard": func(t *rapid.T) {
 				h, i, leaving := host(t), inc(t), rapid.Bool().Draw(t, "leaving")
-				v.Heard(now, h, i, leaving, 1)
+				v.RecordStatus(now, h, i, leaving, 1)
 				if i >= newest[h] {
 					newest[h] = i
 					said[Notice{h, i}] = said[Notice{h, i}] || leaving
