--- a/control/gossip.go
+++ b/control/gossip.go
@@ -98,7 +98,7 @@
 	n.count.heartbeatsIn.Inc(1)
 	n.view.RecordStatus(now, h.Host, h.Incarnation, h.Leaving, h.Revision)
 	for _, x := range h.Notices {
-		n.view.Noticed(now, membership.Notice{Host: x.Host, Incarnation: x.Incarnation})
+		n.view.RecordNotice(now, membership.Notice{Host: x.Host, Incarnation: x.Incarnation})
 	}
 	ref := intent.Ref{Revision: h.Revision, Digest: h.Digest}
 	switch {
--- a/membership/view.go
+++ b/membership/view.go
@@ -187,9 +187,9 @@
 	r.failedSince = time.Time{}
 }
 
-// Noticed takes a leaving notice that was passed on. It reports whether the
+// RecordNotice takes a leaving notice that was passed on. It reports whether the
 // notice was news.
-func (v *View) Noticed(now time.Time, n Notice) bool {
+func (v *View) RecordNotice(now time.Time, n Notice) bool {
 	r := v.hosts[n.Host]
 	if r == nil || n.Incarnation < r.incarnation || n.Incarnation <= r.leavingInc {
 		return false
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -51,8 +51,8 @@
 	v := New("self", Config{})
 	v.ApplyList(start, 1, list(2))
 	v.RecordStatus(start, "h0000", 5, false, 1)
-	assert.Assert(t, v.Noticed(start, Notice{"h0000", 5}))
-	assert.Assert(t, !v.Noticed(start, Notice{"h0000", 5}), "no news")
+	assert.Assert(t, v.RecordNotice(start, Notice{"h0000", 5}))
+	assert.Assert(t, !v.RecordNotice(start, Notice{"h0000", 5}), "no news")
 	assert.Equal(t, stateOf(v, start, "h0000"), Leaving)
 	assert.DeepEqual(t, v.Notices(8), []Notice{{"h0000", 5}})
 	v.RecordStatus(start, "h0000", 5, false, 1) // delayed from before
@@ -98,7 +98,7 @@
 			},
 			"notice": func(t *rapid.T) {
 				h, i := host(t), inc(t)
-				v.Noticed(now, Notice{h, i})
+				v.RecordNotice(now, Notice{h, i})
 				if i >= newest[h] {
 					said[Notice{h, i}] = true
 				}
