--- a/control/gossip.go
+++ b/control/gossip.go
@@ -86,7 +86,7 @@
 func (n *Node) failed(host string) {
 	if n.ctx.Err() == nil {
 		n.loop.Post(func() {
-			n.view.Failed(clock.Now(), host)
+			n.view.RecordFailure(clock.Now(), host)
 			n.partners = nil // draw others
 		})
 	}
--- a/membership/view.go
+++ b/membership/view.go
@@ -206,8 +206,8 @@
 	v.notices = append(v.notices, notice{Notice{host, incarnation}, now.Add(v.cfg.NoticeTTL)})
 }
 
-// Failed notes that this process could not reach a host.
-func (v *View) Failed(now time.Time, host string) {
+// RecordFailure notes that this process could not reach a host.
+func (v *View) RecordFailure(now time.Time, host string) {
 	if r := v.hosts[host]; r != nil && r.failedSince.IsZero() {
 		r.failedSince = now
 	}
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -33,7 +33,7 @@
 	assert.Assert(t, !v.ApplyList(now, 1, nil), "an older list")
 	assert.Equal(t, stateOf(v, now, "h0001"), Live)
 
-	v.Failed(now, "h0001")
+	v.RecordFailure(now, "h0001")
 	assert.Equal(t, stateOf(v, now, "h0001"), Live, "one failure proves little")
 	now = now.Add(3 * time.Second)
 	assert.Equal(t, stateOf(v, now, "h0001"), Suspect)
@@ -103,7 +103,7 @@
 					said[Notice{h, i}] = true
 				}
 			},
-			"failed": func(t *rapid.T) { v.Failed(now, host(t)) },
+			"failed": func(t *rapid.T) { v.RecordFailure(now, host(t)) },
 			"time":   func(*rapid.T) { now = now.Add(1500 * time.Millisecond); v.Tick(now) },
 			"": func(t *rapid.T) {
 				for _, l := range list(3) {
@@ -143,7 +143,7 @@
 	members := v.Members(start)
 	for _, m := range members { // every reader of one domain dies
 		if m.Domain == "d3" && cfg.IsReader(m.Host, m.Domain, members) {
-			v.Failed(start, m.Host)
+			v.RecordFailure(start, m.Host)
 		}
 	}
 	assert.Equal(t, count(start.Add(time.Minute))["d3"], cfg.PerDomain)
