--- a/membership/view.go
+++ b/membership/view.go
@@ -54,7 +54,7 @@
 	State       State
 	Incarnation uint64
 	Revision    uint64 // revision in force there, as last heard
-	HeardAt     time.Time
+	LastContact     time.Time
 }
 
 // Config holds the time limits of a View.
@@ -258,7 +258,7 @@
 
 func (v *View) member(now time.Time, host string, r *record) Member {
 	m := Member{Listed: r.listed, State: v.state(now, r), Incarnation: r.incarnation,
-		Revision: r.revision, HeardAt: r.heardAt}
+		Revision: r.revision, LastContact: r.heardAt}
 	m.Host = host
 	return m
 }
