--- a/membership/duty.go
+++ b/membership/duty.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// readerKey is the rendezvous key of the duty to watch the platform.
+// readerKey prefixes the rendezvous key by which the readers of a failure domain are chosen.
 const readerKey = "reader/"
 
-// ReaderConfig bounds how the fleet as a whole reads the platform.
+// ReaderConfig limits how the fleet as a whole reads the platform.
 type ReaderConfig struct {
 	// PerDomain is how many processes of a failure domain watch the platform.
-	// More survive more deaths and use more calls. Default 3.
+	// A higher number tolerates more failures and uses more calls. Default 3.
 	PerDomain int
-	// StaleAfter is the age of the newest proof of the head after which a
-	// process reads the platform itself. Default 3 s.
+	// StaleAfter is the age of the last confirmation of the head after which
+	// a process reads the platform itself. Default 3 s.
 	StaleAfter time.Duration
-	// FallbackRate bounds the calls a second that all fallback reads make
-	// together. Default 400, a fifth of the platform's limit.
+	// FallbackRate limits the calls per second of all fallback reads in the
+	// fleet. Default 400, a fifth of the platform's limit.
 	FallbackRate float64
-	// MinFallback is the shortest time between two fallback reads of one
+	// MinFallback is the minimum time between two fallback reads of one
 	// process. Default 1 s.
 	MinFallback time.Duration
 }
@@ -42,17 +42,17 @@
 	return c
 }
 
-// IsReader reports whether host has the duty to watch the platform: it is
-// among the first of its failure domain by rendezvous over the hosts that can
-// take the duty.
+// IsReader reports whether host is one of those that watch the platform: the
+// first PerDomain of the live hosts of its failure domain by rendezvous
+// hashing.
 func (c ReaderConfig) IsReader(host, domain string, members []Member) bool {
-	mine := Score(readerKey+domain, host)
+	score := Score(readerKey+domain, host)
 	ahead := 0
 	for _, m := range members {
 		if m.Domain != domain || m.Host == host || m.State != Live {
 			continue
 		}
-		if Score(readerKey+domain, m.Host) > mine {
+		if Score(readerKey+domain, m.Host) > score {
 			ahead++
 		}
 	}
@@ -60,25 +60,25 @@
 }
 
 // FallbackDelay returns a random time until the next fallback read, so that
-// fleet processes together stay under FallbackRate on average.
-func (c ReaderConfig) FallbackDelay(fleet int, rng *rand.Rand) time.Duration {
-	mean := float64(fleet) / c.FallbackRate * float64(time.Second)
+// fleetSize processes together stay below FallbackRate on average.
+func (c ReaderConfig) FallbackDelay(fleetSize int, rng *rand.Rand) time.Duration {
+	mean := float64(fleetSize) / c.FallbackRate * float64(time.Second)
 	mean = math.Max(mean, float64(c.MinFallback))
-	// Uniform from half to one and a half times the mean keeps the sum of
-	// many processes close to its average, unlike an exponential.
+	// A uniform distribution from 0.5 to 1.5 times the mean keeps the total
+	// of many processes closer to its average than an exponential one.
 	return time.Duration(mean * (0.5 + rng.Float64()))
 }
 
 // StartDelay returns a random time to wait before the first read, so that
-// fleet processes that start together stay under rate calls a second.
-func StartDelay(fleet int, rate float64, rng *rand.Rand) time.Duration {
-	span := float64(fleet) / rate * float64(time.Second)
+// fleetSize processes that start together stay below rate calls per second.
+func StartDelay(fleetSize int, rate float64, rng *rand.Rand) time.Duration {
+	span := float64(fleetSize) / rate * float64(time.Second)
 	return time.Duration(span * rng.Float64())
 }
 
-// GossipTargets picks hosts to exchange heartbeats with: local ones of the
-// same failure domain and remote ones of others, at random among those that
-// are live or suspect; so a suspect that comes back is noticed.
+// GossipTargets returns random hosts to exchange heartbeats with: up to local
+// hosts of the same failure domain and up to remote hosts of others. Suspect
+// hosts are included, so that their recovery is detected.
 func GossipTargets(self, domain string, members []Member, local, remote int, rng *rand.Rand) []Member {
 	var out []Member
 	out = append(out, sample(members, local, rng, func(m Member) bool {
@@ -98,11 +98,11 @@
 	}
 	out := make([]Member, 0, n)
 	start, step := rng.IntN(len(members)), strideOf(len(members), rng)
-	for i, at := 0, start; i < len(members) && len(out) < n; i++ {
-		if match(members[at]) {
-			out = append(out, members[at])
+	for i, index := 0, start; i < len(members) && len(out) < n; i++ {
+		if match(members[index]) {
+			out = append(out, members[index])
 		}
-		at = (at + step) % len(members)
+		index = (index + step) % len(members)
 	}
 	return out
 }
--- a/membership/view.go
+++ b/membership/view.go
@@ -1,10 +1,10 @@
-// Package membership joins the platform's lagging host list with what this
-// process hears itself. It is pure: clock readings are passed in.
+// Package membership combines the platform's host list, which lags behind,
+// with the status that this process receives from hosts directly. It performs
+// no I/O, and clock readings are passed as arguments.
 //
-// Facts come from two places only: the host list, and statements that a host
-// makes about its own incarnation. Suspicion is the opinion of one process;
-// it is never sent to others, so a partition cannot talk a healthy host out
-// of the fleet.
+// Facts have two sources only: the host list, and statements of a host about
+// its own incarnation. Suspicion is local to one process and never sent to
+// others, so a partition cannot make them consider a healthy host failed.
 package membership
 
 import (
@@ -14,15 +14,15 @@
 	"time"
 )
 
-// State is what this process holds of a host.
+// State is the state of a host as this process sees it.
 type State uint8
 
 // States of a host.
 const (
-	Live    State = iota // listed, nothing known against it
-	Suspect              // this process could not reach it
-	Leaving              // it, or the platform, said that it leaves
-	Gone                 // no longer listed and not heard of
+	Live    State = iota // listed and not known to have failed
+	Suspect              // this process cannot reach it
+	Leaving              // announced as leaving by itself or by the platform
+	Gone                 // no longer listed and without recent contact
 )
 
 // String returns the name of the state.
@@ -30,7 +30,7 @@
 	return [...]string{"live", "suspect", "leaving", "gone"}[s]
 }
 
-// Role tells entries from agents.
+// Role distinguishes entries from agents.
 type Role string
 
 // Roles of a process.
@@ -53,20 +53,20 @@
 	Listed
 	State       State
 	Incarnation uint64
-	Revision    uint64 // revision in force there, as last heard
-	LastContact     time.Time
+	Revision    uint64 // revision in force there, as last reported
+	LastContact time.Time
 }
 
 // Config holds the time limits of a View.
 type Config struct {
 	// SuspectAfter is how long contact must have failed, without success in
-	// between, before a host is suspect. A shorter time finds dead hosts
+	// between, before a host is suspect. A shorter time detects dead hosts
 	// sooner and suspects more paused ones. Default 2 s.
 	SuspectAfter time.Duration
-	// GoneAfter is how long a host that the list no longer names is kept
-	// after it was last heard. Default 30 s.
+	// GoneAfter is how long a host that is no longer listed is kept after
+	// the last contact. Default 30 s.
 	GoneAfter time.Duration
-	// NoticeTTL is how long a leaving notice is passed on. Default 20 s.
+	// NoticeTTL is how long a leaving notice is forwarded. Default 20 s.
 	NoticeTTL time.Duration
 }
 
@@ -87,15 +87,16 @@
 	listed      Listed
 	inList      bool
 	incarnation uint64
-	// leavingInc is the highest incarnation known to leave; 0 is none.
+	// leavingInc is the highest incarnation known to be leaving; 0 if none.
 	leavingInc uint64
-	// listLeaving is set while the list names the host as leaving and no
-	// newer incarnation than the one seen then has been heard.
+	// listLeaving is set while the list marks the host as leaving. It
+	// applies to incarnations up to listLeavingInc, the newest one known
+	// when the mark appeared.
 	listLeaving    bool
 	listLeavingInc uint64
 	revision       uint64
-	heardAt        time.Time
-	failedSince    time.Time // zero while contact works
+	lastContact    time.Time
+	failedSince    time.Time // zero while the host is reachable
 }
 
 type notice struct {
@@ -103,14 +104,14 @@
 	until time.Time
 }
 
-// View is the membership as one process sees it. It is owned by one
+// View is the membership as one process sees it. It must be used by a single
 // goroutine.
 type View struct {
 	cfg     Config
 	self    string
 	serial  uint64
 	hosts   map[string]*record
-	order   []string // names of hosts, sorted; nil if hosts were added or removed
+	order   []string // sorted host names; nil after hosts were added or removed
 	notices []notice
 }
 
@@ -122,22 +123,22 @@
 // Serial returns the serial number of the newest host list applied.
 func (v *View) Serial() uint64 { return v.serial }
 
-// ApplyList takes a host list. Lists older than the newest one applied are
-// ignored; the result is false for them.
+// ApplyList applies a host list. It ignores a list that is not newer than the
+// last one applied, and returns false for it.
 func (v *View) ApplyList(now time.Time, serial uint64, list []Listed) bool {
 	if serial <= v.serial {
 		return false
 	}
 	v.serial = serial
-	named := make(map[string]bool, len(list))
+	listed := make(map[string]bool, len(list))
 	for _, l := range list {
-		named[l.Host] = true
+		listed[l.Host] = true
 		v.applyListed(now, l)
 	}
 	for h, r := range v.hosts {
-		if !named[h] && r.inList {
+		if !listed[h] && r.inList {
 			r.inList = false
-			r.heardAt = later(r.heardAt, now)
+			r.lastContact = later(r.lastContact, now)
 		}
 	}
 	return true
@@ -153,12 +154,12 @@
 func (v *View) applyListed(now time.Time, l Listed) {
 	r := v.hosts[l.Host]
 	if r == nil {
-		r = &record{heardAt: now}
+		r = &record{lastContact: now}
 		v.hosts[l.Host] = r
 		v.order = nil
 	}
 	if r.listed.Addr != "" && r.listed.Addr != l.Addr {
-		r.failedSince = time.Time{} // replaced: old failures say nothing
+		r.failedSince = time.Time{} // replaced: earlier failures do not apply
 	}
 	if l.Leaving && !r.listLeaving {
 		r.listLeavingInc = r.incarnation
@@ -170,11 +171,12 @@
 	r.listed, r.inList = l, true
 }
 
-// RecordStatus takes a host's statement about itself, received directly.
+// RecordStatus records a host's statement about itself that this process
+// received directly.
 func (v *View) RecordStatus(now time.Time, host string, incarnation uint64, leaving bool, revision uint64) {
 	r := v.hosts[host]
 	if r == nil || incarnation < r.incarnation {
-		return // not listed yet, or a late message of an earlier incarnation
+		return // not listed yet, or a delayed message of an earlier incarnation
 	}
 	if incarnation > r.incarnation {
 		r.incarnation, r.revision = incarnation, 0
@@ -183,12 +185,12 @@
 		v.markLeaving(now, host, r, incarnation)
 	}
 	r.revision = max(r.revision, revision)
-	r.heardAt = later(r.heardAt, now)
+	r.lastContact = later(r.lastContact, now)
 	r.failedSince = time.Time{}
 }
 
-// RecordNotice takes a leaving notice that was passed on. It reports whether the
-// notice was news.
+// RecordNotice records a leaving notice that another process forwarded. It
+// reports whether the notice was new.
 func (v *View) RecordNotice(now time.Time, n Notice) bool {
 	r := v.hosts[n.Host]
 	if r == nil || n.Incarnation < r.incarnation || n.Incarnation <= r.leavingInc {
@@ -206,17 +208,17 @@
 	v.notices = append(v.notices, notice{Notice{host, incarnation}, now.Add(v.cfg.NoticeTTL)})
 }
 
-// RecordFailure notes that this process could not reach a host.
+// RecordFailure records that this process could not reach a host.
 func (v *View) RecordFailure(now time.Time, host string) {
 	if r := v.hosts[host]; r != nil && r.failedSince.IsZero() {
 		r.failedSince = now
 	}
 }
 
-// Tick forgets hosts that are gone and notices that are old.
+// Tick removes hosts that are gone and notices that have expired.
 func (v *View) Tick(now time.Time) {
 	for h, r := range v.hosts {
-		if !r.inList && now.Sub(r.heardAt) > v.cfg.GoneAfter {
+		if !r.inList && now.Sub(r.lastContact) > v.cfg.GoneAfter {
 			delete(v.hosts, h)
 			v.order = nil
 		}
@@ -224,7 +226,7 @@
 	v.notices = slices.DeleteFunc(v.notices, func(n notice) bool { return now.After(n.until) })
 }
 
-// Notices returns at most n leaving notices to pass on, newest first.
+// Notices returns at most n leaving notices to forward, newest first.
 func (v *View) Notices(n int) []Notice {
 	out := make([]Notice, 0, min(n, len(v.notices)))
 	for i := len(v.notices) - 1; i >= 0 && len(out) < n; i-- {
@@ -239,7 +241,7 @@
 		return Leaving
 	case r.listLeaving && r.incarnation <= r.listLeavingInc:
 		return Leaving
-	case !r.inList && now.Sub(r.heardAt) > v.cfg.GoneAfter:
+	case !r.inList && now.Sub(r.lastContact) > v.cfg.GoneAfter:
 		return Gone
 	case !r.failedSince.IsZero() && now.Sub(r.failedSince) >= v.cfg.SuspectAfter:
 		return Suspect
@@ -258,12 +260,12 @@
 
 func (v *View) member(now time.Time, host string, r *record) Member {
 	m := Member{Listed: r.listed, State: v.state(now, r), Incarnation: r.incarnation,
-		Revision: r.revision, LastContact: r.heardAt}
+		Revision: r.revision, LastContact: r.lastContact}
 	m.Host = host
 	return m
 }
 
-// Members returns all hosts known, ordered by name.
+// Members returns all known hosts, ordered by name.
 func (v *View) Members(now time.Time) []Member {
 	if v.order == nil {
 		v.order = slices.Sorted(maps.Keys(v.hosts))
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -47,7 +47,7 @@
 	assert.Equal(t, v.Len(), 1)
 }
 
-func TestLeavingIsPassedOnAndEndsWithTheIncarnation(t *testing.T) {
+func TestLeavingIsForwardedAndEndsWithIncarnation(t *testing.T) {
 	v := New("self", Config{})
 	v.ApplyList(start, 1, list(2))
 	v.RecordStatus(start, "h0000", 5, false, 1)
@@ -55,7 +55,7 @@
 	assert.Assert(t, !v.RecordNotice(start, Notice{"h0000", 5}), "no news")
 	assert.Equal(t, stateOf(v, start, "h0000"), Leaving)
 	assert.DeepEqual(t, v.Notices(8), []Notice{{"h0000", 5}})
-	v.RecordStatus(start, "h0000", 5, false, 1) // delayed from before
+	v.RecordStatus(start, "h0000", 5, false, 1) // delayed message
 	assert.Equal(t, stateOf(v, start, "h0000"), Leaving)
 	v.RecordStatus(start, "h0000", 6, false, 1)
 	assert.Equal(t, stateOf(v, start, "h0000"), Live)
@@ -77,14 +77,14 @@
 	assert.Equal(t, stateOf(v, start, "h0000"), Live)
 }
 
-// TestOracleLeaving holds the view against an oracle that knows which
-// incarnations have said that they leave.
+// TestOracleLeaving compares the view with an oracle that records which
+// incarnations have announced that they are leaving.
 func TestOracleLeaving(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v, now, serial := New("self", Config{}), start, uint64(1)
 		v.ApplyList(now, serial, list(3))
 		newest := map[string]uint64{}
-		said := map[Notice]bool{}
+		announced := map[Notice]bool{}
 		host := func(t *rapid.T) string { return list(3)[rapid.IntRange(0, 2).Draw(t, "host")].Host }
 		inc := func(t *rapid.T) uint64 { return rapid.Uint64Range(1, 4).Draw(t, "incarnation") }
 		t.Repeat(map[string]func(*rapid.T){
@@ -93,14 +93,14 @@
 				v.RecordStatus(now, h, i, leaving, 1)
 				if i >= newest[h] {
 					newest[h] = i
-					said[Notice{h, i}] = said[Notice{h, i}] || leaving
+					announced[Notice{h, i}] = announced[Notice{h, i}] || leaving
 				}
 			},
 			"notice": func(t *rapid.T) {
 				h, i := host(t), inc(t)
 				v.RecordNotice(now, Notice{h, i})
 				if i >= newest[h] {
-					said[Notice{h, i}] = true
+					announced[Notice{h, i}] = true
 				}
 			},
 			"failed": func(t *rapid.T) { v.RecordFailure(now, host(t)) },
@@ -108,12 +108,12 @@
 			"": func(t *rapid.T) {
 				for _, l := range list(3) {
 					s := stateOf(v, now, l.Host)
-					if said[Notice{l.Host, newest[l.Host]}] && s != Leaving {
+					if announced[Notice{l.Host, newest[l.Host]}] && s != Leaving {
 						t.Fatalf("%s incarnation %d said it leaves and is %s", l.Host, newest[l.Host], s)
 					}
 				}
 				for _, n := range v.Notices(100) {
-					if !said[n] {
+					if !announced[n] {
 						t.Fatalf("notice %v was never made", n)
 					}
 				}
@@ -141,7 +141,7 @@
 		assert.Equal(t, n, cfg.PerDomain, d)
 	}
 	members := v.Members(start)
-	for _, m := range members { // every reader of one domain dies
+	for _, m := range members { // every reader of one domain fails
 		if m.Domain == "d3" && cfg.IsReader(m.Host, m.Domain, members) {
 			v.RecordFailure(start, m.Host)
 		}
@@ -149,12 +149,12 @@
 	assert.Equal(t, count(start.Add(time.Minute))["d3"], cfg.PerDomain)
 }
 
-func TestFleetReadRatesStayUnderTheLimit(t *testing.T) {
+func TestFleetReadRatesStayBelowLimit(t *testing.T) {
 	const fleet = 4790
 	rng := rand.New(rand.NewPCG(1, 1))
 	cfg := ReaderConfig{}.ApplyDefaults()
 	perSecond := map[int]int{}
-	for range fleet { // all fall back for two minutes
+	for range fleet { // all use fallback reads for two minutes
 		for at := cfg.FallbackDelay(fleet, rng); at < 2*time.Minute; at += cfg.FallbackDelay(fleet, rng) {
 			perSecond[int(at.Seconds())]++
 		}
