--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -34,7 +34,7 @@
 	assert.Equal(t, stateOf(v, now, "h0001"), Live)
 
 	v.RecordFailure(now, "h0001")
-	assert.Equal(t, stateOf(v, now, "h0001"), Live, "one failure proves little")
+	assert.Equal(t, stateOf(v, now, "h0001"), Live, "a single failure is not enough")
 	now = now.Add(3 * time.Second)
 	assert.Equal(t, stateOf(v, now, "h0001"), Suspect)
 	v.RecordStatus(now, "h0001", 5, false, 1)
@@ -52,7 +52,7 @@
 	v.ApplyList(start, 1, list(2))
 	v.RecordStatus(start, "h0000", 5, false, 1)
 	assert.Assert(t, v.RecordNotice(start, Notice{"h0000", 5}))
-	assert.Assert(t, !v.RecordNotice(start, Notice{"h0000", 5}), "no news")
+	assert.Assert(t, !v.RecordNotice(start, Notice{"h0000", 5}), "already known")
 	assert.Equal(t, stateOf(v, start, "h0000"), Leaving)
 	assert.DeepEqual(t, v.Notices(8), []Notice{{"h0000", 5}})
 	v.RecordStatus(start, "h0000", 5, false, 1) // delayed message
@@ -109,12 +109,12 @@
 				for _, l := range list(3) {
 					s := stateOf(v, now, l.Host)
 					if announced[Notice{l.Host, newest[l.Host]}] && s != Leaving {
-						t.Fatalf("%s incarnation %d said it leaves and is %s", l.Host, newest[l.Host], s)
+						t.Fatalf("%s incarnation %d announced that it is leaving but is %s", l.Host, newest[l.Host], s)
 					}
 				}
 				for _, n := range v.Notices(100) {
 					if !announced[n] {
-						t.Fatalf("notice %v was never made", n)
+						t.Fatalf("notice %v was never announced", n)
 					}
 				}
 			},
@@ -186,7 +186,7 @@
 			seen[m.Host] = true
 		}
 	}
-	assert.Equal(t, len(seen), 99, "everybody is drawn sooner or later")
+	assert.Equal(t, len(seen), 99, "every other host is drawn eventually")
 }
 
 func BenchmarkMembers(b *testing.B) {
