--- a/agent/permits.go
+++ b/agent/permits.go
@@ -167,7 +167,7 @@
 		is = rollout.NewIssuer(p.cfg.Rollout)
 		p.issuers[service] = is
 	}
-	is.SetDuty(now, issuerOf(s, service) == p.cfg.Control.Host && p.node.Awake(now))
+	is.SetActive(now, issuerOf(s, service) == p.cfg.Control.Host && p.node.Awake(now))
 	return is
 }
 
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -78,9 +78,9 @@
 	return &Issuer{cfg: cfg.applyDefaults(), stuck: map[string]time.Time{}, reports: map[string]report{}}
 }
 
-// SetDuty tells whether this host is the issuer now. When the duty starts
+// SetActive tells whether this host is the issuer now. When the duty starts
 // after a time without, grants begin one lease later.
-func (i *Issuer) SetDuty(now time.Time, on bool) {
+func (i *Issuer) SetActive(now time.Time, on bool) {
 	if on && !i.active {
 		i.since = now
 		i.permits = nil
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -21,16 +21,16 @@
 
 func onDuty(cfg Config) (*Issuer, time.Time) {
 	i := NewIssuer(cfg)
-	i.SetDuty(start, true)
+	i.SetActive(start, true)
 	return i, start.Add(DefaultLease)
 }
 
 func TestNewIssuerWaitsOneLease(t *testing.T) {
 	i := NewIssuer(Config{})
-	i.SetDuty(start, true)
+	i.SetActive(start, true)
 	assert.Assert(t, !i.Ask(start.Add(DefaultLease-1), "h0", targets(3), 1).Granted)
 	assert.Assert(t, i.Ask(start.Add(DefaultLease), "h0", targets(3), 1).Granted)
-	i.SetDuty(start, false)
+	i.SetActive(start, false)
 	assert.Assert(t, !i.Ask(start.Add(time.Hour), "h1", targets(3), 3).Granted)
 }
 
@@ -70,7 +70,7 @@
 		now := start
 		issuers := []*Issuer{NewIssuer(Config{}), NewIssuer(Config{}), NewIssuer(Config{})}
 		duty := 0
-		issuers[0].SetDuty(now, true)
+		issuers[0].SetActive(now, true)
 		until := map[string]time.Time{} // permits as the holders see them
 		host := func(t *rapid.T) string { return fmt.Sprintf("h%d", rapid.IntRange(0, hosts-1).Draw(t, "host")) }
 		t.Repeat(map[string]func(*rapid.T){
@@ -88,9 +88,9 @@
 			},
 			"crash": func(t *rapid.T) { delete(until, host(t)) },
 			"issuer changes": func(t *rapid.T) {
-				issuers[duty].SetDuty(now, false)
+				issuers[duty].SetActive(now, false)
 				duty = rapid.IntRange(0, len(issuers)-1).Draw(t, "issuer")
-				issuers[duty].SetDuty(now, true)
+				issuers[duty].SetActive(now, true)
 			},
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
