--- a/agent/permits.go
+++ b/agent/permits.go
@@ -155,7 +155,7 @@
 	for i, h := range svc.Hosts {
 		targets[i] = p.targetState(now, s, h.Name)
 	}
-	d := is.Ask(now, m.Host, targets, svc.MaxUnavailable)
+	d := is.Acquire(now, m.Host, targets, svc.MaxUnavailable)
 	return &peer.PermitReply{Granted: d.Granted, LeaseMs: d.Lease.Milliseconds(), RetryMs: d.Retry.Milliseconds()}
 }
 
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -88,9 +88,9 @@
 	i.active = on
 }
 
-// Ask grants or renews a permit of host, if no more than maxUnavailable
+// Acquire grants or renews a permit of host, if no more than maxUnavailable
 // targets would be out.
-func (i *Issuer) Ask(now time.Time, host string, targets []Target, maxUnavailable int) Decision {
+func (i *Issuer) Acquire(now time.Time, host string, targets []Target, maxUnavailable int) Decision {
 	refused := Decision{Retry: i.cfg.Retry}
 	if !i.active || now.Sub(i.since) < i.cfg.Lease {
 		return refused
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -28,18 +28,18 @@
 func TestNewIssuerWaitsOneLease(t *testing.T) {
 	i := NewIssuer(Config{})
 	i.SetActive(start, true)
-	assert.Assert(t, !i.Ask(start.Add(DefaultLease-1), "h0", targets(3), 1).Granted)
-	assert.Assert(t, i.Ask(start.Add(DefaultLease), "h0", targets(3), 1).Granted)
+	assert.Assert(t, !i.Acquire(start.Add(DefaultLease-1), "h0", targets(3), 1).Granted)
+	assert.Assert(t, i.Acquire(start.Add(DefaultLease), "h0", targets(3), 1).Granted)
 	i.SetActive(start, false)
-	assert.Assert(t, !i.Ask(start.Add(time.Hour), "h1", targets(3), 3).Granted)
+	assert.Assert(t, !i.Acquire(start.Add(time.Hour), "h1", targets(3), 3).Granted)
 }
 
 func TestStuckHostDoesNotStopOthersForEver(t *testing.T) {
 	i, now := onDuty(Config{StuckAfter: time.Minute})
 	ts := targets(3)
-	assert.Assert(t, i.Ask(now, "h0", ts, 1).Granted)
-	for k := 0; k < 60 && !i.Ask(now, "h1", ts, 1).Granted; k++ {
-		i.Ask(now, "h0", ts, 1) // goes on renewing
+	assert.Assert(t, i.Acquire(now, "h0", ts, 1).Granted)
+	for k := 0; k < 60 && !i.Acquire(now, "h1", ts, 1).Granted; k++ {
+		i.Acquire(now, "h0", ts, 1) // goes on renewing
 		now = now.Add(2 * time.Second)
 	}
 	assert.DeepEqual(t, i.Holders(now), []string{"h1"})
@@ -49,16 +49,16 @@
 	i, now := onDuty(Config{StuckAfter: time.Minute})
 	ts := targets(4)
 	ts[3].Down, ts[3].DownSince = true, now
-	assert.Assert(t, !i.Ask(now, "h0", ts, 1).Granted, "one is down already")
-	assert.Assert(t, i.Ask(now, "h3", ts, 1).Granted, "the one that is out may switch")
+	assert.Assert(t, !i.Acquire(now, "h0", ts, 1).Granted, "one is down already")
+	assert.Assert(t, i.Acquire(now, "h3", ts, 1).Granted, "the one that is out may switch")
 	i.Done("h3")
 	later := now.Add(2 * time.Minute)
-	assert.Assert(t, i.Ask(later, "h0", ts, 1).Granted, "down for too long to wait for")
+	assert.Assert(t, i.Acquire(later, "h0", ts, 1).Granted, "down for too long to wait for")
 	i.Done("h0")
 	i.Out(later, "h1")
-	assert.Assert(t, !i.Ask(later, "h0", ts[:3], 1).Granted, "its engine does not serve")
+	assert.Assert(t, !i.Acquire(later, "h0", ts[:3], 1).Granted, "its engine does not serve")
 	i.Done("h1")
-	assert.Assert(t, i.Ask(later, "h0", ts[:3], 1).Granted)
+	assert.Assert(t, i.Acquire(later, "h0", ts[:3], 1).Granted)
 }
 
 // TestOraclePermits lets issuers come and go and hosts ask, renew, crash and
@@ -77,7 +77,7 @@
 			"ask": func(t *rapid.T) {
 				h := host(t)
 				asked := now
-				if d := issuers[duty].Ask(now, h, targets(hosts), allowed); d.Granted {
+				if d := issuers[duty].Acquire(now, h, targets(hosts), allowed); d.Granted {
 					until[h] = asked.Add(d.Lease)
 				}
 			},
