--- a/agent/permits.go
+++ b/agent/permits.go
@@ -148,7 +148,7 @@
 		is.Done(m.Host)
 		return &peer.PermitReply{}
 	case m.Out:
-		is.Out(now, m.Host)
+		is.ReportUnavailable(now, m.Host)
 		return &peer.PermitReply{}
 	}
 	targets := make([]rollout.Target, len(svc.Hosts))
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -120,9 +120,9 @@
 	return Decision{Granted: true, Lease: i.cfg.Lease}
 }
 
-// Out notes that the engine of host does not serve. The host repeats it at
+// ReportUnavailable notes that the engine of host does not serve. The host repeats it at
 // least once a lease while that lasts.
-func (i *Issuer) Out(now time.Time, host string) {
+func (i *Issuer) ReportUnavailable(now time.Time, host string) {
 	r, ok := i.reports[host]
 	if !ok || now.After(r.expires) {
 		r.since = now
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -55,7 +55,7 @@
 	later := now.Add(2 * time.Minute)
 	assert.Assert(t, i.Acquire(later, "h0", ts, 1).Granted, "down for too long to wait for")
 	i.Done("h0")
-	i.Out(later, "h1")
+	i.ReportUnavailable(later, "h1")
 	assert.Assert(t, !i.Acquire(later, "h0", ts[:3], 1).Granted, "its engine does not serve")
 	i.Done("h1")
 	assert.Assert(t, i.Acquire(later, "h0", ts[:3], 1).Granted)
