--- a/agent/permits.go
+++ b/agent/permits.go
@@ -145,7 +145,7 @@
 	is := p.issuer(now, s, m.Service)
 	switch {
 	case m.Done:
-		is.Done(m.Host)
+		is.Release(m.Host)
 		return &peer.PermitReply{}
 	case m.Out:
 		is.ReportUnavailable(now, m.Host)
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -131,8 +131,8 @@
 	i.reports[host] = r
 }
 
-// Done gives a permit back: the engine of host serves again.
-func (i *Issuer) Done(host string) {
+// Release gives a permit back: the engine of host serves again.
+func (i *Issuer) Release(host string) {
 	i.drop(host)
 	delete(i.reports, host)
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -51,13 +51,13 @@
 	ts[3].Down, ts[3].DownSince = true, now
 	assert.Assert(t, !i.Acquire(now, "h0", ts, 1).Granted, "one is down already")
 	assert.Assert(t, i.Acquire(now, "h3", ts, 1).Granted, "the one that is out may switch")
-	i.Done("h3")
+	i.Release("h3")
 	later := now.Add(2 * time.Minute)
 	assert.Assert(t, i.Acquire(later, "h0", ts, 1).Granted, "down for too long to wait for")
-	i.Done("h0")
+	i.Release("h0")
 	i.ReportUnavailable(later, "h1")
 	assert.Assert(t, !i.Acquire(later, "h0", ts[:3], 1).Granted, "its engine does not serve")
-	i.Done("h1")
+	i.Release("h1")
 	assert.Assert(t, i.Acquire(later, "h0", ts[:3], 1).Granted)
 }
 
@@ -84,7 +84,7 @@
 			"done": func(t *rapid.T) {
 				h := host(t)
 				delete(until, h)
-				issuers[duty].Done(h)
+				issuers[duty].Release(h)
 			},
 			"crash": func(t *rapid.T) { delete(until, host(t)) },
 			"issuer changes": func(t *rapid.T) {
