--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -1,9 +1,10 @@
-// Package rollout decides which engines may be out of service for a switch
-// of versions or roles. It is pure: clock readings are passed in.
+// Package rollout decides which engines may be taken out of service to switch
+// versions or roles. It performs no I/O, and clock readings are passed as
+// arguments.
 //
 // The first live host of a service by rendezvous hashing issues permits,
-// which are leases. A new issuer waits one lease before it grants, so that
-// the permits of the one before have run out.
+// which are leases. A new issuer waits one lease before it grants permits, so
+// that those of the previous issuer have expired.
 package rollout
 
 import (
@@ -22,10 +23,11 @@
 	// Default 5 s.
 	Lease time.Duration
 	// StuckAfter is how long one holder may renew a permit, and how long an
-	// unreachable host counts as unavailable, before it no longer stops the
+	// unreachable host counts as unavailable, before it no longer blocks the
 	// others. Default 5 min.
 	StuckAfter time.Duration
-	// Retry is when a refused host should ask again. Default 200 ms.
+	// Retry is the time after which a refused host should retry. Default
+	// 200 ms.
 	Retry time.Duration
 }
 
@@ -60,12 +62,12 @@
 
 // Issuer grants permits for one service.
 type Issuer struct {
-	cfg     Config
-	active  bool
-	since   time.Time // start of the duty
-	permits []permit
-	stuck   map[string]time.Time // host -> when its permit was withdrawn
-	reports map[string]report    // hosts whose engine does not serve
+	cfg         Config
+	active      bool
+	activeSince time.Time // when this host became the issuer
+	permits     []permit
+	stuck       map[string]time.Time // host -> when its permit was revoked
+	reports     map[string]report    // hosts whose engine does not serve
 }
 
 type report struct {
@@ -73,26 +75,26 @@
 	expires time.Time
 }
 
-// NewIssuer returns an issuer that is not on duty.
+// NewIssuer returns an inactive issuer.
 func NewIssuer(cfg Config) *Issuer {
 	return &Issuer{cfg: cfg.applyDefaults(), stuck: map[string]time.Time{}, reports: map[string]report{}}
 }
 
-// SetActive tells whether this host is the issuer now. When the duty starts
-// after a time without, grants begin one lease later.
+// SetActive sets whether this host is the issuer. An issuer that becomes
+// active grants no permit for one lease.
 func (i *Issuer) SetActive(now time.Time, on bool) {
 	if on && !i.active {
-		i.since = now
+		i.activeSince = now
 		i.permits = nil
 	}
 	i.active = on
 }
 
-// Acquire grants or renews a permit of host, if no more than maxUnavailable
-// targets would be out.
+// Acquire grants or renews a permit of host. It grants one only if no more than
+// maxUnavailable targets would then be unavailable.
 func (i *Issuer) Acquire(now time.Time, host string, targets []Target, maxUnavailable int) Decision {
 	refused := Decision{Retry: i.cfg.Retry}
-	if !i.active || now.Sub(i.since) < i.cfg.Lease {
+	if !i.active || now.Sub(i.activeSince) < i.cfg.Lease {
 		return refused
 	}
 	i.expire(now)
@@ -102,7 +104,7 @@
 	if at, ok := i.stuck[host]; ok && now.Sub(at) < i.cfg.Lease {
 		return refused
 	}
-	if i.out(now, host, targets)+1 > maxUnavailable {
+	if i.unavailable(now, host, targets)+1 > maxUnavailable {
 		return refused
 	}
 	delete(i.stuck, host)
@@ -120,8 +122,8 @@
 	return Decision{Granted: true, Lease: i.cfg.Lease}
 }
 
-// ReportUnavailable notes that the engine of host does not serve. The host repeats it at
-// least once a lease while that lasts.
+// ReportUnavailable records that the engine of host does not serve. The host
+// repeats the report at least once per lease while that is the case.
 func (i *Issuer) ReportUnavailable(now time.Time, host string) {
 	r, ok := i.reports[host]
 	if !ok || now.After(r.expires) {
@@ -131,7 +133,7 @@
 	i.reports[host] = r
 }
 
-// Release gives a permit back: the engine of host serves again.
+// Release returns the permit of host, whose engine serves again.
 func (i *Issuer) Release(host string) {
 	i.drop(host)
 	delete(i.reports, host)
@@ -147,22 +149,23 @@
 	return out
 }
 
-// out counts the targets that are out without host: holders of permits and
-// hosts that have been down for less than StuckAfter.
-func (i *Issuer) out(now time.Time, host string, targets []Target) int {
+// unavailable counts the unavailable targets other than host: holders of
+// permits, and hosts that have been unreachable, or reported as not serving,
+// for less than StuckAfter.
+func (i *Issuer) unavailable(now time.Time, host string, targets []Target) int {
 	n := len(i.permits)
 	for _, t := range targets {
 		if t.Host == host || i.find(t.Host) != nil {
 			continue
 		}
-		if t.Down && now.Sub(t.DownSince) < i.cfg.StuckAfter || !t.Down && i.reportedOut(now, t.Host) {
+		if t.Down && now.Sub(t.DownSince) < i.cfg.StuckAfter || !t.Down && i.reportedUnavailable(now, t.Host) {
 			n++
 		}
 	}
 	return n
 }
 
-func (i *Issuer) reportedOut(now time.Time, host string) bool {
+func (i *Issuer) reportedUnavailable(now time.Time, host string) bool {
 	r, ok := i.reports[host]
 	return ok && !now.After(r.expires) && now.Sub(r.since) < i.cfg.StuckAfter
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -19,7 +19,7 @@
 	return out
 }
 
-func onDuty(cfg Config) (*Issuer, time.Time) {
+func activeIssuer(cfg Config) (*Issuer, time.Time) {
 	i := NewIssuer(cfg)
 	i.SetActive(start, true)
 	return i, start.Add(DefaultLease)
@@ -34,19 +34,19 @@
 	assert.Assert(t, !i.Acquire(start.Add(time.Hour), "h1", targets(3), 3).Granted)
 }
 
-func TestStuckHostDoesNotStopOthersForEver(t *testing.T) {
-	i, now := onDuty(Config{StuckAfter: time.Minute})
+func TestStuckHostDoesNotBlockOthersForever(t *testing.T) {
+	i, now := activeIssuer(Config{StuckAfter: time.Minute})
 	ts := targets(3)
 	assert.Assert(t, i.Acquire(now, "h0", ts, 1).Granted)
 	for k := 0; k < 60 && !i.Acquire(now, "h1", ts, 1).Granted; k++ {
-		i.Acquire(now, "h0", ts, 1) // goes on renewing
+		i.Acquire(now, "h0", ts, 1) // keeps renewing
 		now = now.Add(2 * time.Second)
 	}
 	assert.DeepEqual(t, i.Holders(now), []string{"h1"})
 }
 
-func TestDownAndReportedHostsCount(t *testing.T) {
-	i, now := onDuty(Config{StuckAfter: time.Minute})
+func TestDownAndReportedHostsCountAsUnavailable(t *testing.T) {
+	i, now := activeIssuer(Config{StuckAfter: time.Minute})
 	ts := targets(4)
 	ts[3].Down, ts[3].DownSince = true, now
 	assert.Assert(t, !i.Acquire(now, "h0", ts, 1).Granted, "one is down already")
@@ -61,36 +61,36 @@
 	assert.Assert(t, i.Acquire(later, "h0", ts[:3], 1).Granted)
 }
 
-// TestOraclePermits lets issuers come and go and hosts ask, renew, crash and
-// pause. A host acts on a permit until its lease has run out by its own
-// count; at no time may more than the allowed number act.
+// TestOraclePermits changes the issuer while hosts acquire, renew and release
+// permits, crash and pause. A host uses a permit until its lease has expired by
+// its own clock; at no time may more hosts than allowed use one.
 func TestOraclePermits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const hosts, allowed = 6, 2
 		now := start
 		issuers := []*Issuer{NewIssuer(Config{}), NewIssuer(Config{}), NewIssuer(Config{})}
-		duty := 0
+		active := 0
 		issuers[0].SetActive(now, true)
 		until := map[string]time.Time{} // permits as the holders see them
 		host := func(t *rapid.T) string { return fmt.Sprintf("h%d", rapid.IntRange(0, hosts-1).Draw(t, "host")) }
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
 				h := host(t)
-				asked := now
-				if d := issuers[duty].Acquire(now, h, targets(hosts), allowed); d.Granted {
-					until[h] = asked.Add(d.Lease)
+				requestedAt := now
+				if d := issuers[active].Acquire(now, h, targets(hosts), allowed); d.Granted {
+					until[h] = requestedAt.Add(d.Lease)
 				}
 			},
 			"done": func(t *rapid.T) {
 				h := host(t)
 				delete(until, h)
-				issuers[duty].Release(h)
+				issuers[active].Release(h)
 			},
 			"crash": func(t *rapid.T) { delete(until, host(t)) },
 			"issuer changes": func(t *rapid.T) {
-				issuers[duty].SetActive(now, false)
-				duty = rapid.IntRange(0, len(issuers)-1).Draw(t, "issuer")
-				issuers[duty].SetActive(now, true)
+				issuers[active].SetActive(now, false)
+				active = rapid.IntRange(0, len(issuers)-1).Draw(t, "issuer")
+				issuers[active].SetActive(now, true)
 			},
 			"time": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(t, "ms")) * time.Millisecond)
