--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -49,11 +49,11 @@
 	i, now := activeIssuer(Config{StuckAfter: time.Minute})
 	ts := targets(4)
 	ts[3].Down, ts[3].DownSince = true, now
-	assert.Assert(t, !i.Acquire(now, "h0", ts, 1).Granted, "one is down already")
-	assert.Assert(t, i.Acquire(now, "h3", ts, 1).Granted, "the one that is out may switch")
+	assert.Assert(t, !i.Acquire(now, "h0", ts, 1).Granted, "another host is down already")
+	assert.Assert(t, i.Acquire(now, "h3", ts, 1).Granted, "the unavailable host itself may switch")
 	i.Release("h3")
 	later := now.Add(2 * time.Minute)
-	assert.Assert(t, i.Acquire(later, "h0", ts, 1).Granted, "down for too long to wait for")
+	assert.Assert(t, i.Acquire(later, "h0", ts, 1).Granted, "down for longer than StuckAfter")
 	i.Release("h0")
 	i.ReportUnavailable(later, "h1")
 	assert.Assert(t, !i.Acquire(later, "h0", ts[:3], 1).Granted, "its engine does not serve")
@@ -103,7 +103,7 @@
 					}
 				}
 				if n > allowed {
-					t.Fatalf("%d hosts are out at once", n)
+					t.Fatalf("%d hosts use a permit at once", n)
 				}
 			},
 		})
