--- a/entry/targets.go
+++ b/entry/targets.go
@@ -166,13 +166,13 @@
 	now := clock.Now()
 	old := w.report
 	w.status = *st
-	w.report = routing.Report{At: now, Incarn: st.Incarnation, Running: st.Running, Queued: st.Queued,
+	w.report = routing.Report{At: now, Incarnation: st.Incarnation, Running: st.Running, Queued: st.Queued,
 		Slots: st.Slots, Own: w.endpoint.Inflight(), ReadyFrom: old.ReadyFrom,
 		Ready: st.Ready && st.Service == w.service, Leaving: st.Leaving}
-	if !old.Ready || old.Incarn != st.Incarnation {
+	if !old.Ready || old.Incarnation != st.Incarnation {
 		w.report.ReadyFrom = now
 	}
-	if old.Ready != w.report.Ready || old.Leaving != w.report.Leaving || old.Incarn != w.report.Incarn {
+	if old.Ready != w.report.Ready || old.Leaving != w.report.Leaving || old.Incarnation != w.report.Incarnation {
 		t.rebuild()
 		return
 	}
@@ -202,7 +202,7 @@
 	total := map[string]int{}
 	for h, w := range t.hosts {
 		total[w.service]++
-		if m, _ := s.Member(h); m.State == membership.Leaving && m.Incarnation <= w.report.Incarn {
+		if m, _ := s.Member(h); m.State == membership.Leaving && m.Incarnation <= w.report.Incarnation {
 			continue
 		}
 		byService[w.service] = append(byService[w.service], routing.Candidate{Endpoint: w.endpoint, Report: w.report})
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -85,7 +85,7 @@
 // Report is a host's own account of its load.
 type Report struct {
 	At        time.Time // when this entry received it
-	Incarn    uint64
+	Incarnation    uint64
 	Running   int
 	Queued    int
 	Slots     int
