--- a/entry/targets.go
+++ b/entry/targets.go
@@ -167,7 +167,7 @@
 	old := w.report
 	w.status = *st
 	w.report = routing.Report{At: now, Incarnation: st.Incarnation, Running: st.Running, Queued: st.Queued,
-		Slots: st.Slots, Own: w.endpoint.Inflight(), ReadyFrom: old.ReadyFrom,
+		Slots: st.Slots, OwnInflight: w.endpoint.Inflight(), ReadyFrom: old.ReadyFrom,
 		Ready: st.Ready && st.Service == w.service, Leaving: st.Leaving}
 	if !old.Ready || old.Incarnation != st.Incarnation {
 		w.report.ReadyFrom = now
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -89,7 +89,7 @@
 	Running   int
 	Queued    int
 	Slots     int
-	Own       int64 // this entry's in-flight count when the report arrived
+	OwnInflight       int64 // this entry's in-flight count when the report arrived
 	ReadyFrom time.Time
 	Ready     bool
 	Leaving   bool
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -93,7 +93,7 @@
 // count less as the report ages. A target in slow start seems smaller.
 func (t *Table) load(c *Candidate, now time.Time) float64 {
 	r := &c.Report
-	others := float64(r.Running+r.Queued) - float64(r.Own)
+	others := float64(r.Running+r.Queued) - float64(r.OwnInflight)
 	if others > 0 {
 		others *= math.Exp2(-float64(now.Sub(r.At)) / float64(t.cfg.ReportHalfLife))
 	} else {
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -163,7 +163,7 @@
 		var cands []Candidate
 		for _, e := range s.engines {
 			c := ready(e.ends[k], s.clock())
-			c.Report.Running, c.Report.Queued, c.Report.Own = e.running, len(e.queue), e.ends[k].Inflight()
+			c.Report.Running, c.Report.Queued, c.Report.OwnInflight = e.running, len(e.queue), e.ends[k].Inflight()
 			cands = append(cands, c)
 		}
 		s.tables[k] = NewTable(Config{}, "d", cands)
