--- a/entry/targets.go
+++ b/entry/targets.go
@@ -167,10 +167,10 @@
 	old := w.report
 	w.status = *st
 	w.report = routing.Report{At: now, Incarnation: st.Incarnation, Running: st.Running, Queued: st.Queued,
-		Slots: st.Slots, OwnInflight: w.endpoint.Inflight(), ReadyFrom: old.ReadyFrom,
+		Slots: st.Slots, OwnInflight: w.endpoint.Inflight(), ReadySince: old.ReadySince,
 		Ready: st.Ready && st.Service == w.service, Leaving: st.Leaving}
 	if !old.Ready || old.Incarnation != st.Incarnation {
-		w.report.ReadyFrom = now
+		w.report.ReadySince = now
 	}
 	if old.Ready != w.report.Ready || old.Leaving != w.report.Leaving || old.Incarnation != w.report.Incarnation {
 		t.rebuild()
--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -90,7 +90,7 @@
 	Queued    int
 	Slots     int
 	OwnInflight       int64 // this entry's in-flight count when the report arrived
-	ReadyFrom time.Time
+	ReadySince time.Time
 	Ready     bool
 	Leaving   bool
 }
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -99,7 +99,7 @@
 	} else {
 		others = 0
 	}
-	slots := float64(max(1, r.Slots)) * t.ramp(now.Sub(r.ReadyFrom))
+	slots := float64(max(1, r.Slots)) * t.ramp(now.Sub(r.ReadySince))
 	return (float64(c.Endpoint.Inflight()) + others + 1) / slots
 }
 
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -16,7 +16,7 @@
 }
 
 func ready(e *Endpoint, at time.Time) Candidate {
-	return Candidate{e, Report{At: at, Slots: 8, Ready: true, ReadyFrom: at.Add(-time.Hour)}}
+	return Candidate{e, Report{At: at, Slots: 8, Ready: true, ReadySince: at.Add(-time.Hour)}}
 }
 
 func rng() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
@@ -65,7 +65,7 @@
 
 func TestSlowStart(t *testing.T) {
 	fresh, old := ready(endpoint(0, "d"), start), ready(endpoint(1, "d"), start)
-	fresh.Report.ReadyFrom = start
+	fresh.Report.ReadySince = start
 	tab := NewTable(Config{}, "d", []Candidate{fresh, old})
 	assert.Assert(t, picks(tab, start, 1000)["h0000"] < 400)
 	later := start.Add(time.Second)
