--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -21,9 +21,9 @@
 	// SlowStart is how long a target that became ready takes to get its full
 	// share. Default 5 s.
 	SlowStart time.Duration
-	// SpillAt is the load per slot of the best near host above which hosts of
+	// SpillThreshold is the load per slot of the best near host above which hosts of
 	// other failure domains are considered too. Default 1.
-	SpillAt float64
+	SpillThreshold float64
 	// PreferUpTo is the load per slot up to which the host that holds a
 	// prompt's prefix is preferred to the less loaded. Default 1.
 	PreferUpTo float64
@@ -42,7 +42,7 @@
 	c.ReportMaxAge = cmp.Or(c.ReportMaxAge, 2*time.Second)
 	c.ReportHalfLife = cmp.Or(c.ReportHalfLife, 500*time.Millisecond)
 	c.SlowStart = cmp.Or(c.SlowStart, 5*time.Second)
-	c.SpillAt = cmp.Or(c.SpillAt, 1)
+	c.SpillThreshold = cmp.Or(c.SpillThreshold, 1)
 	c.PreferUpTo = cmp.Or(c.PreferUpTo, 1)
 	c.EjectAfter = cmp.Or(c.EjectAfter, 5)
 	c.EjectFor = cmp.Or(c.EjectFor, 2*time.Second)
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -43,7 +43,7 @@
 // with it. The cost does not grow with the table.
 func (t *Table) Pick(now time.Time, rng *rand.Rand, exclude []string) *Candidate {
 	best, load := t.pickFrom(t.near, now, rng, exclude)
-	if best != nil && load <= t.cfg.SpillAt {
+	if best != nil && load <= t.cfg.SpillThreshold {
 		return best
 	}
 	other, otherLoad := t.pickFrom(t.far, now, rng, exclude)
