--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -24,9 +24,9 @@
 	// SpillThreshold is the load per slot of the best near host above which hosts of
 	// other failure domains are considered too. Default 1.
 	SpillThreshold float64
-	// PreferUpTo is the load per slot up to which the host that holds a
+	// PrefixMaxLoad is the load per slot up to which the host that holds a
 	// prompt's prefix is preferred to the less loaded. Default 1.
-	PreferUpTo float64
+	PrefixMaxLoad float64
 	// EjectAfter is how many failures in a row eject a host. Default 5.
 	EjectAfter int
 	// EjectFor is how long the first ejection lasts; each further one lasts
@@ -43,7 +43,7 @@
 	c.ReportHalfLife = cmp.Or(c.ReportHalfLife, 500*time.Millisecond)
 	c.SlowStart = cmp.Or(c.SlowStart, 5*time.Second)
 	c.SpillThreshold = cmp.Or(c.SpillThreshold, 1)
-	c.PreferUpTo = cmp.Or(c.PreferUpTo, 1)
+	c.PrefixMaxLoad = cmp.Or(c.PrefixMaxLoad, 1)
 	c.EjectAfter = cmp.Or(c.EjectAfter, 5)
 	c.EjectFor = cmp.Or(c.EjectFor, 2*time.Second)
 	c.MaxEjected = cmp.Or(c.MaxEjected, 0.3)
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -16,7 +16,7 @@
 // Endpoint Picker Routes"; docs/design/requests.md compares this with the index
 // described there.
 func (t *Table) PickPrefix(now time.Time, rng *rand.Rand, prefix string, exclude []string) *Candidate {
-	if c := t.home(prefix); c != nil && t.usable(c, now, exclude) && t.load(c, now) <= t.cfg.PreferUpTo {
+	if c := t.home(prefix); c != nil && t.usable(c, now, exclude) && t.load(c, now) <= t.cfg.PrefixMaxLoad {
 		return c
 	}
 	return t.Pick(now, rng, exclude)
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -209,7 +209,7 @@
 // prefer returns the named host if it has room.
 func (s *affinitySim) prefer(t *Table, host string) *Candidate {
 	for i := range t.near {
-		if c := &t.near[i]; c.Endpoint.Host == host && t.load(c, s.clock()) <= t.cfg.PreferUpTo {
+		if c := &t.near[i]; c.Endpoint.Host == host && t.load(c, s.clock()) <= t.cfg.PrefixMaxLoad {
 			return c
 		}
 	}
