--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -1,6 +1,7 @@
-// Package routing chooses the target host of a request in the mode of `springgate serve`;
-// package dispatch does in that of `springgate gateway`, which uses the retry budget of here.
-// It is pure: clock readings and randomness are passed in, and picking allocates nothing.
+// Package routing selects the target host of a request in the mode of `springgate serve`.
+// In the mode of `springgate gateway` package dispatch does so, with the retry budget of
+// this package. Package routing performs no I/O; clock readings and randomness are passed
+// as arguments, and picking a host does not allocate.
 package routing
 
 import (
@@ -9,31 +10,32 @@
 	"time"
 )
 
-// Config holds the constants of the choice.
+// Config holds the parameters of the selection.
 type Config struct {
 	// ReportMaxAge is the age of a host's status report after which the host
-	// gets no new work. A lower value stops work to paused or cut-off hosts
-	// sooner and needs more reports. Default 2 s.
+	// receives no new requests. A lower value stops requests to paused or
+	// partitioned hosts sooner and needs more frequent reports. Default 2 s.
 	ReportMaxAge time.Duration
-	// ReportHalfLife is the time in which a report of other entries' load
+	// ReportHalfLife is the time in which the reported load of other entries
 	// loses half its weight. Default 500 ms.
 	ReportHalfLife time.Duration
-	// SlowStart is how long a target that became ready takes to get its full
-	// share. Default 5 s.
+	// SlowStart is how long a target takes to receive its full share after it
+	// became ready. Default 5 s.
 	SlowStart time.Duration
 	// SpillThreshold is the load per slot of the best near host above which hosts of
 	// other failure domains are considered too. Default 1.
 	SpillThreshold float64
 	// PrefixMaxLoad is the load per slot up to which the host that holds a
-	// prompt's prefix is preferred to the less loaded. Default 1.
+	// prompt's prefix is preferred to less loaded ones. Default 1.
 	PrefixMaxLoad float64
-	// EjectAfter is how many failures in a row eject a host. Default 5.
+	// EjectAfter is the number of consecutive failures that ejects a host.
+	// Default 5.
 	EjectAfter int
 	// EjectFor is how long the first ejection lasts; each further one lasts
 	// that much longer, up to ten times. Default 2 s.
 	EjectFor time.Duration
-	// MaxEjected is the largest part of the hosts that may be ejected at
-	// once; above it the host stays. Default 0.3.
+	// MaxEjected is the largest fraction of the hosts that may be ejected at
+	// once. Default 0.3.
 	MaxEjected float64
 }
 
@@ -50,26 +52,26 @@
 	return c
 }
 
-// maxEjectFactor bounds how much longer repeated ejections get.
+// maxEjectFactor limits the duration of repeated ejections to a multiple of EjectFor.
 const maxEjectFactor = 10
 
-// Endpoint is what an entry counts about one host. The counters are shared by
-// all traffic goroutines.
+// Endpoint holds an entry's request counters for one host. They are shared by
+// all goroutines that handle requests.
 type Endpoint struct {
 	Host   string
 	Addr   string
 	Domain string
 
 	inflight  atomic.Int64
-	failures  atomic.Int64 // in a row
+	failures  atomic.Int64 // consecutive
 	ejections atomic.Int64
 }
 
 // Started counts a request sent to the host.
 func (e *Endpoint) Started() { e.inflight.Add(1) }
 
-// Finished counts a request that ended there; ok is false if the host failed
-// it. It reports whether the failures in a row have reached limit.
+// Finished counts a request that has ended; ok is false if the host failed it.
+// It reports whether the consecutive failures have reached limit.
 func (e *Endpoint) Finished(ok bool, limit int) bool {
 	e.inflight.Add(-1)
 	if ok {
@@ -79,23 +81,23 @@
 	return e.failures.Add(1) >= int64(limit)
 }
 
-// Inflight returns how many requests of this entry are at the host.
+// Inflight returns the number of this entry's requests in flight at the host.
 func (e *Endpoint) Inflight() int64 { return e.inflight.Load() }
 
-// Report is a host's own account of its load.
+// Report is the load status that a host reported.
 type Report struct {
-	At        time.Time // when this entry received it
-	Incarnation    uint64
-	Running   int
-	Queued    int
-	Slots     int
-	OwnInflight       int64 // this entry's in-flight count when the report arrived
-	ReadySince time.Time
-	Ready     bool
-	Leaving   bool
+	At          time.Time // when this entry received it
+	Incarnation uint64
+	Running     int
+	Queued      int
+	Slots       int
+	OwnInflight int64 // this entry's in-flight count when the report arrived
+	ReadySince  time.Time
+	Ready       bool
+	Leaving     bool
 }
 
-// Candidate is a host that may get requests.
+// Candidate is a host that may receive requests.
 type Candidate struct {
 	Endpoint *Endpoint
 	Report   Report
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Ejector keeps the hosts that are taken out because they failed requests. It
-// is owned by one goroutine.
+// Ejector tracks the hosts that are temporarily excluded because they failed
+// requests. It must be used by a single goroutine.
 type Ejector struct {
 	cfg   Config
 	until map[string]time.Time
@@ -14,8 +14,8 @@
 	return &Ejector{cfg: cfg.ApplyDefaults(), until: map[string]time.Time{}}
 }
 
-// Check ejects e if it has failed too often in a row, unless too many of the
-// service's hosts are out already. total is the number of hosts.
+// Check ejects e after too many consecutive failures, unless too many of the
+// service's hosts are ejected already. total is the number of its hosts.
 func (j *Ejector) Check(now time.Time, e *Endpoint, total int) {
 	if e.failures.Load() < int64(j.cfg.EjectAfter) || now.Before(j.until[e.Host]) {
 		return
@@ -28,7 +28,7 @@
 	j.until[e.Host] = now.Add(time.Duration(n) * j.cfg.EjectFor)
 }
 
-// Ejected reports whether the host is out now.
+// Ejected reports whether the host is currently ejected.
 func (j *Ejector) Ejected(now time.Time, host string) bool { return now.Before(j.until[host]) }
 
 func (j *Ejector) active(now time.Time) int {
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -15,7 +15,7 @@
 }
 
 // NewTable returns a table for an entry in the given failure domain. Hosts
-// that are not ready or leaving are left out.
+// that are leaving or not ready are left out.
 func NewTable(cfg Config, domain string, cands []Candidate) *Table {
 	t := &Table{cfg: cfg.ApplyDefaults()}
 	for _, c := range cands {
@@ -34,13 +34,13 @@
 // Len returns how many candidates the table holds.
 func (t *Table) Len() int { return len(t.near) + len(t.far) }
 
-// draws is how often a random draw is repeated when it hits a host that is
-// excluded or stale, before all are scanned.
-const draws = 4
+// maxDraws is how many random draws may hit an excluded or stale host before all
+// hosts are scanned.
+const maxDraws = 4
 
 // Pick returns the host for a request, or nil. Two random near hosts are
-// compared by load; if the better one is above SpillAt, two far hosts compete
-// with it. The cost does not grow with the table.
+// compared by load; if the better one is above SpillThreshold, two far hosts
+// compete with it. The cost does not grow with the table.
 func (t *Table) Pick(now time.Time, rng *rand.Rand, exclude []string) *Candidate {
 	best, load := t.pickFrom(t.near, now, rng, exclude)
 	if best != nil && load <= t.cfg.SpillThreshold {
@@ -70,7 +70,7 @@
 }
 
 func (t *Table) draw(cands []Candidate, now time.Time, rng *rand.Rand, exclude []string) *Candidate {
-	for range draws {
+	for range maxDraws {
 		if c := &cands[rng.IntN(len(cands))]; t.usable(c, now, exclude) {
 			return c
 		}
@@ -88,9 +88,10 @@
 	return now.Sub(c.Report.At) <= t.cfg.ReportMaxAge && !slices.Contains(exclude, c.Endpoint.Host)
 }
 
-// load estimates the work at a host per slot: this entry's own requests,
-// which it knows exactly, and those of others from the last report, which
-// count less as the report ages. A target in slow start seems smaller.
+// load estimates the load of a host per slot, from this entry's own requests,
+// which are known exactly, and the requests of others in the last report, whose
+// weight decays with the age of the report. A target in slow start counts with
+// fewer slots.
 func (t *Table) load(c *Candidate, now time.Time) float64 {
 	r := &c.Report
 	others := float64(r.Running+r.Queued) - float64(r.OwnInflight)
@@ -103,7 +104,7 @@
 	return (float64(c.Endpoint.Inflight()) + others + 1) / slots
 }
 
-// minRamp is the share of its slots that a target starts with.
+// minRamp is the fraction of its slots with which a target begins slow start.
 const minRamp = 0.1
 
 func (t *Table) ramp(ready time.Duration) float64 {
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -28,9 +28,9 @@
 	assert.Assert(t, tab.PickPrefix(start, rng(), "p", nil).Endpoint != home, "it is full")
 }
 
-// The benchmark below compares ways of routing to prompt caches, over fake
-// engines in virtual time: engines batch, and cache prompt blocks in limited
-// memory; conversations go on turn by turn, through any entry.
+// The benchmark below compares strategies for routing to prompt caches, with
+// simulated engines in virtual time. Engines batch requests and cache prompt
+// blocks in limited memory; each turn of a conversation may use any entry.
 const (
 	simEngines = 12
 	simEntries = 2
@@ -42,14 +42,14 @@
 	simBase    = 10 * time.Millisecond // first token of a cached prompt
 	simPrefill = 3 * time.Millisecond  // for each block that is not cached
 	simDecode  = 400 * time.Millisecond
-	simThink   = 5 * time.Second
+	simThink   = 5 * time.Second // mean pause between turns
 	simSpan    = 3 * time.Minute
-	simLag     = time.Second // of cache events
-	simLost    = 0.2         // of cache events
+	simLag     = time.Second // delay of cache events
+	simLost    = 0.2         // fraction of cache events that are lost
 	simReport  = 800 * time.Millisecond
 )
 
-// prefixIndex is the way that was weighed against PickPrefix. It remembers to
+// prefixIndex is the alternative to PickPrefix in the comparison. It records to
 // which host the last prompt with a block was sent.
 type prefixIndex struct {
 	lru *simplelru.LRU[uint64, string]
@@ -76,40 +76,40 @@
 	return host, length
 }
 
-// record notes that a prompt was sent to a host.
+// record records that a prompt was sent to a host.
 func (x *prefixIndex) record(blocks []uint64, host string) {
 	for _, h := range blocks {
 		x.lru.Add(h, host)
 	}
 }
 
-// forget removes what the index holds of a block, if it is at the host.
-func (x *prefixIndex) forget(block uint64, host string) {
+// remove removes a block from the index if it is recorded for the host.
+func (x *prefixIndex) remove(block uint64, host string) {
 	if v, ok := x.lru.Peek(block); ok && v == host {
 		x.lru.Remove(block)
 	}
 }
 
 type simEngine struct {
-	cache   *simplelru.LRU[uint64, bool]
-	running int
-	queue   []func()
-	ends    []*Endpoint // one for each entry
+	cache     *simplelru.LRU[uint64, bool]
+	running   int
+	queue     []func()
+	endpoints []*Endpoint // one for each entry
 }
 
 type affinitySim struct {
-	now     time.Duration
-	seq     int
-	events  simEvents
-	rng     *rand.Rand
-	mode    string
-	engines []*simEngine
-	index   []*prefixIndex // one for each entry
-	tables  []*Table
-	first   []time.Duration
-	hit     int
-	blocks  int
-	done    int
+	now       time.Duration
+	seq       int
+	events    simEvents
+	rng       *rand.Rand
+	mode      string
+	engines   []*simEngine
+	index     []*prefixIndex // one for each entry
+	tables    []*Table
+	ttft      []time.Duration
+	hits      int
+	blocks    int
+	completed int
 }
 
 type simEvent struct {
@@ -145,7 +145,7 @@
 		e := &simEngine{}
 		e.cache, _ = simplelru.NewLRU[uint64, bool](simCache, func(b uint64, _ bool) { s.cacheEvent(i, b, false) })
 		for range simEntries {
-			e.ends = append(e.ends, endpoint(i, "d"))
+			e.endpoints = append(e.endpoints, endpoint(i, "d"))
 		}
 		s.engines = append(s.engines, e)
 	}
@@ -157,13 +157,13 @@
 	return s
 }
 
-// report gives all entries a fresh status of all engines.
+// report updates the status of all engines at all entries.
 func (s *affinitySim) report() {
 	for k := range simEntries {
 		var cands []Candidate
 		for _, e := range s.engines {
-			c := ready(e.ends[k], s.clock())
-			c.Report.Running, c.Report.Queued, c.Report.OwnInflight = e.running, len(e.queue), e.ends[k].Inflight()
+			c := ready(e.endpoints[k], s.clock())
+			c.Report.Running, c.Report.Queued, c.Report.OwnInflight = e.running, len(e.queue), e.endpoints[k].Inflight()
 			cands = append(cands, c)
 		}
 		s.tables[k] = NewTable(Config{}, "d", cands)
@@ -171,17 +171,18 @@
 	s.after(simReport, s.report)
 }
 
-// cacheEvent is a block that came or went, told late and with gaps.
-func (s *affinitySim) cacheEvent(engine int, block uint64, there bool) {
+// cacheEvent reports a block that an engine cached or evicted. Events are
+// delayed, and some are lost.
+func (s *affinitySim) cacheEvent(engine int, block uint64, cached bool) {
 	if s.mode != "events" || s.rng.Float64() < simLost {
 		return
 	}
 	s.after(simLag, func() {
 		for _, x := range s.index {
-			if there {
-				x.lru.Add(block, s.engines[engine].ends[0].Host)
+			if cached {
+				x.lru.Add(block, s.engines[engine].endpoints[0].Host)
 			} else {
-				x.forget(block, s.engines[engine].ends[0].Host)
+				x.remove(block, s.engines[engine].endpoints[0].Host)
 			}
 		}
 	})
@@ -194,7 +195,7 @@
 	case "approximate", "events":
 		host, _ := s.index[entry].best(blocks)
 		c = s.prefer(t, host)
-	case "rendezvous": // by the first block of the conversation's own
+	case "rendezvous": // by the first block that is specific to the conversation
 		c = t.PickPrefix(s.clock(), s.rng, fmt.Sprint(blocks[simSystem]), nil)
 	}
 	if c == nil {
@@ -203,10 +204,10 @@
 	if s.mode == "approximate" {
 		s.index[entry].record(blocks, c.Endpoint.Host)
 	}
-	return slices.IndexFunc(s.engines, func(e *simEngine) bool { return e.ends[0].Host == c.Endpoint.Host })
+	return slices.IndexFunc(s.engines, func(e *simEngine) bool { return e.endpoints[0].Host == c.Endpoint.Host })
 }
 
-// prefer returns the named host if it has room.
+// prefer returns the named host if its load is at most PrefixMaxLoad.
 func (s *affinitySim) prefer(t *Table, host string) *Candidate {
 	for i := range t.near {
 		if c := &t.near[i]; c.Endpoint.Host == host && t.load(c, s.clock()) <= t.cfg.PrefixMaxLoad {
@@ -227,9 +228,9 @@
 	}
 	entry := s.rng.IntN(simEntries)
 	i := s.choose(entry, blocks)
-	e, asked := s.engines[i], s.now
-	e.ends[entry].Started()
-	run := func() { s.run(i, entry, blocks, asked, conversation, n) }
+	e, arrivedAt := s.engines[i], s.now
+	e.endpoints[entry].Started()
+	run := func() { s.run(i, entry, blocks, arrivedAt, conversation, n) }
 	if e.running < simSlots {
 		e.running++
 		run()
@@ -238,7 +239,7 @@
 	}
 }
 
-func (s *affinitySim) run(i, entry int, blocks []uint64, asked time.Duration, conversation, n int) {
+func (s *affinitySim) run(i, entry int, blocks []uint64, arrivedAt time.Duration, conversation, n int) {
 	e, hit := s.engines[i], 0
 	for _, b := range blocks {
 		if _, ok := e.cache.Get(b); !ok {
@@ -246,10 +247,10 @@
 		}
 		hit++
 	}
-	s.hit += hit
+	s.hits += hit
 	s.blocks += len(blocks)
 	prefill := simBase + time.Duration(len(blocks)-hit)*simPrefill
-	s.first = append(s.first, s.now-asked+prefill)
+	s.ttft = append(s.ttft, s.now-arrivedAt+prefill)
 	s.after(prefill, func() {
 		for _, b := range blocks {
 			if !e.cache.Contains(b) {
@@ -259,8 +260,8 @@
 		}
 	})
 	s.after(prefill+simDecode, func() {
-		s.done++
-		e.ends[entry].Finished(true, 1)
+		s.completed++
+		e.endpoints[entry].Finished(true, 1)
 		e.running--
 		if len(e.queue) > 0 {
 			next := e.queue[0]
@@ -274,8 +275,8 @@
 	})
 }
 
-// play starts conversations so that rate requests a second arrive.
-func (s *affinitySim) play(rate float64) {
+// simulate starts conversations so that rate requests per second arrive.
+func (s *affinitySim) simulate(rate float64) {
 	conversations := 0
 	var begin func()
 	begin = func() {
@@ -301,12 +302,12 @@
 			b.Run(fmt.Sprintf("load=%.1f/%s", load, mode), func(b *testing.B) {
 				for range b.N {
 					s := newAffinitySim(mode)
-					s.play(load * capacity)
-					slices.Sort(s.first)
-					b.ReportMetric(float64(s.hit)/float64(s.blocks), "hit-rate")
-					b.ReportMetric(float64(s.first[len(s.first)/2].Milliseconds()), "ttft-p50-ms")
-					b.ReportMetric(float64(s.first[len(s.first)*95/100].Milliseconds()), "ttft-p95-ms")
-					b.ReportMetric(float64(s.done)/simSpan.Seconds(), "done/s")
+					s.simulate(load * capacity)
+					slices.Sort(s.ttft)
+					b.ReportMetric(float64(s.hits)/float64(s.blocks), "hit-rate")
+					b.ReportMetric(float64(s.ttft[len(s.ttft)/2].Milliseconds()), "ttft-p50-ms")
+					b.ReportMetric(float64(s.ttft[len(s.ttft)*95/100].Milliseconds()), "ttft-p95-ms")
+					b.ReportMetric(float64(s.completed)/simSpan.Seconds(), "done/s")
 				}
 			})
 		}
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -9,15 +9,16 @@
 
 // BudgetConfig bounds retries.
 type BudgetConfig struct {
-	// Ratio is how many retries each recent success pays for. A higher ratio
-	// hides more failures and adds more load when all fail. Default 0.2.
+	// Ratio is how many retries each success adds to the budget. A higher
+	// ratio hides more failures and adds more load when all requests fail.
+	// Default 0.2.
 	Ratio float64
 	// Reserve is how many retries are allowed without any success, and the
-	// floor to which the budget refills at one a second. Default 10.
+	// level to which the budget refills at one per second. Default 10.
 	Reserve float64
-	// Cap bounds what may be saved up. Default 100.
+	// Cap limits the size of the budget. Default 100.
 	Cap float64
-	// NoRefill leaves the reserve to what requests pay in.
+	// NoRefill disables the refill over time: only successes add to the budget.
 	NoRefill bool
 }
 
@@ -32,9 +33,9 @@
 type Budget struct {
 	cfg BudgetConfig
 
-	mu     sync.Mutex
-	tokens float64
-	at     time.Time
+	mu        sync.Mutex
+	tokens    float64
+	lastSpend time.Time
 }
 
 // NewBudget returns a budget that holds its reserve.
@@ -43,7 +44,7 @@
 	return &Budget{cfg: cfg, tokens: cfg.Reserve}
 }
 
-// Resize changes how much may be saved up. What was spent stays spent.
+// Resize changes the cap. It does not restore retries that were spent.
 func (b *Budget) Resize(limit float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -51,21 +52,21 @@
 	b.tokens = min(b.tokens, limit)
 }
 
-// Success pays in for one completed request.
+// Success adds to the budget for one completed request.
 func (b *Budget) Success() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(b.cfg.Cap, b.tokens+b.cfg.Ratio)
 }
 
-// Spend takes one retry out, or reports false if the budget is used up.
+// Spend takes one retry from the budget, or returns false if it is exhausted.
 func (b *Budget) Spend(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.tokens < b.cfg.Reserve && !b.at.IsZero() && !b.cfg.NoRefill {
-		b.tokens = min(b.cfg.Reserve, b.tokens+now.Sub(b.at).Seconds())
+	if b.tokens < b.cfg.Reserve && !b.lastSpend.IsZero() && !b.cfg.NoRefill {
+		b.tokens = min(b.cfg.Reserve, b.tokens+now.Sub(b.lastSpend).Seconds())
 	}
-	b.at = now
+	b.lastSpend = now
 	if b.tokens < 1 {
 		return false
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -32,7 +32,7 @@
 	return out
 }
 
-func TestPickLeavesOut(t *testing.T) {
+func TestPickExcludesUnusableHosts(t *testing.T) {
 	stale := ready(endpoint(1, "d"), start.Add(-3*time.Second))
 	leaving := ready(endpoint(2, "d"), start)
 	leaving.Report.Leaving = true
@@ -54,7 +54,7 @@
 	assert.Assert(t, got["h0001"] > 700, "%v", got)
 }
 
-func TestReportsCountLessWithAge(t *testing.T) {
+func TestReportWeightDecaysWithAge(t *testing.T) {
 	a, b := ready(endpoint(0, "d"), start), ready(endpoint(1, "d"), start)
 	a.Report.Running = 6
 	tab := NewTable(Config{}, "d", []Candidate{a, b})
@@ -72,7 +72,7 @@
 	assert.Assert(t, tab.load(&fresh, later) < tab.load(&fresh, start))
 }
 
-func TestNearFirstUnlessLoaded(t *testing.T) {
+func TestNearHostsPreferredUnlessLoaded(t *testing.T) {
 	near, far := endpoint(0, "d"), endpoint(1, "e")
 	tab := NewTable(Config{}, "d", []Candidate{ready(near, start), ready(far, start)})
 	assert.DeepEqual(t, picks(tab, start, 100), map[string]int{"h0000": 100})
@@ -82,7 +82,7 @@
 	assert.DeepEqual(t, picks(tab, start, 100), map[string]int{"h0001": 100})
 }
 
-func TestEjectionHasAFloor(t *testing.T) {
+func TestEjectionIsLimited(t *testing.T) {
 	cfg := Config{}.ApplyDefaults()
 	j := NewEjector(cfg)
 	var eps []*Endpoint
@@ -137,16 +137,17 @@
 	return out
 }
 
-// TestSubsetsAreEven counts how many entries keep each target, at full size.
+// TestSubsetsAreEven counts how many entries connect to each target in a large
+// fleet.
 func TestSubsetsAreEven(t *testing.T) {
 	entries, targets := nodes("e", 390, 7), nodes("t", 4400, 7)
-	held := map[string]int{}
+	entriesPerTarget := map[string]int{}
 	for _, e := range entries {
 		s := Subset(e, entries, targets, "svc", 64)
 		assert.Equal(t, len(s), 64)
 		near, seen := 0, map[string]bool{}
 		for _, n := range s {
-			held[n.Host]++
+			entriesPerTarget[n.Host]++
 			assert.Assert(t, !seen[n.Host])
 			seen[n.Host] = true
 			if n.Domain == e.Domain {
@@ -157,13 +158,13 @@
 	}
 	lo, hi := 1<<30, 0
 	for _, n := range targets {
-		lo, hi = min(lo, held[n.Host]), max(hi, held[n.Host])
+		lo, hi = min(lo, entriesPerTarget[n.Host]), max(hi, entriesPerTarget[n.Host])
 	}
 	t.Logf("each target is kept by %d to %d of %d entries", lo, hi, len(entries))
 	assert.Assert(t, lo >= 3 && hi <= 9, "%d to %d", lo, hi)
 }
 
-func TestSubsetOfFewIsAll(t *testing.T) {
+func TestSubsetOfFewTargetsIsAll(t *testing.T) {
 	targets := nodes("t", 12, 3)
 	assert.Equal(t, len(Subset(Node{"e0000", "d0"}, nodes("e", 2, 2), targets, "svc", 64)), 12)
 }
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -13,15 +13,16 @@
 	Domain string
 }
 
-// nearShare is the part of a subset that is taken from the entry's own
+// nearShare is the fraction of a subset that is taken from the entry's own
 // failure domain, in quarters.
 const nearShare = 3
 
 // Subset returns the targets that an entry keeps connections to: at most
 // size, three quarters from its own failure domain if it has as many. Targets
-// lie on a ring in an order that all entries share, and each entry takes the
-// stretch that starts at its own place among the entries; so every target is
-// in as many subsets as any other, give or take one.
+// form a ring in an order that all entries share, and each entry takes
+// consecutive targets from the position on the ring that corresponds to its own
+// position among the entries, so that targets are spread evenly over the
+// subsets.
 func Subset(self Node, entries, targets []Node, key string, size int) []Node {
 	if len(targets) <= size {
 		return targets
@@ -29,18 +30,18 @@
 	inDomain := func(n Node) bool { return n.Domain == self.Domain }
 	all := func(Node) bool { return true }
 	outside := func(n Node) bool { return !inDomain(n) }
-	near := stretch(self, filter(entries, inDomain), filter(targets, inDomain), key, size*nearShare/4, all)
-	return append(near, stretch(self, entries, targets, key, size-len(near), outside)...)
+	near := ringSegment(self, filter(entries, inDomain), filter(targets, inDomain), key, size*nearShare/4, all)
+	return append(near, ringSegment(self, entries, targets, key, size-len(near), outside)...)
 }
 
-// stretch returns the first size targets that match, from the entry's own
-// place on the ring of targets.
-func stretch(self Node, entries, targets []Node, key string, size int, match func(Node) bool) []Node {
+// ringSegment returns the first size targets that match, starting at the
+// entry's own position on the ring of targets.
+func ringSegment(self Node, entries, targets []Node, key string, size int, match func(Node) bool) []Node {
 	targets, entries = slices.Clone(targets), slices.Clone(entries)
-	ring(targets, key)
-	ring(entries, key)
-	at := max(0, slices.Index(entries, self))
-	start := at * len(targets) / max(1, len(entries))
+	sortRing(targets, key)
+	sortRing(entries, key)
+	position := max(0, slices.Index(entries, self))
+	start := position * len(targets) / max(1, len(entries))
 	out := make([]Node, 0, size)
 	for i := 0; i < len(targets) && len(out) < size; i++ {
 		if n := targets[(start+i)%len(targets)]; match(n) {
@@ -50,8 +51,8 @@
 	return out
 }
 
-// ring sorts nodes into the shared order for key.
-func ring(nodes []Node, key string) {
+// sortRing sorts nodes into the shared order for key.
+func sortRing(nodes []Node, key string) {
 	scores := make(map[Node]uint64, len(nodes))
 	for _, n := range nodes {
 		scores[n] = membership.Score(key, n.Host)
@@ -61,7 +62,7 @@
 	})
 }
 
-// filter returns a new slice, so that the caller's order is left alone.
+// filter returns a new slice, so that the caller's slice is not modified.
 func filter(nodes []Node, keep func(Node) bool) []Node {
 	var out []Node
 	for _, n := range nodes {
