--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -20,12 +20,12 @@
 		assert.Equal(t, tab.PickPrefix(start, rng(), "p", nil).Endpoint, home)
 	}
 	other := NewTable(Config{}, "e", []Candidate{ready(b, start), ready(a, start)})
-	assert.Equal(t, other.PickPrefix(start, rng(), "p", nil).Endpoint.Host, home.Host, "another entry agrees")
+	assert.Equal(t, other.PickPrefix(start, rng(), "p", nil).Endpoint.Host, home.Host, "another entry selects the same host")
 	assert.Assert(t, tab.PickPrefix(start, rng(), "p", []string{home.Host}).Endpoint != home)
 	for range 9 {
 		home.Started()
 	}
-	assert.Assert(t, tab.PickPrefix(start, rng(), "p", nil).Endpoint != home, "it is full")
+	assert.Assert(t, tab.PickPrefix(start, rng(), "p", nil).Endpoint != home, "its load is above PrefixMaxLoad")
 }
 
 // The benchmark below compares strategies for routing to prompt caches, with
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -160,8 +160,8 @@
 	for _, n := range targets {
 		lo, hi = min(lo, entriesPerTarget[n.Host]), max(hi, entriesPerTarget[n.Host])
 	}
-	t.Logf("each target is kept by %d to %d of %d entries", lo, hi, len(entries))
-	assert.Assert(t, lo >= 3 && hi <= 9, "%d to %d", lo, hi)
+	t.Logf("each target is in the subsets of %d to %d of %d entries", lo, hi, len(entries))
+	assert.Assert(t, lo >= 3 && hi <= 9, "a target is in %d to %d subsets", lo, hi)
 }
 
 func TestSubsetOfFewTargetsIsAll(t *testing.T) {
