--- a/admission/queue.go
+++ b/admission/queue.go
@@ -1,11 +1,14 @@
-// Package admission decides at a target host which requests run, wait or are refused, in the
-// mode of `springgate serve`; in that of `springgate gateway` package dispatch does. It is pure: clock readings are passed in.
+// Package admission decides at a target host which requests run, wait or are
+// refused, in the mode of `springgate serve`. In the mode of `springgate
+// gateway` package dispatch does so. Package admission performs no I/O, and
+// clock readings are passed as arguments.
 //
 // Teams share the target by weight with start-time fair queueing. Within a
-// team the more urgent go first, then the earlier; a retry stands behind as
-// many later first tries as the queue holds, so it neither delays nor waits
-// for ever. When the queue is full, the team that holds most of it in relation
-// to its weight gives way, so a large team cannot keep a small one out.
+// team more urgent requests are served first, then earlier ones. A retry is
+// placed behind as many later first attempts as the queue can hold, so that it
+// does not delay them and is not starved by them. When the queue is full, the
+// team with the largest part of it relative to its weight loses its last
+// request, so a large team cannot block a small one.
 package admission
 
 import (
@@ -18,23 +21,23 @@
 	"golang.org/x/time/rate"
 )
 
-// Limits bound the work of one target.
+// Limits are the limits of one target.
 type Limits struct {
-	Concurrency int // requests that run at once
+	Concurrency int // requests that run concurrently
 	Queue       int // requests that wait
 }
 
 // TeamLimits are the limits of one team at one target.
 type TeamLimits struct {
 	Name        string
-	Weight      int // share in relation to other teams
+	Weight      int // share relative to other teams
 	Concurrency int // running requests; 0 is no limit
-	Rate        int // requests a second; 0 is no limit
+	Rate        int // requests per second; 0 is no limit
 	// Priority is the most urgent level the team may use, and its default.
 	Priority int
 }
 
-// Request is what admission knows of a request.
+// Request describes a request to be admitted.
 type Request struct {
 	ID       uint64
 	Team     string
@@ -43,14 +46,15 @@
 	Deadline time.Time
 }
 
-// Verdict is the answer to an offer.
+// Verdict is the result of an offer. A request that is neither started nor
+// refused waits.
 type Verdict struct {
-	Start      bool // runs now
+	Start      bool // the request runs now
 	Refused    outcome.Reason
 	RetryAfter time.Duration
 }
 
-// Refusal ends a request that was waiting.
+// Refusal is the refusal of a request that was waiting.
 type Refusal struct {
 	ID         uint64
 	Reason     outcome.Reason
@@ -63,42 +67,43 @@
 	Refused []Refusal
 }
 
-// Constants of the policy.
+// Parameters of the policy.
 const (
 	// neutralUrgency is the default of RFC 9218.
 	neutralUrgency = 3
-	// retryShare is the part of the queue that retries may fill.
+	// retryShare is the fraction of the queue that retries may fill.
 	retryShare = 0.25
 	// serviceSmoothing is the weight of a new sample of the service time.
 	serviceSmoothing = 0.1
-	// minRetryAfter is the shortest Retry-After, the unit of the header.
+	// minRetryAfter is the shortest Retry-After: the header has a resolution
+	// of one second.
 	minRetryAfter = time.Second
 	maxRetryAfter = 30 * time.Second
 )
 
 type waiting struct {
 	Request
-	place uint64 // order of arrival; a retry stands a whole queue further back
+	position uint64 // order of arrival; a retry is placed one queue length further back
 }
 
 type team struct {
 	limits  TeamLimits
 	limiter *rate.Limiter
-	queue   []waiting // in the order of service
+	queue   []waiting // in service order
 	running int
 	finish  float64 // virtual finish time of the last request started
 }
 
-// Queue admits requests to one target. It is owned by one goroutine.
+// Queue admits requests to one target. It must be used by a single goroutine.
 type Queue struct {
-	limits  Limits
-	teams   map[string]*team
-	running map[uint64]string // id -> team
-	queued  int
-	retries int // retries among the queued
-	virtual float64
-	seq     uint64
-	service float64 // smoothed service time in seconds; 0 is not known
+	limits         Limits
+	teams          map[string]*team
+	running        map[uint64]string // id -> team
+	queued         int
+	retries        int // retries among the queued requests
+	virtual        float64
+	seq            uint64
+	serviceSeconds float64 // smoothed service time in seconds; 0 if unknown
 }
 
 // New returns a queue with the given limits and no teams.
@@ -106,8 +111,8 @@
 	return &Queue{limits: l, teams: map[string]*team{}, running: map[uint64]string{}}
 }
 
-// Configure sets limits and teams. Requests of teams that are no longer named
-// stay until they finish.
+// Configure sets limits and teams. A team that is no longer listed is kept until
+// its requests have finished.
 func (q *Queue) Configure(now time.Time, l Limits, teams []TeamLimits) Effects {
 	q.limits = l
 	for _, tl := range teams {
@@ -119,8 +124,8 @@
 		t.configure(tl)
 	}
 	for name, t := range q.teams {
-		named := slices.ContainsFunc(teams, func(tl TeamLimits) bool { return tl.Name == name })
-		if !named && t.running == 0 && len(t.queue) == 0 {
+		listed := slices.ContainsFunc(teams, func(tl TeamLimits) bool { return tl.Name == name })
+		if !listed && t.running == 0 && len(t.queue) == 0 {
 			delete(q.teams, name)
 		}
 	}
@@ -137,18 +142,18 @@
 	t.limits = tl
 }
 
-// Running returns how many requests run.
+// Running returns the number of running requests.
 func (q *Queue) Running() int { return len(q.running) }
 
-// Queued returns how many requests wait.
+// Queued returns the number of waiting requests.
 func (q *Queue) Queued() int { return q.queued }
 
-// ServiceTime returns the smoothed service time.
+// ServiceTime returns the smoothed service time; 0 if unknown.
 func (q *Queue) ServiceTime() time.Duration {
-	return time.Duration(q.service * float64(time.Second))
+	return time.Duration(q.serviceSeconds * float64(time.Second))
 }
 
-// Offer asks to run a request.
+// Offer starts, queues or refuses a request.
 func (q *Queue) Offer(now time.Time, r Request) (Verdict, Effects) {
 	t := q.teams[r.Team]
 	if t == nil {
@@ -183,23 +188,23 @@
 	}
 	var eff Effects
 	if q.queued >= q.limits.Queue {
-		victim := q.pushOut(t)
+		victim := q.evictFor(t)
 		if victim == nil {
 			return Verdict{Refused: q.fullReason(t), RetryAfter: clampRetry(wait)}, Effects{}
 		}
 		eff.Refused = append(eff.Refused, Refusal{victim.ID, outcome.QueueFull, clampRetry(wait)})
 	}
 	q.seq++
-	place := q.seq
+	position := q.seq
 	if r.Retry {
-		place += uint64(q.limits.Queue)
+		position += uint64(q.limits.Queue)
 	}
-	q.insert(t, waiting{r, place})
+	q.insert(t, waiting{r, position})
 	return Verdict{}, eff
 }
 
-// fullReason tells a team that fills the queue by its own limit from one that
-// meets a queue filled by all.
+// fullReason returns the reason for refusing a request of t when the queue is
+// full: TeamLimit if the team has reached its own limit, QueueFull otherwise.
 func (q *Queue) fullReason(t *team) outcome.Reason {
 	if !t.mayRun() {
 		return outcome.TeamLimit
@@ -211,17 +216,18 @@
 	return max(minRetryAfter, min(maxRetryAfter, d))
 }
 
-// wait estimates how long a request of t would wait: the requests of its team
-// ahead of it, served at the team's share of the slots.
+// wait estimates how long a new request of t would wait, given the requests of
+// its team ahead of it and the team's share of the slots.
 func (q *Queue) wait(t *team) time.Duration {
 	slots := float64(max(1, q.limits.Concurrency)) * q.share(t)
 	if c := t.limits.Concurrency; c > 0 {
 		slots = min(slots, float64(c))
 	}
-	return time.Duration(float64(len(t.queue)+1) / slots * q.service * float64(time.Second))
+	return time.Duration(float64(len(t.queue)+1) / slots * q.serviceSeconds * float64(time.Second))
 }
 
-// share is the part of the target that t gets among the teams with work.
+// share returns the fraction of the target that t receives among the teams that
+// have running or waiting requests.
 func (q *Queue) share(t *team) float64 {
 	sum := float64(t.limits.Weight)
 	for _, o := range q.teams {
@@ -242,28 +248,29 @@
 }
 
 func compareWaiting(a, b waiting) int {
-	return cmp.Or(cmp.Compare(a.Urgency, b.Urgency), cmp.Compare(a.place, b.place))
+	return cmp.Or(cmp.Compare(a.Urgency, b.Urgency), cmp.Compare(a.position, b.position))
 }
 
-// pushOut removes the last request of the team that holds the largest part
-// of the queue for its weight, if that part is larger than what t would hold.
-func (q *Queue) pushOut(t *team) *waiting {
-	var most *team
+// evictFor removes the last request of the team with the largest part of the
+// queue relative to its weight, if that part is larger than the part of t with
+// one more request.
+func (q *Queue) evictFor(t *team) *waiting {
+	var largest *team
 	for _, o := range q.teams {
-		if len(o.queue) > 0 && (most == nil || o.held(0) > most.held(0) ||
-			o.held(0) == most.held(0) && o.limits.Name < most.limits.Name) {
-			most = o
+		if len(o.queue) > 0 && (largest == nil || o.weightedLength(0) > largest.weightedLength(0) ||
+			o.weightedLength(0) == largest.weightedLength(0) && o.limits.Name < largest.limits.Name) {
+			largest = o
 		}
 	}
-	if most == nil || most == t || most.held(0) <= t.held(1) {
+	if largest == nil || largest == t || largest.weightedLength(0) <= t.weightedLength(1) {
 		return nil
 	}
-	last := most.queue[len(most.queue)-1]
-	q.remove(most, len(most.queue)-1)
+	last := largest.queue[len(largest.queue)-1]
+	q.remove(largest, len(largest.queue)-1)
 	return &last
 }
 
-func (t *team) held(extra int) float64 {
+func (t *team) weightedLength(extra int) float64 {
 	return float64(len(t.queue)+extra) / float64(t.limits.Weight)
 }
 
@@ -283,14 +290,14 @@
 	q.running[id] = t.limits.Name
 }
 
-// cost is the virtual length of a request. Each level of urgency above the
-// neutral one halves it, so urgency shifts shares but starves nobody.
+// cost returns the virtual length of a request. Each level of urgency above the
+// neutral one halves it, so urgency shifts shares but starves no request.
 func cost(weight, urgency int) float64 {
 	return math.Exp2(float64(urgency-neutralUrgency)) / float64(weight)
 }
 
-// Done ends a running request that took the given service time, or zero if it
-// did not run after all.
+// Done ends a running request that had the given service time, or zero if it did
+// not run after all.
 func (q *Queue) Done(now time.Time, id uint64, took time.Duration) Effects {
 	name, ok := q.running[id]
 	if !ok {
@@ -300,10 +307,10 @@
 	q.teams[name].running--
 	switch {
 	case took == 0:
-	case q.service == 0:
-		q.service = took.Seconds()
+	case q.serviceSeconds == 0:
+		q.serviceSeconds = took.Seconds()
 	default:
-		q.service += serviceSmoothing * (took.Seconds() - q.service)
+		q.serviceSeconds += serviceSmoothing * (took.Seconds() - q.serviceSeconds)
 	}
 	return q.fill(now)
 }
@@ -321,7 +328,7 @@
 	return false
 }
 
-// RefuseAll refuses everything that waits, for a host that leaves.
+// RefuseAll refuses all waiting requests, for a host that is leaving.
 func (q *Queue) RefuseAll(reason outcome.Reason) Effects {
 	var eff Effects
 	for _, t := range q.teams {
@@ -337,7 +344,8 @@
 // Tick refuses waiting requests whose deadline can no longer be met.
 func (q *Queue) Tick(now time.Time) Effects { return q.fill(now) }
 
-// fill drops waiting requests that are too late and starts as many as fit.
+// fill refuses waiting requests whose deadline can no longer be met, and starts
+// as many of the others as the limits allow.
 func (q *Queue) fill(now time.Time) Effects {
 	var eff Effects
 	for _, t := range q.teams {
@@ -366,8 +374,8 @@
 	}
 }
 
-// next returns the team with work whose next request has the earliest virtual
-// start; ties go to the name that sorts first.
+// next returns the team whose next waiting request has the earliest virtual start
+// and may run; ties go to the name that sorts first.
 func (q *Queue) next() *team {
 	var best *team
 	var bestAt float64
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -59,7 +59,7 @@
 	assert.DeepEqual(t, e.Refused[0].ID, uint64(4))
 }
 
-func TestUrgentFirstThenFirstTries(t *testing.T) {
+func TestUrgentFirstThenFirstAttempts(t *testing.T) {
 	q := queue(Limits{1, 10}, TeamLimits{Name: "a"})
 	q.Offer(start, req(1, "a"))
 	late, retry, urgent := req(2, "a"), req(3, "a"), req(4, "a")
@@ -75,8 +75,8 @@
 	assert.DeepEqual(t, order, []uint64{4, 2, 3})
 }
 
-// A steady stream of first tries must not keep a retry waiting for ever.
-func TestRetryIsServedInTheEnd(t *testing.T) {
+// A steady stream of first attempts must not starve a retry.
+func TestRetryIsServedEventually(t *testing.T) {
 	q := queue(Limits{1, 4}, TeamLimits{Name: "a"})
 	q.Offer(start, req(1, "a"))
 	retry := req(2, "a")
@@ -95,24 +95,24 @@
 func TestTeamMayNotBeMoreUrgentThanAllowed(t *testing.T) {
 	q := queue(Limits{1, 10}, TeamLimits{Name: "a", Priority: 3}, TeamLimits{Name: "b", Priority: 3})
 	q.Offer(start, req(1, "a"))
-	pushy := req(2, "a")
-	pushy.Urgency = 0
-	q.Offer(start, pushy)
+	urgent := req(2, "a")
+	urgent.Urgency = 0
+	q.Offer(start, urgent)
 	assert.Equal(t, q.teams["a"].queue[0].Urgency, 3)
 }
 
 func TestRetriesMayNotFillTheQueue(t *testing.T) {
 	q := queue(Limits{1, 8}, TeamLimits{Name: "a"})
 	q.Offer(start, req(1, "a"))
-	taken := 0
+	admitted := 0
 	for i := range uint64(20) {
 		r := req(10+i, "a")
 		r.Retry = true
 		if v, _ := q.Offer(start, r); v.Refused == "" {
-			taken++
+			admitted++
 		}
 	}
-	assert.Equal(t, taken, 2)
+	assert.Equal(t, admitted, 2)
 	v, _ := q.Offer(start, req(50, "a"))
 	assert.Equal(t, v.Refused, outcome.Reason(""))
 }
@@ -128,7 +128,8 @@
 	assert.DeepEqual(t, q.Done(start, 1, time.Millisecond).Started, []uint64{9})
 }
 
-// TestOracleQueue checks every answer of the queue against plain counts.
+// TestOracleQueue checks every result of the queue against a model that counts
+// running and waiting requests.
 func TestOracleQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := Limits{rapid.IntRange(1, 4).Draw(t, "slots"), rapid.IntRange(0, 6).Draw(t, "queue")}
@@ -213,8 +214,9 @@
 	})
 }
 
-// overload offers twice what the slots can serve and returns the requests
-// each team completed in time and the slots' peak. Team 0 offers most.
+// overload offers twice what the slots can serve. It returns the number of
+// requests that each team completed in time, and the number that the slots can
+// serve. Team t0 offers half of all requests.
 func overload(teams int, rounds int) (done map[string]int, peak int) {
 	const slots, service = 8, 50 * time.Millisecond
 	var limits []TeamLimits
@@ -245,7 +247,7 @@
 		}
 		for due += perTick; due >= 1; due-- {
 			id++
-			name := "t0" // the big team offers half of all
+			name := "t0" // the big team offers half of all requests
 			if id%2 == 0 {
 				name = fmt.Sprintf("t%d", 1+int(id/2)%(teams-1))
 			}
@@ -260,8 +262,8 @@
 	return done, int(float64(rounds) * slots * float64(time.Millisecond) / float64(service))
 }
 
-// TestOverloadIsFair offers twice the capacity: goodput stays near the peak,
-// and each small team gets its share.
+// TestOverloadIsFair offers twice the capacity: goodput must stay near the peak,
+// and each small team must receive its share.
 func TestOverloadIsFair(t *testing.T) {
 	const teams = 10
 	done, peak := overload(teams, 20000)
