--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -176,7 +176,7 @@
 				case v.Refused == "":
 					waiting[next] = true
 				case v.Refused == outcome.QueueFull && v.RetryAfter < time.Second:
-					t.Fatal("refused without a time to come back")
+					t.Fatal("refused for a full queue without Retry-After")
 				}
 			},
 			"done": func(t *rapid.T) {
@@ -198,7 +198,7 @@
 					t.Fatalf("running %d/%d, waiting %d/%d", len(running), q.Running(), len(waiting), q.Queued())
 				}
 				if len(running) > l.Concurrency || len(waiting) > l.Queue {
-					t.Fatalf("over the limits: %d running, %d waiting", len(running), len(waiting))
+					t.Fatalf("limits exceeded: %d running, %d waiting", len(running), len(waiting))
 				}
 				b := 0
 				for id := range running {
@@ -207,7 +207,7 @@
 					}
 				}
 				if b > 1 {
-					t.Fatalf("team b runs %d", b)
+					t.Fatalf("team b runs %d requests", b)
 				}
 			},
 		})
