--- a/agent/permits.go
+++ b/agent/permits.go
@@ -145,17 +145,17 @@
 	is := p.issuer(now, s, m.Service)
 	switch {
 	case m.Done:
-		is.Done(m.Host)
+		is.Release(m.Host)
 		return &peer.PermitReply{}
 	case m.Out:
-		is.Out(now, m.Host)
+		is.ReportUnavailable(now, m.Host)
 		return &peer.PermitReply{}
 	}
 	targets := make([]rollout.Target, len(svc.Hosts))
 	for i, h := range svc.Hosts {
 		targets[i] = p.targetState(now, s, h.Name)
 	}
-	d := is.Ask(now, m.Host, targets, svc.MaxUnavailable)
+	d := is.Acquire(now, m.Host, targets, svc.MaxUnavailable)
 	return &peer.PermitReply{Granted: d.Granted, LeaseMs: d.Lease.Milliseconds(), RetryMs: d.Retry.Milliseconds()}
 }
 
@@ -167,7 +167,7 @@
 		is = rollout.NewIssuer(p.cfg.Rollout)
 		p.issuers[service] = is
 	}
-	is.SetDuty(now, issuerOf(s, service) == p.cfg.Control.Host && p.node.Awake(now))
+	is.SetActive(now, issuerOf(s, service) == p.cfg.Control.Host && p.node.Awake(now))
 	return is
 }
 
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -86,7 +86,7 @@
 func (n *Node) failed(host string) {
 	if n.ctx.Err() == nil {
 		n.loop.Post(func() {
-			n.view.Failed(clock.Now(), host)
+			n.view.RecordFailure(clock.Now(), host)
 			n.partners = nil // draw others
 		})
 	}
@@ -96,9 +96,9 @@
 func (n *Node) heard(c *peer.Conn, h *peer.Heartbeat) {
 	now := clock.Now()
 	n.count.heartbeatsIn.Inc(1)
-	n.view.Heard(now, h.Host, h.Incarnation, h.Leaving, h.Revision)
+	n.view.RecordStatus(now, h.Host, h.Incarnation, h.Leaving, h.Revision)
 	for _, x := range h.Notices {
-		n.view.Noticed(now, membership.Notice{Host: x.Host, Incarnation: x.Incarnation})
+		n.view.RecordNotice(now, membership.Notice{Host: x.Host, Incarnation: x.Incarnation})
 	}
 	ref := intent.Ref{Revision: h.Revision, Digest: h.Digest}
 	switch {
--- a/gateway/endings.go
+++ b/gateway/endings.go
@@ -32,7 +32,7 @@
 )
 
 // lifeOf returns the name of a target's life.
-func lifeOf(i fleet.Instance) quarantine.Life { return quarantine.Life{Target: i.ID, Born: i.Born} }
+func lifeOf(i fleet.Instance) quarantine.Incarnation { return quarantine.Incarnation{Target: i.ID, StartMs: i.Born} }
 
 // ending is a target's life at which connections broke.
 type ending struct {
@@ -53,11 +53,11 @@
 	log   logrus.FieldLogger
 
 	mu    sync.Mutex
-	lives map[quarantine.Life]*ending
+	lives map[quarantine.Incarnation]*ending
 }
 
 func newEndings(table *quarantine.Table, host string, log logrus.FieldLogger) *endings {
-	return &endings{table: table, host: host, log: log, lives: map[quarantine.Life]*ending{}}
+	return &endings{table: table, host: host, log: log, lives: map[quarantine.Incarnation]*ending{}}
 }
 
 // lost takes that a content's connection to a target broke, which it was sent to at sent.
@@ -95,7 +95,7 @@
 	if !x.over {
 		x.brokeAt = now
 	}
-	x.lost = append(x.lost, quarantine.Crash{Content: content, Life: life, At: now, Seen: e.host})
+	x.lost = append(x.lost, quarantine.Crash{Content: content, Incarnation: life, At: now, Reporter: e.host})
 	x.lost = x.lost[max(len(x.lost)-lostKept, 0):]
 	e.report(x)
 	return x, true
@@ -147,7 +147,7 @@
 	}
 	for _, i := range list {
 		for life, x := range e.lives {
-			same := i.ID == life.Target && fleet.SameLife(i.Born, life.Born)
+			same := i.ID == life.Target && fleet.SameLife(i.Born, life.StartMs)
 			if !same && (i.ID == life.Target || i.Addr == x.target.Addr) && i.Revision > x.target.Revision {
 				e.end(x, "another life is listed")
 			}
--- a/mesh/crashes.go
+++ b/mesh/crashes.go
@@ -47,7 +47,7 @@
 
 // seen returns what this process has seen since, or nil.
 func (t *toldCrashes) seen() *peer.Crashes {
-	n, place := t.table.Seen(t.place)
+	n, place := t.table.LocalChanges(t.place)
 	t.place = place
 	return encodeCrashes(clock.Now(), n)
 }
@@ -67,14 +67,14 @@
 	return t.table.Changed()
 }
 
-func encodeCrashes(now time.Time, n quarantine.News) *peer.Crashes {
+func encodeCrashes(now time.Time, n quarantine.Update) *peer.Crashes {
 	if n.Empty() {
 		return nil
 	}
 	out := &peer.Crashes{}
 	for _, c := range n.Crashes {
-		out.Crashes = append(out.Crashes, peer.SeenCrash{Content: c.Content[:], Target: c.Life.Target, Born: c.Life.Born,
-			AgeMs: now.Sub(c.At).Milliseconds(), Host: c.Seen, Void: c.Void})
+		out.Crashes = append(out.Crashes, peer.SeenCrash{Content: c.Content[:], Target: c.Incarnation.Target, Born: c.Incarnation.StartMs,
+			AgeMs: now.Sub(c.At).Milliseconds(), Host: c.Reporter, Void: c.Retracted})
 	}
 	for _, s := range n.Survivals {
 		out.Survivals = append(out.Survivals, peer.SeenSurvival{Content: s.Content[:], AgeMs: now.Sub(s.At).Milliseconds()})
@@ -83,14 +83,14 @@
 }
 
 // decodeCrashes drops what names no content.
-func decodeCrashes(now time.Time, msg *peer.Crashes) quarantine.News {
-	var n quarantine.News
+func decodeCrashes(now time.Time, msg *peer.Crashes) quarantine.Update {
+	var n quarantine.Update
 	for _, c := range msg.Crashes {
 		if len(c.Content) != len(quarantine.Fingerprint{}) {
 			continue
 		}
 		n.Crashes = append(n.Crashes, quarantine.Crash{Content: quarantine.Fingerprint(c.Content),
-			Life: quarantine.Life{Target: c.Target, Born: c.Born}, At: now.Add(-fromMilliseconds(c.AgeMs)), Seen: c.Host, Void: c.Void})
+			Incarnation: quarantine.Incarnation{Target: c.Target, StartMs: c.Born}, At: now.Add(-fromMilliseconds(c.AgeMs)), Reporter: c.Host, Retracted: c.Void})
 	}
 	for _, s := range msg.Survivals {
 		if len(s.Content) == len(quarantine.Fingerprint{}) {
