--- a/gateway/endings.go
+++ b/gateway/endings.go
@@ -32,7 +32,9 @@
 )
 
 // lifeOf returns the name of a target's life.
-func lifeOf(i fleet.Instance) quarantine.Incarnation { return quarantine.Incarnation{Target: i.ID, StartMs: i.Born} }
+func lifeOf(i fleet.Instance) quarantine.Incarnation {
+	return quarantine.Incarnation{Target: i.ID, StartMs: i.Born}
+}
 
 // ending is a target's life at which connections broke.
 type ending struct {
