--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -88,12 +88,12 @@
 	// sent no more. Default: it is.
 	Probes func(quarantine.Fingerprint) bool
 
-	// Patience is the part of the service's tightest objective that a fresh
+	// MaxWaitRatio is the part of the service's tightest objective that a fresh
 	// request may wait for a target: enough to bridge a moment without one, and
 	// little enough that a caller who is refused has lost nothing. All wait
 	// equally long, since those who wait longer win the places that others
 	// leave. Default 0.1.
-	Patience float64
+	MaxWaitRatio float64
 	// RetryPatience is how long a request that failed at one target may wait
 	// for another. Default 250 ms.
 	RetryPatience time.Duration
@@ -138,7 +138,7 @@
 	if c.Probes == nil {
 		c.Probes = func(quarantine.Fingerprint) bool { return true }
 	}
-	c.Patience = cmp.Or(c.Patience, 0.1)
+	c.MaxWaitRatio = cmp.Or(c.MaxWaitRatio, 0.1)
 	c.RetryPatience = cmp.Or(c.RetryPatience, 250*time.Millisecond)
 	c.FirstEventLimit = cmp.Or(c.FirstEventLimit, 2200*time.Millisecond)
 	c.FirstEventTimeout = cmp.Or(c.FirstEventTimeout, 600*time.Millisecond)
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -140,6 +140,6 @@
 	if x.g.cfg.Off.Has(mechanism.Patience) {
 		return 0
 	}
-	limit := time.Duration(x.g.cfg.Patience * float64(x.tightest))
+	limit := time.Duration(x.g.cfg.MaxWaitRatio * float64(x.tightest))
 	return max(min(limit-clock.Since(x.start), clock.Until(x.deadline)), 0)
 }
