--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -94,9 +94,9 @@
 	// equally long, since those who wait longer win the places that others
 	// leave. Default 0.1.
 	MaxWaitRatio float64
-	// RetryPatience is how long a request that failed at one target may wait
+	// RetryMaxWait is how long a request that failed at one target may wait
 	// for another. Default 250 ms.
-	RetryPatience time.Duration
+	RetryMaxWait time.Duration
 	// FirstEventLimit is how long a first event may take at the least at a
 	// target that sends events of other streams. Default 2.2 s.
 	FirstEventLimit time.Duration
@@ -139,7 +139,7 @@
 		c.Probes = func(quarantine.Fingerprint) bool { return true }
 	}
 	c.MaxWaitRatio = cmp.Or(c.MaxWaitRatio, 0.1)
-	c.RetryPatience = cmp.Or(c.RetryPatience, 250*time.Millisecond)
+	c.RetryMaxWait = cmp.Or(c.RetryMaxWait, 250*time.Millisecond)
 	c.FirstEventLimit = cmp.Or(c.FirstEventLimit, 2200*time.Millisecond)
 	c.FirstEventTimeout = cmp.Or(c.FirstEventTimeout, 600*time.Millisecond)
 	c.StallTimeout = cmp.Or(c.StallTimeout, 900*time.Millisecond)
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -132,7 +132,7 @@
 // patience is how long the request may wait for a target now.
 func (x *exchange) patience() time.Duration {
 	if x.sends > 0 {
-		return min(x.g.cfg.RetryPatience, clock.Until(x.deadline))
+		return min(x.g.cfg.RetryMaxWait, clock.Until(x.deadline))
 	}
 	if x.returning {
 		return 0
