--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -72,7 +72,7 @@
 	if a.choice.Until.IsZero() || !a.x.route.Idempotent() {
 		return
 	}
-	left := clock.Until(a.choice.Until) - a.x.g.cfg.TakeBack
+	left := clock.Until(a.choice.Until) - a.x.g.cfg.CancelLead
 	a.expiry = clock.AfterFunc(left, func() { a.cancel(errVersionOver) })
 }
 
--- a/gateway/expiry_test.go
+++ b/gateway/expiry_test.go
@@ -36,7 +36,7 @@
 	book.Apply(list, cfg.Services)
 	book.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, time.Now().Add(left-timeout))
 	// No other clock than the version's ends an attempt.
-	g := New(Config{Domain: "0", RetryRatio: 1, RetryBurst: 100, FirstEventTimeout: time.Hour, TakeBack: time.Nanosecond}, testDialect{}, book,
+	g := New(Config{Domain: "0", RetryRatio: 1, RetryBurst: 100, FirstEventTimeout: time.Hour, CancelLead: time.Nanosecond}, testDialect{}, book,
 		targetconn.NewPool(targetconn.Config{}), granted{}, NewStats(metrics.NewRegistry()), log)
 	g.SetConfig(cfg)
 	f := &front{t: t, gateway: g, server: httptest.NewServer(g)}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -110,10 +110,10 @@
 	// AnswerMemory bounds how much of a plain answer is held until it is
 	// known to be whole, in bytes. Default 256 KiB.
 	AnswerMemory int64
-	// TakeBack is how long before the end of its version's time a request that has not
+	// CancelLead is how long before the end of its version's time a request that has not
 	// begun is taken back from a target: what the close of its connection may take to
 	// get there over a link that pieces of weights share. Default 250 ms.
-	TakeBack time.Duration
+	CancelLead time.Duration
 	// RetryAfter is the part of the time left after which a refused caller
 	// should come back, the longest that callers heed: most bursts, changes of
 	// version and restarts are over by then. RetrySpread is the part by which
@@ -143,7 +143,7 @@
 	c.FirstEventLimit = cmp.Or(c.FirstEventLimit, 2200*time.Millisecond)
 	c.FirstEventTimeout = cmp.Or(c.FirstEventTimeout, 600*time.Millisecond)
 	c.StallTimeout = cmp.Or(c.StallTimeout, 900*time.Millisecond)
-	c.TakeBack = cmp.Or(c.TakeBack, 250*time.Millisecond)
+	c.CancelLead = cmp.Or(c.CancelLead, 250*time.Millisecond)
 	c.AnswerMemory = cmp.Or(c.AnswerMemory, int64(256<<10))
 	c.RetryAfter = cmp.Or(c.RetryAfter, 1.0/3)
 	c.RetrySpread = cmp.Or(c.RetrySpread, 0.2)
