--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -123,9 +123,9 @@
 	// RetryRatio is how many retries each request pays for, and RetryBurst
 	// how many may be saved up by all entries together.
 	RetryRatio, RetryBurst float64
-	// MinLeft is the least time in which a target can still do something for
+	// MinRemaining is the least time in which a target can still do something for
 	// a request. Default 30 ms.
-	MinLeft time.Duration
+	MinRemaining time.Duration
 }
 
 func (c Config) applyDefaults() Config {
@@ -147,7 +147,7 @@
 	c.AnswerMemory = cmp.Or(c.AnswerMemory, int64(256<<10))
 	c.RetryAfter = cmp.Or(c.RetryAfter, 1.0/3)
 	c.RetrySpread = cmp.Or(c.RetrySpread, 0.2)
-	c.MinLeft = cmp.Or(c.MinLeft, 30*time.Millisecond)
+	c.MinRemaining = cmp.Or(c.MinRemaining, 30*time.Millisecond)
 	return c
 }
 
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -100,7 +100,7 @@
 	if res.reason == ReasonCallerGone {
 		return res.reason
 	}
-	if ctx.Err() != nil || clock.Until(x.deadline) < x.g.cfg.MinLeft {
+	if ctx.Err() != nil || clock.Until(x.deadline) < x.g.cfg.MinRemaining {
 		return ReasonTimeout
 	}
 	if res.ran && (!x.route.Idempotent() || x.started && x.g.cfg.Off.Has(mechanism.Resume)) {
