--- a/gateway/server.go
+++ b/gateway/server.go
@@ -23,17 +23,17 @@
 	DrainTimeout time.Duration
 	// DrainMargin is how long before that connections are closed. Default 400 ms.
 	DrainMargin time.Duration
-	// TakeFor is how long requests are still taken: the balancer sends new
+	// AcceptFor is how long requests are still taken: the balancer sends new
 	// connections until it has asked twice, 1 s apart. A request taken later
 	// than that has too little time left: streams last up to 5 s. Default
 	// 2.8 s.
-	TakeFor time.Duration
+	AcceptFor time.Duration
 }
 
 func (c ServerConfig) applyDefaults() ServerConfig {
 	c.DrainTimeout = cmp.Or(c.DrainTimeout, 8*time.Second)
 	c.DrainMargin = cmp.Or(c.DrainMargin, 400*time.Millisecond)
-	c.TakeFor = cmp.Or(c.TakeFor, 2800*time.Millisecond)
+	c.AcceptFor = cmp.Or(c.AcceptFor, 2800*time.Millisecond)
 	return c
 }
 
@@ -105,7 +105,7 @@
 	s.log.WithField("inflight", s.gateway.Inflight()).Info("Draining.")
 	ctx, cancel := clock.WithTimeout(context.Background(), s.cfg.DrainTimeout-s.cfg.DrainMargin)
 	defer cancel()
-	loop.Sleep(ctx, s.cfg.TakeFor)
+	loop.Sleep(ctx, s.cfg.AcceptFor)
 	// From here on no more requests are taken: each that was gets its answer
 	// before the process is killed.
 	for _, server := range s.servers {
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -49,7 +49,7 @@
 		<-release
 		ok(w, r)
 	})
-	s := startServer(t, ServerConfig{DrainTimeout: time.Minute, TakeFor: time.Millisecond}, x)
+	s := startServer(t, ServerConfig{DrainTimeout: time.Minute, AcceptFor: time.Millisecond}, x)
 	answered := make(chan int, 1)
 	go func() {
 		resp, err := get(t.Context(), s.cfg.CallerAddr)
@@ -95,6 +95,6 @@
 // whole however long it lasts; streams there last up to 5 s of the 8 s allowed.
 func TestNoRequestIsTakenThatMayNotEnd(t *testing.T) {
 	cfg := ServerConfig{}.applyDefaults()
-	assert.Assert(t, cfg.TakeFor < 3*time.Second)
-	assert.Assert(t, cfg.TakeFor > 2*time.Second, "the balancer still sends connections")
+	assert.Assert(t, cfg.AcceptFor < 3*time.Second)
+	assert.Assert(t, cfg.AcceptFor > 2*time.Second, "the balancer still sends connections")
 }
