--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -31,8 +31,8 @@
 	LastEvent string
 }
 
-// Send is what the header of a request to a target says.
-type Send struct {
+// ForwardInfo is what the header of a request to a target says.
+type ForwardInfo struct {
 	Instance  string // the only one that may run it
 	Team      string
 	Remaining time.Duration
@@ -52,7 +52,7 @@
 type Dialect interface {
 	Decode(h http.Header) Call
 	// EncodeSend sets and removes fields of a forwarded header.
-	EncodeSend(h http.Header, s Send)
+	EncodeSend(h http.Header, s ForwardInfo)
 	DecodeAnswer(status int, h http.Header) AnswerInfo
 }
 
