--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -51,8 +51,8 @@
 // Dialect translates the names of headers.
 type Dialect interface {
 	Decode(h http.Header) Call
-	// EncodeSend sets and removes fields of a forwarded header.
-	EncodeSend(h http.Header, s ForwardInfo)
+	// EncodeForward sets and removes fields of a forwarded header.
+	EncodeForward(h http.Header, s ForwardInfo)
 	DecodeAnswer(status int, h http.Header) AnswerInfo
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -31,7 +31,7 @@
 	return Call{ID: h.Get("Id"), Key: h.Get("Key"), LastEvent: h.Get("Last"), Remaining: time.Duration(ms) * time.Millisecond}
 }
 
-func (testDialect) EncodeSend(h http.Header, s ForwardInfo) {
+func (testDialect) EncodeForward(h http.Header, s ForwardInfo) {
 	h.Del("Key")
 	h.Set("Team", s.Team)
 	h.Set("Instance", s.Instance)
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -127,7 +127,7 @@
 	t := c.Instance
 	x.target, x.choice = t.ID, c
 	h := forwardHeader(x.r.Header)
-	x.g.dialect.EncodeSend(h, ForwardInfo{Instance: t.ID, Team: x.teamName(), Remaining: clock.Until(x.deadline), LastEvent: x.lastEvent})
+	x.g.dialect.EncodeForward(h, ForwardInfo{Instance: t.ID, Team: x.teamName(), Remaining: clock.Until(x.deadline), LastEvent: x.lastEvent})
 	x.logSending(c)
 	a := &attempt{x: x, choice: c, began: clock.Now(), unread: x.call.Prompt}
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
