--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -116,7 +116,7 @@
 	case errors.Is(err, targetconn.ErrDial):
 		return result{reason: ReasonDialFailed}
 	case errors.Is(context.Cause(a.ctx), errFirstEventLate):
-		return result{reason: ReasonSlowStart, ran: true, sent: true, silent: true}
+		return result{reason: ReasonLateFirstEvent, ran: true, sent: true, silent: true}
 	case errors.Is(context.Cause(a.ctx), errStalled):
 		return result{reason: ReasonStalled, ran: true, sent: true, silent: true}
 	case a.ctx.Err() != nil:
--- a/gateway/reason.go
+++ b/gateway/reason.go
@@ -24,7 +24,7 @@
 	ReasonConnLost      Reason = "connection_lost"
 	ReasonGarbled       Reason = "garbled_answer"
 	ReasonTargetError   Reason = "target_error"
-	ReasonSlowStart     Reason = "first_event_late"
+	ReasonLateFirstEvent     Reason = "first_event_late"
 	ReasonStalled       Reason = "stream_stalled"
 	ReasonBrokenStream  Reason = "stream_broken"
 	ReasonVersionOver   Reason = "version_over" // it had not begun when its version's time was over
@@ -38,7 +38,7 @@
 // reasons lists all reasons with a counter.
 var reasons = []Reason{ReasonNoConfig, ReasonNoRoute, ReasonUnknownKey, ReasonBodyTooLarge, ReasonBodyBroken,
 	ReasonSaturated, ReasonPaced, ReasonNoTarget, ReasonNoDomain, ReasonDialFailed, ReasonTargetRefused, ReasonOtherInstance, ReasonConnLost,
-	ReasonGarbled, ReasonTargetError, ReasonSlowStart, ReasonStalled, ReasonBrokenStream, ReasonVersionOver, ReasonEndsTargets, ReasonTimeout,
+	ReasonGarbled, ReasonTargetError, ReasonLateFirstEvent, ReasonStalled, ReasonBrokenStream, ReasonVersionOver, ReasonEndsTargets, ReasonTimeout,
 	ReasonCallerGone, ReasonAttempts, ReasonBudget}
 
 // refusalStatus returns the status of an answer of our own. ran is true if a
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -107,7 +107,7 @@
 func (a *attempt) streamBroken(err error) result {
 	res := a.failed(err)
 	switch {
-	case res.reason == ReasonSlowStart && a.events > 0:
+	case res.reason == ReasonLateFirstEvent && a.events > 0:
 		res.reason = ReasonStalled
 	case res.reason == ReasonConnLost && a.events > 0:
 		res.reason = ReasonBrokenStream
