--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -30,14 +30,14 @@
 	return out
 }
 
-// heldAnswer is a whole plain answer of a target.
-type heldAnswer struct {
+// bufferedResponse is a whole plain answer of a target.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-func (h *heldAnswer) write(w http.ResponseWriter) {
+func (h *bufferedResponse) write(w http.ResponseWriter) {
 	copyHeader(w.Header(), h.header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(h.body)))
 	w.WriteHeader(h.status)
@@ -51,33 +51,33 @@
 	}
 }
 
-// plain holds an answer until it is whole and passes it on. An answer beyond
+// relayPlain holds an answer until it is whole and passes it on. An answer beyond
 // the memory allowed is passed on as it comes.
-func (a *attempt) plain(resp *targetconn.Response, watchdog *clock.Timer) result {
+func (a *attempt) relayPlain(resp *targetconn.Response, watchdog *clock.Timer) result {
 	body, err := io.ReadAll(io.LimitReader(resp, a.x.g.cfg.AnswerMemory))
 	if err == nil && int64(len(body)) == a.x.g.cfg.AnswerMemory {
 		if watchdog != nil {
 			watchdog.Stop()
 		}
-		return a.passLarge(resp, body)
+		return a.relayLarge(resp, body)
 	}
 	if err != nil {
-		return a.failed(err)
+		return a.failure(err)
 	}
-	held := &heldAnswer{status: resp.StatusCode, header: resp.Header, body: body}
+	held := &bufferedResponse{status: resp.StatusCode, header: resp.Header, body: body}
 	if resp.StatusCode >= http.StatusInternalServerError {
 		return result{reason: ReasonTargetError, ran: true, sent: true, held: held}
 	}
 	if a.x.started { // the rest of a stream was due
 		return result{reason: ReasonTargetError, ran: true, sent: true}
 	}
-	a.x.firstAt = clock.Since(a.x.start)
+	a.x.firstEventDelay = clock.Since(a.x.start)
 	held.write(a.x.w)
 	return result{sent: true, ran: true}
 }
 
-// passLarge passes a long answer on. From here on it cannot be taken back.
-func (a *attempt) passLarge(resp *targetconn.Response, head []byte) result {
+// relayLarge passes a long answer on. From here on it cannot be taken back.
+func (a *attempt) relayLarge(resp *targetconn.Response, head []byte) result {
 	copyHeader(a.x.w.Header(), resp.Header)
 	if resp.ContentLength >= 0 {
 		a.x.w.Header().Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
@@ -85,7 +85,7 @@
 	a.x.w.WriteHeader(resp.StatusCode)
 	a.x.started = true
 	if _, err := io.Copy(a.x.w, io.MultiReader(bytes.NewReader(head), resp)); err != nil {
-		return a.failed(err)
+		return a.failure(err)
 	}
 	return result{sent: true, ran: true}
 }
--- a/gateway/assign.go
+++ b/gateway/assign.go
@@ -19,17 +19,17 @@
 	version  int
 	since    time.Time
 	order    []string // addresses of the engines, in turn; empty if they are not known yet
-	assigned bool     // the operators named the version
+	explicit bool     // the operators named the version
 	guessed  bool     // this process started after that; since is the latest it can have been
 	withheld bool     // its pieces cannot be read
-	before   *assignment
+	previous *assignment
 }
 
 // earlier returns the versions named before that may not be served everywhere
 // yet, oldest first.
 func (a *assignment) earlier(now time.Time, timeout time.Duration) []peer.AnnouncedVersion {
 	var out []peer.AnnouncedVersion
-	for b := a.before; b != nil && b.assigned && len(out) < earlierKept; b = b.before {
+	for b := a.previous; b != nil && b.explicit && len(out) < maxEarlierVersions; b = b.previous {
 		if age := now.Sub(b.since); age < 2*timeout {
 			out = append(out, peer.AnnouncedVersion{Version: b.version, AgeMs: age.Milliseconds(), Guessed: b.guessed})
 		}
@@ -44,16 +44,16 @@
 		return nil
 	}
 	out := *a
-	if a.before != nil {
-		before := *a.before
-		before.before = nil
-		out.before = &before
+	if a.previous != nil {
+		previous := *a.previous
+		previous.previous = nil
+		out.previous = &previous
 	}
 	return &out
 }
 
-// earlierKept bounds the versions that an agent is told of beside the newest.
-const earlierKept = 2
+// maxEarlierVersions bounds the versions that an agent is told of beside the newest.
+const maxEarlierVersions = 2
 
 func (c *Control) recent(service string) *assignment {
 	c.mu.Lock() // what others tell changes dates
@@ -61,11 +61,11 @@
 	return c.assignments[service].recent()
 }
 
-func (c *Control) want(service string, m *fleet.EngineModel, version int, since time.Time, announced bool) {
-	if old := c.assignments[service]; old != nil && old.assigned && old.version >= version {
+func (c *Control) assignVersion(service string, m *fleet.EngineModel, version int, since time.Time, announced bool) {
+	if old := c.assignments[service]; old != nil && old.explicit && old.version >= version {
 		return
 	}
-	a := &assignment{model: m, version: version, since: since, assigned: true, guessed: !announced, before: c.recent(service)}
+	a := &assignment{model: m, version: version, since: since, explicit: true, guessed: !announced, previous: c.recent(service)}
 	a.order = c.turnOrder(service, a)
 	c.setAssignment(service, a)
 }
@@ -88,7 +88,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for service, a := range c.assignments {
-		if !a.assigned {
+		if !a.explicit {
 			continue
 		}
 		order := c.turnOrder(service, a)
@@ -109,7 +109,7 @@
 		return
 	}
 	for name, s := range cfg.Services {
-		if s.Engine == nil || c.assignments[name] != nil && c.assignments[name].assigned {
+		if s.Engine == nil || c.assignments[name] != nil && c.assignments[name].explicit {
 			continue
 		}
 		version := 1
@@ -157,7 +157,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a := c.assignments[agent.Service]
-	if a == nil || a.assigned && len(a.order) == 0 {
+	if a == nil || a.explicit && len(a.order) == 0 {
 		return nil, c.changed
 	}
 	out := &peer.Assignment{Entry: c.addr, Withheld: a.withheld, Model: a.model.Model, Version: a.version, Layers: a.model.Layers, Pieces: a.model.Chunks,
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -15,14 +15,14 @@
 
 // attempt is one send.
 type attempt struct {
-	x      *exchange
-	choice dispatch.Choice
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	began  time.Time
-	unread int // prompt tokens that the target has not read yet
-	events int
-	lastAt time.Time // when the last event came
+	x           *exchange
+	choice      dispatch.Choice
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+	sentAt      time.Time
+	unread      int // prompt tokens that the target has not read yet
+	events      int
+	lastEventAt time.Time // when the last event came
 	// expiry takes the request back if it has not begun by then; nil if it may begin at
 	// any time.
 	expiry *clock.Timer
@@ -32,25 +32,25 @@
 var (
 	errFirstEventLate = errors.New("gateway: first event is late")
 	errStalled        = errors.New("gateway: stream stalled")
-	errVersionOver    = errors.New("gateway: time of the target's version is over")
+	errVersionExpired = errors.New("gateway: time of the target's version is over")
 )
 
 func (a *attempt) do(r *targetconn.Request) result {
 	var watchdog *clock.Timer
 	if a.x.route.Idempotent() && !a.x.g.cfg.Off.Has(mechanism.LateFirstEvent) {
 		// Only then another target may be tried.
-		watchdog = clock.AfterFunc(a.x.g.cfg.FirstEventTimeout, func() { a.late(watchdog) })
+		watchdog = clock.AfterFunc(a.x.g.cfg.FirstEventTimeout, func() { a.checkLate(watchdog) })
 		defer watchdog.Stop()
 	}
 	a.expireWithVersion()
-	defer a.begun()
+	defer a.stopExpiry()
 	resp, err := a.x.g.pool.Do(a.ctx, a.choice.Instance.Addr, r, a.idOf)
 	if err != nil {
-		return a.failed(err)
+		return a.failure(err)
 	}
 	defer resp.Close()
 	info := a.x.g.dialect.DecodeAnswer(resp.StatusCode, resp.Header)
-	a.hearNotice(info)
+	a.recordNotice(info)
 	if info.NotRun {
 		return notRun(info)
 	}
@@ -58,10 +58,10 @@
 		return result{reason: ReasonGarbled, ran: true, sent: true}
 	}
 	if a.x.route.Kind == fleet.Streaming && resp.StatusCode == http.StatusOK {
-		return a.stream(resp, watchdog)
+		return a.relayStream(resp, watchdog)
 	}
-	a.begun()
-	return a.plain(resp, watchdog)
+	a.stopExpiry()
+	return a.relayPlain(resp, watchdog)
 }
 
 // expireWithVersion takes the request back from a target that serves an older version,
@@ -73,27 +73,27 @@
 		return
 	}
 	left := clock.Until(a.choice.Until) - a.x.g.cfg.CancelLead
-	a.expiry = clock.AfterFunc(left, func() { a.cancel(errVersionOver) })
+	a.expiry = clock.AfterFunc(left, func() { a.cancel(errVersionExpired) })
 }
 
-// begun notes that the target has begun with the request.
-func (a *attempt) begun() {
+// stopExpiry notes that the target has stopExpiry with the request.
+func (a *attempt) stopExpiry() {
 	if a.expiry != nil {
 		a.expiry.Stop()
 	}
 }
 
-// lateRecheck is the time between two looks at a late target.
-const lateRecheck = 100 * time.Millisecond
+// lateRecheckInterval is the time between two looks at a late target.
+const lateRecheckInterval = 100 * time.Millisecond
 
-// late decides about a request whose target is late. One that still sends events
+// checkLate decides about a request whose target is checkLate. One that still sends events
 // of other streams is loaded, and sending the request elsewhere would only add
 // load; one that is silent is left. It runs on the timer's goroutine.
-func (a *attempt) late(watchdog *clock.Timer) {
+func (a *attempt) checkLate(watchdog *clock.Timer) {
 	x := a.x
 	now := clock.Now()
-	if now.Sub(a.began) < a.firstEventLimit() && !x.g.book.Silent(now, a.choice.Target) {
-		watchdog.Reset(lateRecheck)
+	if now.Sub(a.sentAt) < a.firstEventLimit() && !x.g.book.Silent(now, a.choice.Target) {
+		watchdog.Reset(lateRecheckInterval)
 		return
 	}
 	a.cancel(errFirstEventLate)
@@ -108,10 +108,10 @@
 	return result{reason: ReasonTargetRefused, sent: true}
 }
 
-// failed turns an error of an exchange into a result.
-func (a *attempt) failed(err error) result {
+// failure turns an error of an exchange into a result.
+func (a *attempt) failure(err error) result {
 	switch {
-	case errors.Is(context.Cause(a.ctx), errVersionOver):
+	case errors.Is(context.Cause(a.ctx), errVersionExpired):
 		return result{reason: ReasonVersionOver, ran: true, sent: true}
 	case errors.Is(err, targetconn.ErrDial):
 		return result{reason: ReasonDialFailed}
@@ -148,7 +148,7 @@
 
 // finish tells the book how the attempt ended.
 func (a *attempt) finish(res result) {
-	r := dispatch.Result{Unread: a.unread, Latency: clock.Since(a.began)}
+	r := dispatch.Result{Unread: a.unread, Latency: clock.Since(a.sentAt)}
 	switch res.reason {
 	case ReasonNone, ReasonTimeout, ReasonCallerGone, ReasonVersionOver:
 	case ReasonTargetRefused:
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -65,12 +65,12 @@
 	// unknownEvacuations counts evacuations of failure domains that no setting names.
 	unknownEvacuations metrics.Gauge
 	foreign            metrics.Gauge // entries of the list that name no target to use
-	// endedAtWork counts targets that vanished and at which requests of this entry lost
+	// endedWithRequests counts targets that vanished and at which requests of this entry lost
 	// their connections.
-	endedAtWork metrics.Counter
-	roster      Roster
-	decoded     map[string]decodedInstance
-	configRev   int64
+	endedWithRequests metrics.Counter
+	roster            Roster
+	decoded           map[string]decodedInstance
+	configRev         int64
 	// copyRevision is what the items reach, or more by changes of a moment ago.
 	copyRevision int64
 	versionRev   map[string]int64 // by key
@@ -109,7 +109,7 @@
 	if o.Metrics == nil {
 		o.Metrics = metrics.NewRegistry()
 	}
-	return &Control{cfg: o.Config, unknownEvacuations: metrics.NewRegisteredGauge("control.unknown_evacuations", o.Metrics), foreign: metrics.NewRegisteredGauge("control.foreign_entries", o.Metrics), endedAtWork: metrics.NewRegisteredCounter("control.targets_ended_at_work", o.Metrics),
+	return &Control{cfg: o.Config, unknownEvacuations: metrics.NewRegisteredGauge("control.unknown_evacuations", o.Metrics), foreign: metrics.NewRegisteredGauge("control.foreign_entries", o.Metrics), endedWithRequests: metrics.NewRegisteredCounter("control.targets_ended_at_work", o.Metrics),
 		addr: o.Addr, gateway: o.Gateway, book: o.Book, decoder: o.Decoder, table: o.Table,
 		outage: o.Outage, relay: o.Relay, log: o.Log, roster: o.Roster,
 		decoded: map[string]decodedInstance{}, versionRev: map[string]int64{}, assignments: map[string]*assignment{},
@@ -194,21 +194,21 @@
 	}
 	now := clock.Now()
 	announced := i.Revision > c.table.FirstRevision() // while this process runs
-	seen := dateOf(now, announced, c.cfg.VersionTimeout)
+	announcement := announcementAt(now, announced, c.cfg.VersionTimeout)
 	c.versionRev[i.Key] = i.Revision
 	c.log.WithFields(logrus.Fields{"model": v.Model, "version": v.Version, "revision": i.Revision,
-		"age_ms": now.Sub(seen.At).Milliseconds(), "guessed": seen.Guessed}).Info("Version wanted.")
-	c.book.SetVersion(v, seen.At)
-	c.hold(ctx, v, announced)
+		"age_ms": now.Sub(announcement.At).Milliseconds(), "guessed": announcement.Guessed}).Info("Version wanted.")
+	c.book.SetVersion(v, announcement.At)
+	c.notifyRelay(ctx, v, announced)
 	for name, s := range cfg.Services {
 		if s.Engine != nil && s.Engine.Model == v.Model {
-			c.want(name, s.Engine, v.Version, seen.At, !seen.Guessed)
+			c.assignVersion(name, s.Engine, v.Version, announcement.At, !announcement.Guessed)
 		}
 	}
 }
 
-// hold tells the relay of a version. Few engines lack one that is not new.
-func (c *Control) hold(ctx context.Context, v fleet.VersionTarget, announced bool) {
+// notifyRelay tells the relay of a version. Few engines lack one that is not new.
+func (c *Control) notifyRelay(ctx context.Context, v fleet.VersionTarget, announced bool) {
 	if !announced {
 		c.relay.Hold(v.Model, v.Version)
 		return
@@ -240,7 +240,7 @@
 	c.foreign.Update(int64(len(next) - len(list)))
 	c.logVanished(next)
 	c.decoded = next
-	c.gateway.endings.listed(list)
+	c.gateway.crashDetector.compareListed(list)
 	down, ended := c.outage()
 	c.list = c.roster.Update(clock.Now(), list, down, ended)
 	if cfg := c.gateway.Config(); cfg != nil {
@@ -281,7 +281,7 @@
 		lost := c.book.LostAt(d.instance.ID)
 		leaving := d.instance.Draining || c.book.NoticeOf(d.instance.ID).Leaving
 		if lost > 0 && !leaving {
-			c.endedAtWork.Inc(1)
+			c.endedWithRequests.Inc(1)
 		}
 		c.log.WithFields(logrus.Fields{"target": d.instance.ID, "service": d.instance.Service, "lost": lost,
 			"draining": d.instance.Draining, "leaving": leaving, "copy": c.copyRevision}).Info("Target no longer listed.")
--- a/gateway/endings.go
+++ b/gateway/endings.go
@@ -15,97 +15,99 @@
 )
 
 const (
-	// askTimeout bounds the question whether a target is still there: fifteen times the
+	// dialCheckTimeout bounds the question whether a target is still there: fifteen times the
 	// longest way there and back. Who cannot be asked is not taken for ended.
-	askTimeout = 100 * time.Millisecond
-	// settleFor is how long a request waits under which a target has just ended, before it
+	dialCheckTimeout = 100 * time.Millisecond
+	// crashReportWait is how long a request waits under which a target has just ended, before it
 	// is sent to another: what others saw in the same moment arrives meanwhile. It is
 	// three times the longest way between two entries.
-	settleFor = 20 * time.Millisecond
-	// endingKept is how long it is remembered which contents lost their connections at a
+	crashReportWait = 20 * time.Millisecond
+	// suspectRetention is how long it is remembered which contents lost their connections at a
 	// target: a target that comes back does so within seconds, and shows by its next life
 	// that it had ended.
-	endingKept = 30 * time.Second
-	// lostKept bounds how many contents that is for each target, the newest: more than one
+	suspectRetention = 30 * time.Second
+	// maxCrashesPerSuspect bounds how many contents that is for each target, the newest: more than one
 	// works on at a time.
-	lostKept = 64
+	maxCrashesPerSuspect = 64
 )
 
-// lifeOf returns the name of a target's life.
-func lifeOf(i fleet.Instance) quarantine.Life { return quarantine.Life{Target: i.ID, Born: i.Born} }
+// incarnationOf returns the name of a target's life.
+func incarnationOf(i fleet.Instance) quarantine.Life {
+	return quarantine.Life{Target: i.ID, Born: i.Born}
+}
 
-// ending is a target's life at which connections broke.
-type ending struct {
-	target  fleet.Instance
-	brokeAt time.Time          // the last of them before it had ended
-	over    bool               // it has ended
-	lost    []quarantine.Crash // not reported yet
-	asked   chan struct{}      // closed when the target has answered, or has not
+// crashSuspect is a target's life at which connections broke.
+type crashSuspect struct {
+	target     fleet.Instance
+	lastLossAt time.Time          // the last of them before it had ended
+	ended      bool               // it has ended
+	unreported []quarantine.Crash // not reported yet
+	checked    chan struct{}      // closed when the target has answered, or has not
 }
 
-// endings finds out which of the connections that break do so because the target ended.
+// crashDetector finds out which of the connections that break do so because the target ended.
 // A reset, a cut link or a freeze must not count: a content is shut out by it. Two things
 // show an end: nothing listens at the address any more, or another life does. A target
 // that was leaving, or no longer listed, has not ended under its requests.
-type endings struct {
+type crashDetector struct {
 	table *quarantine.Table
 	host  string
 	log   logrus.FieldLogger
 
-	mu    sync.Mutex
-	lives map[quarantine.Life]*ending
+	mu       sync.Mutex
+	suspects map[quarantine.Life]*crashSuspect
 }
 
-func newEndings(table *quarantine.Table, host string, log logrus.FieldLogger) *endings {
-	return &endings{table: table, host: host, log: log, lives: map[quarantine.Life]*ending{}}
+func newCrashDetector(table *quarantine.Table, host string, log logrus.FieldLogger) *crashDetector {
+	return &crashDetector{table: table, host: host, log: log, suspects: map[quarantine.Life]*crashSuspect{}}
 }
 
-// lost takes that a content's connection to a target broke, which it was sent to at sent.
+// connectionLost takes that a content's connection to a target broke, which it was sent to at sent.
 // It reports whether the target is known to have ended under it.
-func (e *endings) lost(ctx context.Context, t fleet.Instance, content quarantine.Fingerprint, sent, now time.Time) bool {
-	x, counts := e.note(t, content, sent, now)
+func (e *crashDetector) connectionLost(ctx context.Context, t fleet.Instance, content quarantine.Fingerprint, sent, now time.Time) bool {
+	x, counts := e.recordLoss(t, content, sent, now)
 	if !counts {
 		return false
 	}
 	select {
-	case <-x.asked:
+	case <-x.checked:
 	case <-ctx.Done():
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return x.over
+	return x.ended
 }
 
-// note notes that a connection broke. It counts unless it was made to what had ended
+// recordLoss notes that a connection broke. It counts unless it was made to what had ended
 // before.
-func (e *endings) note(t fleet.Instance, content quarantine.Fingerprint, sent, now time.Time) (x *ending, counts bool) {
-	life := lifeOf(t)
+func (e *crashDetector) recordLoss(t fleet.Instance, content quarantine.Fingerprint, sent, now time.Time) (x *crashSuspect, counts bool) {
+	incarnation := incarnationOf(t)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.prune(now)
-	x = e.lives[life]
-	if x != nil && x.over && sent.After(x.brokeAt) {
+	x = e.suspects[incarnation]
+	if x != nil && x.ended && sent.After(x.lastLossAt) {
 		return x, false
 	}
-	if x == nil || !x.over && closed(x.asked) { // what listened then may have ended now
-		x = x.again(t)
-		e.lives[life] = x
-		go e.ask(x)
+	if x == nil || !x.ended && closed(x.checked) { // what listened then may have ended now
+		x = x.rechecked(t)
+		e.suspects[incarnation] = x
+		go e.checkListening(x)
 	}
-	if !x.over {
-		x.brokeAt = now
+	if !x.ended {
+		x.lastLossAt = now
 	}
-	x.lost = append(x.lost, quarantine.Crash{Content: content, Life: life, At: now, Seen: e.host})
-	x.lost = x.lost[max(len(x.lost)-lostKept, 0):]
+	x.unreported = append(x.unreported, quarantine.Crash{Content: content, Life: incarnation, At: now, Seen: e.host})
+	x.unreported = x.unreported[max(len(x.unreported)-maxCrashesPerSuspect, 0):]
 	e.report(x)
 	return x, true
 }
 
-// again returns the ending, or a new one, with a question that is open.
-func (x *ending) again(t fleet.Instance) *ending {
-	out := &ending{target: t, asked: make(chan struct{})}
+// rechecked returns the ending, or a new one, with a question that is open.
+func (x *crashSuspect) rechecked(t fleet.Instance) *crashSuspect {
+	out := &crashSuspect{target: t, checked: make(chan struct{})}
 	if x != nil {
-		out.lost = x.lost
+		out.unreported = x.unreported
 	}
 	return out
 }
@@ -119,10 +121,10 @@
 	}
 }
 
-// ask finds out whether something still listens at a target's address.
-func (e *endings) ask(x *ending) {
-	defer close(x.asked)
-	ctx, cancel := clock.WithTimeout(context.Background(), askTimeout)
+// checkListening finds out whether something still listens at a target's address.
+func (e *crashDetector) checkListening(x *crashSuspect) {
+	defer close(x.checked)
+	ctx, cancel := clock.WithTimeout(context.Background(), dialCheckTimeout)
 	defer cancel()
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", x.target.Addr)
@@ -133,70 +135,70 @@
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.end(x, "nothing listens")
+		e.markEnded(x, "nothing listens")
 	}
 }
 
-// listed takes the targets that are listed now: a later life under the ID of one that
+// compareListed takes the targets that are compareListed now: a later life under the ID of one that
 // connections broke to, or at its address, shows that it has ended.
-func (e *endings) listed(list []*fleet.Instance) {
+func (e *crashDetector) compareListed(list []*fleet.Instance) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.lives) == 0 {
+	if len(e.suspects) == 0 {
 		return
 	}
 	for _, i := range list {
-		for life, x := range e.lives {
-			same := i.ID == life.Target && fleet.SameLife(i.Born, life.Born)
-			if !same && (i.ID == life.Target || i.Addr == x.target.Addr) && i.Revision > x.target.Revision {
-				e.end(x, "another life is listed")
+		for incarnation, x := range e.suspects {
+			same := i.ID == incarnation.Target && fleet.SameLife(i.Born, incarnation.Born)
+			if !same && (i.ID == incarnation.Target || i.Addr == x.target.Addr) && i.Revision > x.target.Revision {
+				e.markEnded(x, "another life is listed")
 			}
 		}
 	}
 }
 
-// end takes that a target's life has ended; the lock is held.
-func (e *endings) end(x *ending, how string) {
-	if x.over {
+// markEnded takes that a target's life has ended; the lock is held.
+func (e *crashDetector) markEnded(x *crashSuspect, how string) {
+	if x.ended {
 		return
 	}
-	x.over = true
+	x.ended = true
 	t := x.target
-	e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.Born, "how": how, "lost": len(x.lost)}).Warn("Target ended under its requests.")
+	e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.Born, "how": how, "lost": len(x.unreported)}).Warn("Target ended under its requests.")
 	e.report(x)
 }
 
 // report tells the table of what was lost with a life that has ended; the lock is held.
-func (e *endings) report(x *ending) {
-	if !x.over {
+func (e *crashDetector) report(x *crashSuspect) {
+	if !x.ended {
 		return
 	}
-	e.table.RecordCrashes(clock.Now(), x.lost...)
-	x.lost = nil
+	e.table.RecordCrashes(clock.Now(), x.unreported...)
+	x.unreported = nil
 }
 
-// answered takes that a target's life has answered a request that it was sent at a time.
+// recordAnswer takes that a target's life has recordAnswer a request that it was sent at a time.
 // If that was after connections broke, these did not break because it ended.
-func (e *endings) answered(t fleet.Instance, sent time.Time) {
+func (e *crashDetector) recordAnswer(t fleet.Instance, sent time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	life := lifeOf(t)
-	x := e.lives[life]
-	if x == nil || !sent.After(x.brokeAt) {
+	incarnation := incarnationOf(t)
+	x := e.suspects[incarnation]
+	if x == nil || !sent.After(x.lastLossAt) {
 		return
 	}
-	delete(e.lives, life)
-	if x.over {
-		e.table.RetractCrash(life)
+	delete(e.suspects, incarnation)
+	if x.ended {
+		e.table.RetractCrash(incarnation)
 		e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.Born}).Warn("Target has not ended after all.")
 	}
 }
 
 // prune forgets lives at which connections broke long ago; the lock is held.
-func (e *endings) prune(now time.Time) {
-	for life, x := range e.lives {
-		if now.Sub(x.brokeAt) >= endingKept {
-			delete(e.lives, life)
+func (e *crashDetector) prune(now time.Time) {
+	for incarnation, x := range e.suspects {
+		if now.Sub(x.lastLossAt) >= suspectRetention {
+			delete(e.suspects, incarnation)
 		}
 	}
 }
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -25,10 +25,10 @@
 
 // Evacuations follow the copy of the store; one of a failure domain that nobody knows is
 // counted and harms nothing.
-func TestEvacuationsFollowTheCopy(t *testing.T) {
+func TestEvacuationsFollowTheMirror(t *testing.T) {
 	log, lines := test.NewNullLogger()
 	book := dispatch.NewBook(dispatch.Config{Regions: map[string]string{"a": "north", "b": "south"}}, rand.New(rand.NewPCG(1, 2)))
-	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), granted{}, NewStats(metrics.NewRegistry()), log)
+	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), log)
 	c := NewControl(ControlOptions{Gateway: g, Book: book, Decoder: evacuationDecoder{}, Log: log})
 	book.Apply([]*fleet.Instance{{ID: "i-a", Service: "s", Domain: "a", Slots: 1}, {ID: "i-b", Service: "s", Domain: "b", Slots: 1}},
 		map[string]*fleet.Service{"s": {Name: "s"}})
--- a/gateway/expiry_test.go
+++ b/gateway/expiry_test.go
@@ -17,9 +17,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// newEngines is a gateway before engines of which the i-th serves version i+1. Version
+// newVersionedGateway is a gateway before engines of which the i-th serves version i+1. Version
 // 2 was named so long ago that version 1 may be begun for left.
-func newEngines(t *testing.T, left time.Duration, engines ...*target) *front {
+func newVersionedGateway(t *testing.T, left time.Duration, engines ...*target) *testGateway {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -37,9 +37,9 @@
 	book.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, time.Now().Add(left-timeout))
 	// No other clock than the version's ends an attempt.
 	g := New(Config{Domain: "0", RetryRatio: 1, RetryBurst: 100, FirstEventTimeout: time.Hour, CancelLead: time.Nanosecond}, testDialect{}, book,
-		targetconn.NewPool(targetconn.Config{}), granted{}, NewStats(metrics.NewRegistry()), log)
+		targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), log)
 	g.SetConfig(cfg)
-	f := &front{t: t, gateway: g, server: httptest.NewServer(g)}
+	f := &testGateway{t: t, gateway: g, server: httptest.NewServer(g)}
 	t.Cleanup(f.server.Close)
 	return f
 }
@@ -47,48 +47,48 @@
 // A request that waits at an engine until the time of the engine's version is over would
 // begin on a version that must not be served any more: one began 8.63 s after the newer
 // one was named, where 8 s are allowed. It is taken back and served by another.
-func TestRequestThatHasNotBegunIsTakenBackWhenItsVersionIsOver(t *testing.T) {
-	left := make(chan struct{})
-	waits := newTarget(t, func(_ http.ResponseWriter, r *http.Request) {
+func TestQueuedRequestIsRetriedWhenItsVersionExpires(t *testing.T) {
+	cancelled := make(chan struct{})
+	queueing := newTarget(t, func(_ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
-		close(left)
+		close(cancelled)
 	})
-	serves := newTarget(t, events(3, 3))
-	a := newEngines(t, 300*time.Millisecond, waits, serves).call(http.MethodPost, "/stream/x", "b")
+	serving := newTarget(t, streamHandler(3, 3))
+	a := newVersionedGateway(t, 300*time.Millisecond, queueing, serving).call(http.MethodPost, "/stream/x", "b")
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.status, http.StatusOK)
 	assert.Equal(t, a.body, eventText(1)+eventText(2)+eventText(3))
-	<-left // the engine was told
-	assert.Equal(t, serves.count(), 1)
+	<-cancelled // the engine was told
+	assert.Equal(t, serving.count(), 1)
 }
 
 // One that has begun goes on with the version that it began on, and one that another
 // engine must not run too is left where it is.
-func TestRequestThatHasBegunOrMayRunOnceIsNotTakenBack(t *testing.T) {
-	over := make(chan struct{})
+func TestStartedOrUnsafeRequestIsNotCancelledWhenItsVersionExpires(t *testing.T) {
+	expired := make(chan struct{})
 	const left = 200 * time.Millisecond
-	begun := newTarget(t, func(w http.ResponseWriter, _ *http.Request) {
+	started := newTarget(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Signed", "by the target")
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, eventText(1))
 		w.(http.Flusher).Flush()
-		<-over
+		<-expired
 		_, _ = io.WriteString(w, eventText(2))
 	})
-	other := newTarget(t, events(3, 3))
-	f := newEngines(t, left, begun, other)
-	time.AfterFunc(2*left, func() { close(over) })
+	other := newTarget(t, streamHandler(3, 3))
+	f := newVersionedGateway(t, left, started, other)
+	time.AfterFunc(2*left, func() { close(expired) })
 	a := f.call(http.MethodPost, "/stream/x", "b")
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.body, eventText(1)+eventText(2))
 
-	answer := make(chan struct{})
-	once := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
-		<-answer
-		ok(w, r)
+	release := make(chan struct{})
+	unsafe := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
+		<-release
+		okHandler(w, r)
 	})
-	f = newEngines(t, left, once, other)
-	time.AfterFunc(2*left, func() { close(answer) })
+	f = newVersionedGateway(t, left, unsafe, other)
+	time.AfterFunc(2*left, func() { close(release) })
 	a = f.call(http.MethodPost, "/unsafe/x", "b")
 	assert.Equal(t, a.status, http.StatusOK)
 	assert.Equal(t, other.count(), 0)
--- a/gateway/foreign_test.go
+++ b/gateway/foreign_test.go
@@ -32,13 +32,13 @@
 }
 
 // Entries that name no target harm no other, whoever writes them, however often.
-func TestEntriesOfOtherWritersHarmNoOther(t *testing.T) {
+func TestForeignEntriesDoNotAffectOthers(t *testing.T) {
 	log, lines := test.NewNullLogger()
 	log.SetLevel(logrus.InfoLevel)
-	quiet := logrus.New()
-	quiet.SetOutput(io.Discard)
+	discard := logrus.New()
+	discard.SetOutput(io.Discard)
 	book := dispatch.NewBook(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
-	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), granted{}, NewStats(metrics.NewRegistry()), quiet)
+	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), discard)
 	g.SetConfig(fleet.NewConfig(1, routes(), []*fleet.Service{{Name: "s"}}, nil, fleet.Limits{}))
 	c := NewControl(ControlOptions{Gateway: g, Book: book, Decoder: textDecoder{}, Log: log,
 		Outage: func() (bool, time.Time) { return false, time.Time{} }, Roster: Roster{Hold: -1}})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -153,20 +153,20 @@
 
 // Gateway serves callers.
 type Gateway struct {
-	cfg     Config
-	dialect Dialect
-	book    *dispatch.Book
-	pool    *targetconn.Pool
-	homes   Reserver
-	stats   *Stats
-	log     logrus.FieldLogger
+	cfg      Config
+	dialect  Dialect
+	book     *dispatch.Book
+	pool     *targetconn.Pool
+	reserver Reserver
+	stats    *Stats
+	log      logrus.FieldLogger
 
 	config   atomic.Pointer[fleet.Config]
 	draining atomic.Bool
 	inflight atomic.Int64
 
-	returns *dispatch.Returns
-	endings *endings
+	returns       *dispatch.Returns
+	crashDetector *crashDetector
 
 	mu      sync.Mutex
 	budgets map[string]*routing.Budget // by service
@@ -174,10 +174,10 @@
 }
 
 // New returns a gateway that refuses all until it has a configuration.
-func New(cfg Config, d Dialect, book *dispatch.Book, pool *targetconn.Pool, homes Reserver, stats *Stats, log logrus.FieldLogger) *Gateway {
+func New(cfg Config, d Dialect, book *dispatch.Book, pool *targetconn.Pool, reserver Reserver, stats *Stats, log logrus.FieldLogger) *Gateway {
 	cfg = cfg.applyDefaults()
-	return &Gateway{cfg: cfg, dialect: d, book: book, pool: pool, homes: homes, stats: stats, log: log,
-		returns: dispatch.NewReturns(cfg.RetryAfter, cfg.RetrySpread), endings: newEndings(cfg.Crashes, cfg.Host, log), budgets: map[string]*routing.Budget{}, entries: 1}
+	return &Gateway{cfg: cfg, dialect: d, book: book, pool: pool, reserver: reserver, stats: stats, log: log,
+		returns: dispatch.NewReturns(cfg.RetryAfter, cfg.RetrySpread), crashDetector: newCrashDetector(cfg.Crashes, cfg.Host, log), budgets: map[string]*routing.Budget{}, entries: 1}
 }
 
 // SetConfig puts a configuration in force. Older versions are ignored.
@@ -217,12 +217,12 @@
 	}
 	g.entries = n
 	for _, b := range g.budgets {
-		b.Resize(g.budgetPart())
+		b.Resize(g.budgetShare())
 	}
 }
 
-// budgetPart is how many retries this entry may save up; the lock is held.
-func (g *Gateway) budgetPart() float64 {
+// budgetShare is how many retries this entry may save up; the lock is held.
+func (g *Gateway) budgetShare() float64 {
 	return max(g.cfg.RetryBurst/float64(max(g.entries, 1)), 1)
 }
 
@@ -234,8 +234,8 @@
 	defer g.mu.Unlock()
 	b := g.budgets[service]
 	if b == nil {
-		part := g.budgetPart()
-		b = routing.NewBudget(routing.BudgetConfig{Ratio: g.cfg.RetryRatio, Reserve: part, Cap: part, NoRefill: true})
+		share := g.budgetShare()
+		b = routing.NewBudget(routing.BudgetConfig{Ratio: g.cfg.RetryRatio, Reserve: share, Cap: share, NoRefill: true})
 		g.budgets[service] = b
 	}
 	return b
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -51,10 +51,10 @@
 	return info
 }
 
-// granted grants all places.
-type granted struct{}
+// grantAll grants all places.
+type grantAll struct{}
 
-func (granted) Reserve(context.Context, dispatch.Choice, int) dispatch.Reservation {
+func (grantAll) Reserve(context.Context, dispatch.Choice, int) dispatch.Reservation {
 	return dispatch.PlaceGranted
 }
 
@@ -89,31 +89,33 @@
 	return len(x.seen)
 }
 
-func signed(w http.ResponseWriter, status int, body string) {
+func writeSigned(w http.ResponseWriter, status int, body string) {
 	w.Header().Set("Signed", "by the target")
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, body)
 }
 
-func ok(w http.ResponseWriter, r *http.Request) { signed(w, http.StatusOK, "done "+r.URL.RequestURI()) }
+func okHandler(w http.ResponseWriter, r *http.Request) {
+	writeSigned(w, http.StatusOK, "done "+r.URL.RequestURI())
+}
 
-func notRunAnswer(w http.ResponseWriter, _ *http.Request) {
+func notRunHandler(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func failure(w http.ResponseWriter, _ *http.Request) {
-	signed(w, http.StatusInternalServerError, "broken")
+func failHandler(w http.ResponseWriter, _ *http.Request) {
+	writeSigned(w, http.StatusInternalServerError, "broken")
 }
 
-// abort closes the connection without an answer.
-func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// abortHandler closes the connection without an answer.
+func abortHandler(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func eventText(i int) string { return fmt.Sprintf("id: %d\ndata: token %d\n\n", i, i) }
 
-// events streams events after the last one that the caller has, up to most of
+// streamHandler streams streamHandler after the last one that the caller has, up to most of
 // them, and breaks off unless whole.
-func events(total, most int) http.HandlerFunc {
+func streamHandler(total, most int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		last, _ := strconv.Atoi(r.Header.Get("Last"))
 		w.Header().Set("Signed", "by the target")
@@ -142,14 +144,14 @@
 		route("stream", fleet.Streaming, testTimeout), route("short", fleet.Unsafe, 50*time.Millisecond)}
 }
 
-// front is a gateway before targets; the first target is preferred.
-type front struct {
+// testGateway is a gateway before targets; the first target is preferred.
+type testGateway struct {
 	t       *testing.T
 	gateway *Gateway
 	server  *httptest.Server
 }
 
-func newFront(t *testing.T, targets ...*target) *front {
+func newTestGateway(t *testing.T, targets ...*target) *testGateway {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -164,9 +166,9 @@
 	cfg := fleet.NewConfig(1, routes(), services, teams, fleet.Limits{BodyBytes: 1 << 10})
 	book.Apply(list, cfg.Services)
 	g := New(Config{Domain: "0", RetryRatio: 1, RetryBurst: 100}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}),
-		granted{}, NewStats(metrics.NewRegistry()), log)
+		grantAll{}, NewStats(metrics.NewRegistry()), log)
 	g.SetConfig(cfg)
-	f := &front{t: t, gateway: g, server: httptest.NewServer(g)}
+	f := &testGateway{t: t, gateway: g, server: httptest.NewServer(g)}
 	t.Cleanup(f.server.Close)
 	return f
 }
@@ -179,7 +181,7 @@
 	err    error
 }
 
-func (f *front) call(method, path, body string, header ...string) answer {
+func (f *testGateway) call(method, path, body string, header ...string) answer {
 	f.t.Helper()
 	r, err := http.NewRequestWithContext(f.t.Context(), method, f.server.URL+path, strings.NewReader(body))
 	assert.NilError(f.t, err)
@@ -198,9 +200,9 @@
 	return answer{resp.StatusCode, string(b), resp.Header, err}
 }
 
-func TestAnswerIsPassedOn(t *testing.T) {
-	x := newTarget(t, ok)
-	a := newFront(t, x).call(http.MethodPost, "/unsafe/a%2Fb?q=1", "the body", "Team", "forged", "Left-Ms", "1000")
+func TestResponseIsRelayed(t *testing.T) {
+	x := newTarget(t, okHandler)
+	a := newTestGateway(t, x).call(http.MethodPost, "/unsafe/a%2Fb?q=1", "the body", "Team", "forged", "Left-Ms", "1000")
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.status, http.StatusOK)
 	assert.Equal(t, a.body, "done /unsafe/a%2Fb?q=1")
@@ -221,16 +223,16 @@
 	unsignedOK := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "spoilt") }
 	encoded := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Encoding", "gzip")
-		signed(w, http.StatusOK, "spoilt")
+		writeSigned(w, http.StatusOK, "spoilt")
 	}
 	misdirected := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) }
 	wrongID := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Id", "another")
-		signed(w, http.StatusOK, "another's answer")
+		writeSigned(w, http.StatusOK, "another's answer")
 	}
 	cut := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
-		signed(w, http.StatusOK, "cut")
+		writeSigned(w, http.StatusOK, "cut")
 	}
 	for _, c := range []struct {
 		name      string
@@ -239,23 +241,23 @@
 		want      int
 		wantOther int // requests that reach the second target
 	}{
-		{"unsafe, not run", notRunAnswer, "unsafe", http.StatusOK, 1},
+		{"unsafe, not run", notRunHandler, "unsafe", http.StatusOK, 1},
 		{"unsafe, other instance", misdirected, "unsafe", http.StatusOK, 1},
-		{"unsafe, connection lost", abort, "unsafe", http.StatusBadGateway, 0},
-		{"unsafe, failed", failure, "unsafe", http.StatusInternalServerError, 0},
+		{"unsafe, connection lost", abortHandler, "unsafe", http.StatusBadGateway, 0},
+		{"unsafe, failed", failHandler, "unsafe", http.StatusInternalServerError, 0},
 		{"unsafe, unsigned success", unsignedOK, "unsafe", http.StatusBadGateway, 0},
 		{"unsafe, encoded", encoded, "unsafe", http.StatusBadGateway, 0},
 		{"unsafe, cut", cut, "unsafe", http.StatusBadGateway, 0},
 		{"unsafe, answer to another", wrongID, "short", http.StatusGatewayTimeout, 0},
-		{"safe, not run", notRunAnswer, "safe", http.StatusOK, 1},
-		{"safe, connection lost", abort, "safe", http.StatusOK, 1},
-		{"safe, failed", failure, "safe", http.StatusOK, 1},
+		{"safe, not run", notRunHandler, "safe", http.StatusOK, 1},
+		{"safe, connection lost", abortHandler, "safe", http.StatusOK, 1},
+		{"safe, failed", failHandler, "safe", http.StatusOK, 1},
 		{"safe, cut", cut, "safe", http.StatusOK, 1},
 		{"safe, unsigned success", unsignedOK, "safe", http.StatusOK, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			first, second := newTarget(t, c.first), newTarget(t, ok)
-			a := newFront(t, first, second).call(http.MethodPost, "/"+c.route+"/x", "b")
+			first, second := newTarget(t, c.first), newTarget(t, okHandler)
+			a := newTestGateway(t, first, second).call(http.MethodPost, "/"+c.route+"/x", "b")
 			assert.NilError(t, a.err)
 			assert.Equal(t, a.status, c.want)
 			assert.Equal(t, second.count(), c.wantOther)
@@ -268,44 +270,44 @@
 
 // A status that promises "not run" is only given if no target was reached, or
 // each said so.
-func TestRefusalIsTrue(t *testing.T) {
-	x, y := newTarget(t, notRunAnswer), newTarget(t, notRunAnswer)
-	a := newFront(t, x, y).call(http.MethodPost, "/unsafe/x", "b")
+func TestRefusalStatusIsAccurate(t *testing.T) {
+	x, y := newTarget(t, notRunHandler), newTarget(t, notRunHandler)
+	a := newTestGateway(t, x, y).call(http.MethodPost, "/unsafe/x", "b")
 	assert.Equal(t, a.status, http.StatusServiceUnavailable)
 	assert.Assert(t, a.header.Get("Retry-After") != "")
 	assert.Equal(t, x.count()+y.count(), 2, "attempts are bounded")
 
-	x, y = newTarget(t, abort), newTarget(t, notRunAnswer)
-	a = newFront(t, x, y).call(http.MethodPost, "/safe/x", "b")
+	x, y = newTarget(t, abortHandler), newTarget(t, notRunHandler)
+	a = newTestGateway(t, x, y).call(http.MethodPost, "/safe/x", "b")
 	assert.Equal(t, a.status, http.StatusBadGateway, "the first target may have run it")
 }
 
-func TestFailureOfTheTargetIsPassedOnAtLast(t *testing.T) {
-	x, y := newTarget(t, failure), newTarget(t, failure)
-	a := newFront(t, x, y).call(http.MethodGet, "/safe/x", "")
+func TestFailureOfTheLastTargetIsRelayed(t *testing.T) {
+	x, y := newTarget(t, failHandler), newTarget(t, failHandler)
+	a := newTestGateway(t, x, y).call(http.MethodGet, "/safe/x", "")
 	assert.Equal(t, a.status, http.StatusInternalServerError)
 	assert.Equal(t, a.body, "broken")
 }
 
-func TestUnreachableTargetIsNoAttempt(t *testing.T) {
-	x, y := newTarget(t, ok), newTarget(t, ok)
-	f := newFront(t, x, y)
+func TestUnreachableTargetIsNotCountedAsAttempt(t *testing.T) {
+	x, y := newTarget(t, okHandler), newTarget(t, okHandler)
+	f := newTestGateway(t, x, y)
 	x.Close()
 	a := f.call(http.MethodPost, "/unsafe/x", "b")
 	assert.Equal(t, a.status, http.StatusOK)
 }
 
-func TestFinalAnswerAtTheTimeoutOfTheRoute(t *testing.T) {
+func TestGatewayTimeoutAtTheTimeoutOfTheRoute(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	x := newTarget(t, func(http.ResponseWriter, *http.Request) { <-release })
-	a := newFront(t, x).call(http.MethodPost, "/short/x", "b")
+	a := newTestGateway(t, x).call(http.MethodPost, "/short/x", "b")
 	assert.Equal(t, a.status, http.StatusGatewayTimeout)
 }
 
-func TestOwnAnswers(t *testing.T) {
-	x := newTarget(t, ok)
-	f := newFront(t, x)
+func TestResponsesOfTheGateway(t *testing.T) {
+	x := newTarget(t, okHandler)
+	f := newTestGateway(t, x)
 	assert.Equal(t, f.call(http.MethodGet, "/none/x", "").status, http.StatusNotFound)
 	assert.Equal(t, f.call(http.MethodGet, "/safe", "").status, http.StatusNotFound, "a prefix ends with its slash")
 	assert.Equal(t, f.call(http.MethodGet, "/safe/x", "", "Key", "revoked").status, http.StatusUnauthorized)
@@ -315,16 +317,16 @@
 	assert.Equal(t, x.count(), 0)
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
-	f := newFront(t, newTarget(t, ok))
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	f := newTestGateway(t, newTarget(t, okHandler))
 	assert.Assert(t, !f.gateway.SetConfig(fleet.NewConfig(1, nil, nil, nil, fleet.Limits{})))
 	assert.Assert(t, f.gateway.SetConfig(fleet.NewConfig(7, routes(), nil, nil, fleet.Limits{})))
 	assert.Assert(t, !f.gateway.SetConfig(fleet.NewConfig(6, nil, nil, nil, fleet.Limits{})))
 	assert.Equal(t, f.gateway.Config().Version, int64(7))
 }
 
-func TestDrainingAnswersAreTheLastOfTheirConnection(t *testing.T) {
-	f := newFront(t, newTarget(t, ok))
+func TestDrainingClosesConnectionsAfterTheResponse(t *testing.T) {
+	f := newTestGateway(t, newTarget(t, okHandler))
 	assert.Assert(t, f.gateway.Ready())
 	f.gateway.Drain()
 	assert.Assert(t, !f.gateway.Ready())
@@ -344,8 +346,8 @@
 	return b.String()
 }
 
-func TestStreamIsPassedOn(t *testing.T) {
-	a := newFront(t, newTarget(t, events(5, 5))).call(http.MethodPost, "/stream/x", "b")
+func TestStreamIsRelayed(t *testing.T) {
+	a := newTestGateway(t, newTarget(t, streamHandler(5, 5))).call(http.MethodPost, "/stream/x", "b")
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.body, wantEvents(5))
 }
@@ -353,8 +355,8 @@
 // A stream that breaks inside an event goes on at another target with the
 // event after the last whole one.
 func TestBrokenStreamIsResumedElsewhere(t *testing.T) {
-	x, y := newTarget(t, events(7, 3)), newTarget(t, events(7, 7))
-	a := newFront(t, x, y).call(http.MethodPost, "/stream/x", "b")
+	x, y := newTarget(t, streamHandler(7, 3)), newTarget(t, streamHandler(7, 7))
+	a := newTestGateway(t, x, y).call(http.MethodPost, "/stream/x", "b")
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.body, wantEvents(7))
 	assert.Equal(t, y.seen[0].Header.Get("Last"), "3")
@@ -362,28 +364,28 @@
 }
 
 func TestCallerResumesAStream(t *testing.T) {
-	a := newFront(t, newTarget(t, events(5, 5))).call(http.MethodPost, "/stream/x", "b", "Last", "3")
+	a := newTestGateway(t, newTarget(t, streamHandler(5, 5))).call(http.MethodPost, "/stream/x", "b", "Last", "3")
 	assert.Equal(t, a.body, eventText(4)+eventText(5))
 }
 
 // A stream that can't be completed must not look complete.
 func TestStreamThatCannotBeCompletedIsBrokenOff(t *testing.T) {
-	for name, second := range map[string]http.HandlerFunc{"breaks too": events(9, 2), "fails": failure, "refuses": notRunAnswer} {
-		a := newFront(t, newTarget(t, events(9, 3)), newTarget(t, second)).call(http.MethodPost, "/stream/x", "b")
+	for name, second := range map[string]http.HandlerFunc{"breaks too": streamHandler(9, 2), "fails": failHandler, "refuses": notRunHandler} {
+		a := newTestGateway(t, newTarget(t, streamHandler(9, 3)), newTarget(t, second)).call(http.MethodPost, "/stream/x", "b")
 		assert.Assert(t, a.err != nil, name)
 		assert.Assert(t, strings.HasPrefix(wantEvents(9), a.body), name)
 	}
 }
 
 // The caller leaves: the target's connection is closed at once.
-func TestCallerThatLeavesEndsTheWork(t *testing.T) {
+func TestDisconnectOfCallerCancelsTheRequest(t *testing.T) {
 	started, ended := make(chan struct{}), make(chan struct{})
 	x := newTarget(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-r.Context().Done()
 		close(ended)
 	})
-	f := newFront(t, x)
+	f := newTestGateway(t, x)
 	ctx, cancel := context.WithCancel(t.Context())
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.server.URL+"/safe/x", nil)
 	assert.NilError(t, err)
@@ -399,8 +401,8 @@
 }
 
 func TestRetryBudgetIsShared(t *testing.T) {
-	x, y := newTarget(t, notRunAnswer), newTarget(t, notRunAnswer)
-	f := newFront(t, x, y)
+	x, y := newTarget(t, notRunHandler), newTarget(t, notRunHandler)
+	f := newTestGateway(t, x, y)
 	f.gateway.cfg.RetryRatio, f.gateway.cfg.RetryBurst = 0.01, 8
 	f.gateway.SetEntries(4) // a part of 2
 	for range 10 {
@@ -412,9 +414,9 @@
 // Entries come and go, as they do while a border is cut or hosts are busy. What was spent of
 // the retry budget stays spent: it was full again after each change, so that repeats had no
 // bound in all.
-func TestRetryBudgetOutlivesChangesOfTheEntries(t *testing.T) {
-	x, y := newTarget(t, notRunAnswer), newTarget(t, notRunAnswer)
-	f := newFront(t, x, y)
+func TestRetryBudgetSurvivesChangesOfTheEntries(t *testing.T) {
+	x, y := newTarget(t, notRunHandler), newTarget(t, notRunHandler)
+	f := newTestGateway(t, x, y)
 	f.gateway.cfg.RetryRatio, f.gateway.cfg.RetryBurst = 0.01, 8
 	f.gateway.SetEntries(4) // a part of 2
 	for i := range 10 {
@@ -425,8 +427,8 @@
 }
 
 // Where there are fewer entries, each may save up more, by its own requests.
-func TestRetryBudgetGrowsWithThePartOfTheEntry(t *testing.T) {
-	f := newFront(t, newTarget(t, ok))
+func TestRetryBudgetGrowsWithTheShareOfTheEntry(t *testing.T) {
+	f := newTestGateway(t, newTarget(t, okHandler))
 	f.gateway.cfg.RetryRatio, f.gateway.cfg.RetryBurst = 1, 8
 	f.gateway.SetEntries(4)
 	for f.gateway.budget("s").Spend(time.Now()) {
@@ -443,11 +445,11 @@
 }
 
 // A request that may wait longer than others wins the places that these leave.
-func TestPatienceIsThatOfTheTightestObjective(t *testing.T) {
+func TestMaxWaitFollowsTheTightestObjective(t *testing.T) {
 	g := &Gateway{cfg: Config{}.applyDefaults()}
 	x := &exchange{g: g, route: &fleet.Route{Objective: 1500 * time.Millisecond}, tightest: 250 * time.Millisecond, start: time.Now(),
 		deadline: time.Now().Add(time.Minute)}
-	assert.Assert(t, x.patience() <= 25*time.Millisecond)
+	assert.Assert(t, x.maxWait() <= 25*time.Millisecond)
 }
 
 func TestTimeoutsFollowTheForecast(t *testing.T) {
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -22,14 +22,14 @@
 
 // Loads implements mesh.Listener.
 func (c *Control) Loads(from string, l *peer.Loads) {
-	c.hearVersions(clock.Now(), from, l.Versions)
-	c.learnNotices(from, l.Notices)
+	c.mergeVersions(clock.Now(), from, l.Versions)
+	c.mergeNotices(from, l.Notices)
 	loads := make(map[string]dispatch.Load, len(l.Targets))
-	silence := !c.cfg.Off.Has(mechanism.SharedSilence)
+	shareSilence := !c.cfg.Off.Has(mechanism.SharedSilence)
 	for _, t := range l.Targets {
 		loads[t.Instance] = dispatch.Load{Requests: t.Requests, Unread: t.Unread}
-		c.book.SetHeard(from, t.Instance, t.Heard && silence)
-		if silence && t.Silent && c.book.Suspect(clock.Now(), t.Instance) {
+		c.book.SetHeard(from, t.Instance, t.Heard && shareSilence)
+		if shareSilence && t.Silent && c.book.Suspect(clock.Now(), t.Instance) {
 			c.log.WithFields(logrus.Fields{"target": t.Instance, "peer": from}).Info("Target silent for another entry.")
 		}
 	}
@@ -43,14 +43,14 @@
 	}
 }
 
-// learnNotices takes what another entry believes of targets by what they say.
-func (c *Control) learnNotices(from string, list []peer.TargetNotice) {
+// mergeNotices takes what another entry believes of targets by what they say.
+func (c *Control) mergeNotices(from string, list []peer.TargetNotice) {
 	for _, n := range list {
-		told, ok := n.Decode()
+		decoded, ok := n.Decode()
 		if !ok {
 			continue
 		}
-		if c.book.Learn(clock.Now(), told) != (notice.Change{}) {
+		if c.book.Learn(clock.Now(), decoded) != (notice.Change{}) {
 			c.log.WithFields(logrus.Fields{"target": n.Instance, "peer": from, "limited": n.Limited, "limit": n.PerS, "leaving": n.Leaving}).Info("Target's words learned.")
 		}
 	}
@@ -59,8 +59,8 @@
 // Notices implements mesh.Listener.
 func (c *Control) Notices() []peer.TargetNotice {
 	var out []peer.TargetNotice
-	for _, told := range c.book.Notices() {
-		out = append(out, peer.EncodeNotice(told))
+	for _, received := range c.book.Notices() {
+		out = append(out, peer.EncodeNotice(received))
 	}
 	slices.SortFunc(out, func(a, b peer.TargetNotice) int { return cmp.Compare(a.Instance, b.Instance) })
 	return out
@@ -112,8 +112,8 @@
 	silent, heard := c.book.SilentTargets(clock.Now()), c.book.HeardTargets(clock.Now())
 	out := make([]peer.TargetLoad, 0, len(own)+len(silent))
 	for id, l := range own {
-		_, found := slices.BinarySearch(silent, id)
-		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, Unread: l.Unread, Silent: found, Heard: heard[id]})
+		_, isSilent := slices.BinarySearch(silent, id)
+		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, Unread: l.Unread, Silent: isSilent, Heard: heard[id]})
 	}
 	for _, id := range silent {
 		if _, listed := own[id]; !listed {
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -13,14 +13,14 @@
 
 // place waits until a target can serve the request in time.
 func (x *exchange) place(ctx context.Context, d dispatch.Demand) (dispatch.Choice, Reason) {
-	began := clock.Now()
-	defer func() { x.waited += clock.Since(began) }()
+	start := clock.Now()
+	defer func() { x.waited += clock.Since(start) }()
 	if x.sends == 0 {
-		x.tightest = x.g.book.Arrived(began, x.service, d)
+		x.tightest = x.g.book.Arrived(start, x.service, d)
 	}
-	patience := x.patience()
-	until := began.Add(patience)
-	timer := clock.NewTimer(patience)
+	maxWait := x.maxWait()
+	until := start.Add(maxWait)
+	timer := clock.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
 		changed := x.g.book.Changed()
@@ -35,7 +35,7 @@
 		}
 		select {
 		case <-changed:
-		case <-x.freeAt(verdict, choice):
+		case <-x.timerUntilFree(verdict, choice):
 		case <-timer.C:
 			return choice, x.unplaced(verdict, choice, d)
 		case <-ctx.Done():
@@ -44,18 +44,18 @@
 	}
 }
 
-// freeAt returns a channel that gets a value when a target takes one more; nil if that is
+// timerUntilFree returns a channel that gets a value when a target takes one more; nil if that is
 // not what the request waits for.
-func (x *exchange) freeAt(v dispatch.Verdict, c dispatch.Choice) <-chan time.Time {
+func (x *exchange) timerUntilFree(v dispatch.Verdict, c dispatch.Choice) <-chan time.Time {
 	if v != dispatch.Paced {
 		return nil
 	}
 	return clock.NewTimer(max(clock.Until(c.FreeAt), 0)).C
 }
 
-// maxHeld is how many targets that turn out to take no more for a time are passed over,
+// maxHeldTargets is how many targets that turn out to take no more for a time are passed over,
 // though the request may not wait.
-const maxHeld = 4
+const maxHeldTargets = 4
 
 // pick chooses a target whose home grants a place. Targets that turn out to take no more
 // for a time are passed over.
@@ -65,14 +65,14 @@
 		if verdict != dispatch.Chosen {
 			return choice, verdict
 		}
-		reservation := x.g.homes.Reserve(ctx, choice, d.Prompt)
+		reservation := x.g.reserver.Reserve(ctx, choice, d.Prompt)
 		if reservation == dispatch.PlaceGranted {
 			return choice, dispatch.Chosen
 		}
 		x.g.book.Cancel(choice.Target, d)
 		x.denied++
-		goOn := reservation == dispatch.PlaceHeld && (held < maxHeld || clock.Now().Before(until))
-		if !goOn || ctx.Err() != nil {
+		retry := reservation == dispatch.PlaceHeld && (held < maxHeldTargets || clock.Now().Before(until))
+		if !retry || ctx.Err() != nil {
 			return choice, dispatch.Saturated
 		}
 	}
@@ -86,7 +86,7 @@
 		x.g.book.Refused(clock.Now(), x.service, d)
 		return ReasonSaturated
 	case dispatch.Paced:
-		x.freeFrom = c.FreeAt
+		x.nextFreeAt = c.FreeAt
 		x.g.book.Refused(clock.Now(), x.service, d)
 		return ReasonPaced
 	}
@@ -129,8 +129,8 @@
 	x.g.log.WithFields(f).Info("No target in time.")
 }
 
-// patience is how long the request may wait for a target now.
-func (x *exchange) patience() time.Duration {
+// maxWait is how long the request may wait for a target now.
+func (x *exchange) maxWait() time.Duration {
 	if x.sends > 0 {
 		return min(x.g.cfg.RetryMaxWait, clock.Until(x.deadline))
 	}
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -44,18 +44,18 @@
 	f["seen_by"], f["again_in_ms"] = x.Seen, x.ProbeAt.Sub(now).Milliseconds()
 }
 
-// lostAt notes that the connection to a target broke under the request. If the target has
+// recordLostConnection notes that the connection to a target broke under the request. If the target has
 // ended, it waits for what others saw of the same content in the same moment.
-func (x *exchange) lostAt(ctx context.Context, c dispatch.Choice, sent time.Time) {
-	if !x.g.book.Serving(c.Target) || !x.g.endings.lost(ctx, c.Instance, x.content, sent, clock.Now()) {
+func (x *exchange) recordLostConnection(ctx context.Context, c dispatch.Choice, sent time.Time) {
+	if !x.g.book.Serving(c.Target) || !x.g.crashDetector.connectionLost(ctx, c.Instance, x.content, sent, clock.Now()) {
 		return
 	}
-	x.g.stats.ended.Inc(1)
-	loop.Sleep(ctx, settleFor)
+	x.g.stats.lostWithTarget.Inc(1)
+	loop.Sleep(ctx, crashReportWait)
 }
 
-// survived notes that a target has brought a run of the request to its end.
-func (x *exchange) survived(c dispatch.Choice, sent time.Time) {
+// recordSuccess notes that a target has brought a run of the request to its end.
+func (x *exchange) recordSuccess(c dispatch.Choice, sent time.Time) {
 	x.g.cfg.Crashes.RecordSuccess(clock.Now(), x.content)
-	x.g.endings.answered(c.Instance, sent)
+	x.g.crashDetector.recordAnswer(c.Instance, sent)
 }
--- a/gateway/reason.go
+++ b/gateway/reason.go
@@ -8,31 +8,31 @@
 
 // Reasons.
 const (
-	ReasonNone          Reason = ""
-	ReasonNoConfig      Reason = "no_config"
-	ReasonNoRoute       Reason = "no_route"
-	ReasonUnknownKey    Reason = "unknown_key"
-	ReasonBodyTooLarge  Reason = "body_too_large"
-	ReasonBodyBroken    Reason = "body_broken"
-	ReasonSaturated     Reason = "saturated"
-	ReasonPaced         Reason = "paced" // no target takes one more yet
-	ReasonNoTarget      Reason = "no_target"
-	ReasonNoDomain      Reason = "no_domain" // no failure domain is left that may run it
-	ReasonDialFailed    Reason = "dial_failed"
-	ReasonTargetRefused Reason = "target_refused" // the target states that it did not run it
-	ReasonOtherInstance Reason = "other_instance"
-	ReasonConnLost      Reason = "connection_lost"
-	ReasonGarbled       Reason = "garbled_answer"
-	ReasonTargetError   Reason = "target_error"
-	ReasonLateFirstEvent     Reason = "first_event_late"
-	ReasonStalled       Reason = "stream_stalled"
-	ReasonBrokenStream  Reason = "stream_broken"
-	ReasonVersionOver   Reason = "version_over" // it had not begun when its version's time was over
-	ReasonEndsTargets   Reason = "ends_targets" // targets that run it end
-	ReasonTimeout       Reason = "timeout"
-	ReasonCallerGone    Reason = "caller_gone"
-	ReasonAttempts      Reason = "attempts_used"
-	ReasonBudget        Reason = "retry_budget_used"
+	ReasonNone           Reason = ""
+	ReasonNoConfig       Reason = "no_config"
+	ReasonNoRoute        Reason = "no_route"
+	ReasonUnknownKey     Reason = "unknown_key"
+	ReasonBodyTooLarge   Reason = "body_too_large"
+	ReasonBodyBroken     Reason = "body_broken"
+	ReasonSaturated      Reason = "saturated"
+	ReasonPaced          Reason = "paced" // no target takes one more yet
+	ReasonNoTarget       Reason = "no_target"
+	ReasonNoDomain       Reason = "no_domain" // no failure domain is left that may run it
+	ReasonDialFailed     Reason = "dial_failed"
+	ReasonTargetRefused  Reason = "target_refused" // the target states that it did not run it
+	ReasonOtherInstance  Reason = "other_instance"
+	ReasonConnLost       Reason = "connection_lost"
+	ReasonGarbled        Reason = "garbled_answer"
+	ReasonTargetError    Reason = "target_error"
+	ReasonLateFirstEvent Reason = "first_event_late"
+	ReasonStalled        Reason = "stream_stalled"
+	ReasonBrokenStream   Reason = "stream_broken"
+	ReasonVersionOver    Reason = "version_over" // it had not begun when its version's time was over
+	ReasonEndsTargets    Reason = "ends_targets" // targets that run it end
+	ReasonTimeout        Reason = "timeout"
+	ReasonCallerGone     Reason = "caller_gone"
+	ReasonAttempts       Reason = "attempts_used"
+	ReasonBudget         Reason = "retry_budget_used"
 )
 
 // reasons lists all reasons with a counter.
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -31,9 +31,9 @@
 // Update takes the list and returns the instances that may be used. down is
 // true while the store cannot be read, and ended is when it last came back.
 func (r *Roster) Update(now time.Time, list []*fleet.Instance, down bool, ended time.Time) []*fleet.Instance {
-	var passed time.Duration
+	var elapsed time.Duration
 	if !r.updated.IsZero() && !r.down {
-		passed = now.Sub(r.updated)
+		elapsed = now.Sub(r.updated)
 	}
 	r.updated, r.down = now, down
 	listed := make(map[string]*fleet.Instance, len(list))
@@ -46,18 +46,18 @@
 		if listed[id] != nil || old.Draining {
 			continue
 		}
-		listable, again := r.vanished[id]
-		if again {
-			listable += passed
+		listable, wasVanished := r.vanished[id]
+		if wasVanished {
+			listable += elapsed
 		}
 		if !down && listable >= r.Hold && max(listable, now.Sub(ended)) >= r.CatchUp {
 			continue
 		}
-		kept := *old
-		kept.Doubtful = true
-		listed[id] = &kept
+		retained := *old
+		retained.Doubtful = true
+		listed[id] = &retained
 		vanished[id] = listable
-		out = append(out, &kept)
+		out = append(out, &retained)
 	}
 	r.known, r.vanished = listed, vanished
 	return newestAtEachAddr(out)
--- a/gateway/roster_test.go
+++ b/gateway/roster_test.go
@@ -42,7 +42,7 @@
 	assert.DeepEqual(t, state(got), map[string]bool{"new": false, "other": true}) // nor is it held
 }
 
-func TestVanishedInstanceIsHeldForAMoment(t *testing.T) {
+func TestVanishedInstanceIsRetainedForHold(t *testing.T) {
 	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
 	got := r.Update(at(0), listed("a"), false, time.Time{})
@@ -63,15 +63,15 @@
 
 // Entries lapse while the store is away; those of live targets come back within
 // the time to catch up.
-func TestInstancesOutliveAnOutageOfTheStore(t *testing.T) {
+func TestInstancesSurviveAnOutageOfTheStore(t *testing.T) {
 	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
 	got := r.Update(at(time.Minute), nil, true, time.Time{})
 	assert.DeepEqual(t, state(got), map[string]bool{"a": true, "b": true})
-	back := at(2 * time.Minute)
-	got = r.Update(back.Add(2*time.Second), listed("a"), false, back)
+	restored := at(2 * time.Minute)
+	got = r.Update(restored.Add(2*time.Second), listed("a"), false, restored)
 	assert.DeepEqual(t, state(got), map[string]bool{"a": false, "b": true})
-	got = r.Update(back.Add(3*time.Second), listed("a"), false, back)
+	got = r.Update(restored.Add(3*time.Second), listed("a"), false, restored)
 	assert.DeepEqual(t, state(got), map[string]bool{"a": false})
 }
 
@@ -79,7 +79,7 @@
 // and again, while the store answers and targets leave for good. A target that lives is
 // listed again once the store has been there for the time to catch up; one that is not
 // has left, however often an outage seems to have ended.
-func TestOutagesThatFlapDoNotKeepATargetThatLeft(t *testing.T) {
+func TestFlappingOutagesDoNotRetainATargetThatLeft(t *testing.T) {
 	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
 	var ended time.Time
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -22,22 +22,22 @@
 	silent bool   // the target sent nothing at the end
 	// held is a whole failure of the target that may be passed on if no other
 	// target does better.
-	held *heldAnswer
+	held *bufferedResponse
 }
 
 // run sends the request until it is answered, or gives it up.
 func (x *exchange) run(ctx context.Context) {
 	x.g.budget(x.service).Success()
-	var held *heldAnswer
+	var held *bufferedResponse
 	for {
 		choice, reason := x.choose(ctx)
 		if reason != ReasonNone {
-			x.giveUp(reason, held)
+			x.fail(reason, held)
 			return
 		}
 		res := x.send(ctx, choice)
 		if res.reason == ReasonNone {
-			x.answered()
+			x.recordAnswered()
 			return
 		}
 		x.ran = x.ran || res.ran
@@ -45,11 +45,11 @@
 			held = res.held
 		}
 		if reason := x.mayRetry(ctx, res); reason != ReasonNone {
-			x.giveUp(reason, held)
+			x.fail(reason, held)
 			return
 		}
 		x.retries = append(x.retries, res.reason)
-		x.g.stats.triedAgain(res.reason)
+		x.g.stats.recordRetry(res.reason)
 		x.g.log.WithFields(logrus.Fields{"request": x.call.ID, "target": choice.Instance.ID, "reason": res.reason,
 			"ran": res.ran, "sends": x.sends, "left_ms": clock.Until(x.deadline).Milliseconds()}).Info("Trying again.")
 	}
@@ -70,23 +70,23 @@
 	return choice, reason
 }
 
-func (x *exchange) answered() {
+func (x *exchange) recordAnswered() {
 	took := clock.Since(x.start)
 	x.g.stats.answered.Inc(1)
-	observe(x.g.stats.whole, took)
-	observe(x.g.stats.waited, x.waited)
+	observe(x.g.stats.answerTime, took)
+	observe(x.g.stats.waitTime, x.waited)
 	x.logEnd(http.StatusOK, ReasonNone)
 }
 
-// giveUp ends the request: with a failure that a target answered, or ours.
-func (x *exchange) giveUp(reason Reason, held *heldAnswer) {
+// fail ends the request: with a failure that a target answered, or ours.
+func (x *exchange) fail(reason Reason, held *bufferedResponse) {
 	if x.r.Context().Err() != nil {
-		x.g.stats.failed(ReasonCallerGone)
+		x.g.stats.recordFailure(ReasonCallerGone)
 		x.logEnd(0, ReasonCallerGone)
 		panic(http.ErrAbortHandler)
 	}
 	if held != nil && !x.started && reason != ReasonEndsTargets {
-		x.g.stats.failed(reason)
+		x.g.stats.recordFailure(reason)
 		x.logEnd(held.status, reason)
 		held.write(x.w)
 		return
@@ -129,7 +129,7 @@
 	h := forwardHeader(x.r.Header)
 	x.g.dialect.EncodeForward(h, ForwardInfo{Instance: t.ID, Team: x.teamName(), Remaining: clock.Until(x.deadline), LastEvent: x.lastEvent})
 	x.logSending(c)
-	a := &attempt{x: x, choice: c, began: clock.Now(), unread: x.call.Prompt}
+	a := &attempt{x: x, choice: c, sentAt: clock.Now(), unread: x.call.Prompt}
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
 	defer a.cancel(nil)
 	res := a.do(&targetconn.Request{Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Header: h, Body: x.body, ID: x.call.ID})
@@ -140,9 +140,9 @@
 	a.finish(res)
 	switch {
 	case res.reason == ReasonConnLost || res.reason == ReasonBrokenStream:
-		x.lostAt(ctx, c, a.began)
+		x.recordLostConnection(ctx, c, a.sentAt)
 	case res.reason == ReasonNone || res.held != nil:
-		x.survived(c, a.began)
+		x.recordSuccess(c, a.sentAt)
 	}
 	return res
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -35,23 +35,23 @@
 	start    time.Time
 	deadline time.Time
 
-	sends     int      // targets that the request was sent to
-	denied    int      // places that a target's home denied
-	dials     int      // targets that could not be reached
-	ran       bool     // a target may have run it
-	avoid     []string // instances that failed it
-	lastEvent string   // id of the last event passed on
-	events    int
-	started   bool // the head of the answer is passed on
-	waited    time.Duration
-	tightest  time.Duration // objective of the service's callers
-	returning bool          // the caller was refused before
-	firstAt   time.Duration
-	maxGap    time.Duration   // longest pause between events
-	target    string          // of the last send
-	choice    dispatch.Choice // of the last send
-	retries   []Reason
-	freeFrom  time.Time // when a target takes a request again; zero if that is not known
+	sends           int      // targets that the request was sent to
+	denied          int      // places that a target's home denied
+	dials           int      // targets that could not be reached
+	ran             bool     // a target may have run it
+	avoid           []string // instances that failed it
+	lastEvent       string   // id of the last event passed on
+	events          int
+	started         bool // the head of the answer is passed on
+	waited          time.Duration
+	tightest        time.Duration // objective of the service's callers
+	returning       bool          // the caller was refused before
+	firstEventDelay time.Duration
+	maxGap          time.Duration   // longest pause between events
+	target          string          // of the last send
+	choice          dispatch.Choice // of the last send
+	retries         []Reason
+	nextFreeAt      time.Time // when a target takes a request again; zero if that is not known
 }
 
 // ServeHTTP implements http.Handler.
@@ -142,7 +142,7 @@
 // refuse ends a request with an answer of our own.
 func (x *exchange) refuse(reason Reason) {
 	status := refusalStatus(reason, x.ran)
-	x.g.stats.failed(reason)
+	x.g.stats.recordFailure(reason)
 	x.logEnd(status, reason)
 	if x.started {
 		panic(http.ErrAbortHandler) // the answer must not look complete
@@ -169,8 +169,8 @@
 		return retryAfterUnknown
 	}
 	free := time.Duration(0)
-	if !x.freeFrom.IsZero() {
-		free = max(clock.Until(x.freeFrom), 0)
+	if !x.nextFreeAt.IsZero() {
+		free = max(clock.Until(x.nextFreeAt), 0)
 	}
 	return dispatch.RetryAfter(left, free, x.g.cfg.RetryAfter, x.g.cfg.RetrySpread, rand.Float64())
 }
@@ -202,7 +202,7 @@
 		logFinding(f, x.finding, clock.Now())
 	}
 	if x.events > 0 {
-		f["events"], f["first_ms"], f["gap_ms"] = x.events, x.firstAt.Milliseconds(), x.maxGap.Milliseconds()
+		f["events"], f["first_ms"], f["gap_ms"] = x.events, x.firstEventDelay.Milliseconds(), x.maxGap.Milliseconds()
 	}
 	if x.denied > 0 {
 		f["denied"] = x.denied
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -18,7 +18,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	cfg.CallerAddr, cfg.ReadyAddr = freeAddr(t), freeAddr(t)
-	s := NewServer(cfg, newFront(t, x).gateway, log)
+	s := NewServer(cfg, newTestGateway(t, x).gateway, log)
 	assert.NilError(t, s.Start(t.Context()))
 	return s
 }
@@ -42,12 +42,12 @@
 
 // A request that was taken before the drain is answered before the server ends,
 // and none is taken once the time for that is over.
-func TestDrainAnswersWhatWasTaken(t *testing.T) {
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	x := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-release
-		ok(w, r)
+		okHandler(w, r)
 	})
 	s := startServer(t, ServerConfig{DrainTimeout: time.Minute, AcceptFor: time.Millisecond}, x)
 	answered := make(chan int, 1)
@@ -79,7 +79,7 @@
 }
 
 func TestReadiness(t *testing.T) {
-	s := startServer(t, ServerConfig{}, newTarget(t, ok))
+	s := startServer(t, ServerConfig{}, newTarget(t, okHandler))
 	status := func() int {
 		resp, err := get(t.Context(), s.cfg.ReadyAddr)
 		assert.NilError(t, err)
@@ -93,7 +93,7 @@
 
 // On the platform a request that is sent 3 s after the signal must be answered
 // whole however long it lasts; streams there last up to 5 s of the 8 s allowed.
-func TestNoRequestIsTakenThatMayNotEnd(t *testing.T) {
+func TestRequestsAreAcceptedOnlyIfTheyCanFinish(t *testing.T) {
 	cfg := ServerConfig{}.applyDefaults()
 	assert.Assert(t, cfg.AcceptFor < 3*time.Second)
 	assert.Assert(t, cfg.AcceptFor > 2*time.Second, "the balancer still sends connections")
--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -15,15 +15,15 @@
 
 // Stats are the counters and histograms of a gateway. Times are in ms.
 type Stats struct {
-	answered   metrics.Counter
-	refused    map[Reason]metrics.Counter
-	retried    map[Reason]metrics.Counter
-	firstEvent metrics.Histogram
-	whole      metrics.Histogram
-	ended      metrics.Counter // requests whose target ended under them
-	waited     metrics.Histogram
-	noticed    metrics.Counter // changes of what targets say of themselves
-	unreadable metrics.Counter // answers in which that is not readable
+	answered          metrics.Counter
+	refused           map[Reason]metrics.Counter
+	retried           map[Reason]metrics.Counter
+	firstEvent        metrics.Histogram
+	answerTime        metrics.Histogram
+	lostWithTarget    metrics.Counter // requests whose target ended under them
+	waitTime          metrics.Histogram
+	notices           metrics.Counter // changes of what targets say of themselves
+	unreadableNotices metrics.Counter // answers in which that is not readable
 	// forecastError is how much later than forecast first events came.
 	forecastError metrics.Histogram
 }
@@ -31,11 +31,11 @@
 // NewStats registers the counters.
 func NewStats(r metrics.Registry) *Stats {
 	s := &Stats{answered: metrics.NewRegisteredCounter("gateway.answered", r),
-		ended:   metrics.NewRegisteredCounter("gateway.lost_with_target", r),
-		noticed: metrics.NewRegisteredCounter("gateway.notices", r), unreadable: metrics.NewRegisteredCounter("gateway.notices_unreadable", r),
+		lostWithTarget: metrics.NewRegisteredCounter("gateway.lost_with_target", r),
+		notices:        metrics.NewRegisteredCounter("gateway.notices", r), unreadableNotices: metrics.NewRegisteredCounter("gateway.notices_unreadable", r),
 		refused: map[Reason]metrics.Counter{}, retried: map[Reason]metrics.Counter{},
-		firstEvent: histogram("gateway.first_event_ms", r), whole: histogram("gateway.answer_ms", r),
-		waited: histogram("gateway.wait_ms", r), forecastError: histogram("gateway.forecast_error_ms", r)}
+		firstEvent: histogram("gateway.first_event_ms", r), answerTime: histogram("gateway.answer_ms", r),
+		waitTime: histogram("gateway.wait_ms", r), forecastError: histogram("gateway.forecast_error_ms", r)}
 	for _, reason := range reasons {
 		s.refused[reason] = metrics.NewRegisteredCounter("gateway.failed."+string(reason), r)
 		s.retried[reason] = metrics.NewRegisteredCounter("gateway.retried."+string(reason), r)
@@ -47,6 +47,6 @@
 	return metrics.NewRegisteredHistogram(name, r, metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 }
 
-func (s *Stats) failed(r Reason)                   { s.refused[r].Inc(1) }
-func (s *Stats) triedAgain(r Reason)               { s.retried[r].Inc(1) }
+func (s *Stats) recordFailure(r Reason)            { s.refused[r].Inc(1) }
+func (s *Stats) recordRetry(r Reason)              { s.retried[r].Inc(1) }
 func observe(h metrics.Histogram, d time.Duration) { h.Update(d.Milliseconds()) }
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -51,20 +51,20 @@
 	}
 }
 
-// stream passes events on, each as soon as it is whole.
-func (a *attempt) stream(resp *targetconn.Response, watchdog *clock.Timer) result {
+// relayStream passes events on, each as soon as it is whole.
+func (a *attempt) relayStream(resp *targetconn.Response, watchdog *clock.Timer) result {
 	x := a.x
 	events := eventReader{bufio.NewReader(resp)}
 	flush := http.NewResponseController(x.w)
 	for {
 		ev, err := events.next()
 		if err == io.EOF {
-			return a.streamEnd(resp)
+			return a.endStream(resp)
 		}
 		if err != nil {
-			return a.streamBroken(err)
+			return a.streamFailure(err)
 		}
-		a.heard()
+		a.recordEvent()
 		if watchdog != nil {
 			watchdog.Reset(a.stallTimeout())
 		}
@@ -95,8 +95,8 @@
 	return max(a.x.g.cfg.StallTimeout, 2*a.x.route.MaxGap, stallFactor*a.choice.Forecast.Gap)
 }
 
-// streamEnd ends the answer. A stream without any event is passed on too.
-func (a *attempt) streamEnd(resp *targetconn.Response) result {
+// endStream ends the answer. A stream without any event is passed on too.
+func (a *attempt) endStream(resp *targetconn.Response) result {
 	if !a.x.started {
 		copyHeader(a.x.w.Header(), resp.Header)
 		a.x.w.WriteHeader(resp.StatusCode)
@@ -104,8 +104,8 @@
 	return result{sent: true, ran: true}
 }
 
-func (a *attempt) streamBroken(err error) result {
-	res := a.failed(err)
+func (a *attempt) streamFailure(err error) result {
+	res := a.failure(err)
 	switch {
 	case res.reason == ReasonLateFirstEvent && a.events > 0:
 		res.reason = ReasonStalled
@@ -115,22 +115,22 @@
 	return res
 }
 
-// heard notes an event for the book and the histograms.
-func (a *attempt) heard() {
+// recordEvent notes an event for the book and the histograms.
+func (a *attempt) recordEvent() {
 	now := clock.Now()
 	x := a.x
 	if x.events == 0 {
-		x.firstAt = now.Sub(x.start)
-		observe(x.g.stats.firstEvent, x.firstAt)
+		x.firstEventDelay = now.Sub(x.start)
+		observe(x.g.stats.firstEvent, x.firstEventDelay)
 	}
 	if a.events == 0 {
-		a.begun()
-		observe(x.g.stats.forecastError, now.Sub(a.began)-a.choice.Forecast.FirstEvent)
+		a.stopExpiry()
+		observe(x.g.stats.forecastError, now.Sub(a.sentAt)-a.choice.Forecast.FirstEvent)
 	}
-	if !a.lastAt.IsZero() {
-		x.maxGap = max(x.maxGap, now.Sub(a.lastAt))
+	if !a.lastEventAt.IsZero() {
+		x.maxGap = max(x.maxGap, now.Sub(a.lastEventAt))
 	}
-	a.lastAt = now
+	a.lastEventAt = now
 	a.events++
 	x.g.book.Heard(now, a.choice.Target, a.unread)
 	a.unread = 0
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -21,32 +21,32 @@
 		machine := clocktest.New(t)
 		first := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 			machine.Suspend(d)
-			notRunAnswer(w, r)
+			notRunHandler(w, r)
 		})
-		second := newTarget(t, ok)
-		a := newFront(t, first, second).call(http.MethodPost, "/safe/x", "b", "Left-Ms", "2500")
+		second := newTarget(t, okHandler)
+		a := newTestGateway(t, first, second).call(http.MethodPost, "/safe/x", "b", "Left-Ms", "2500")
 		assert.Check(t, second.count() == 0, "%v: sent with time that is over", d)
 		assert.Check(t, a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout, "%v: status %d", d, a.status)
 
-		hangs := make(chan struct{})
+		release := make(chan struct{})
 		held := newTarget(t, func(_ http.ResponseWriter, r *http.Request) {
 			machine.Suspend(d)
 			select {
-			case <-hangs:
+			case <-release:
 			case <-r.Context().Done():
 			}
 		})
-		giveUp := time.AfterFunc(2*time.Second, func() { close(hangs) })
-		a = newFront(t, held).call(http.MethodPost, "/unsafe/x", "b", "Left-Ms", "2900")
+		giveUp := time.AfterFunc(2*time.Second, func() { close(release) })
+		a = newTestGateway(t, held).call(http.MethodPost, "/unsafe/x", "b", "Left-Ms", "2900")
 		assert.Check(t, giveUp.Stop(), "%v: held beyond its time", d)
 		assert.Check(t, a.status == http.StatusGatewayTimeout, "%v: status %d", d, a.status)
 
-		named := &assignment{model: &fleet.EngineModel{Model: "m"}, version: 2, since: clock.Now(), assigned: true,
+		announced := &assignment{model: &fleet.EngineModel{Model: "m"}, version: 2, since: clock.Now(), explicit: true,
 			order: []string{agentOf("s").Engine}}
-		c := &Control{assignments: map[string]*assignment{"s": named}, cfg: ControlConfig{VersionTimeout: time.Hour}}
+		c := &Control{assignments: map[string]*assignment{"s": announced}, cfg: ControlConfig{VersionTimeout: time.Hour}}
 		machine.Suspend(d)
-		told, _ := c.Assignment(agentOf("s"))
-		assert.Check(t, told.AgeMs >= d.Milliseconds(), "%v: version said to be named %d ms ago", d, told.AgeMs)
+		got, _ := c.Assignment(agentOf("s"))
+		assert.Check(t, got.AgeMs >= d.Milliseconds(), "%v: version said to be named %d ms ago", d, got.AgeMs)
 	}
 }
 
