--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -101,7 +101,7 @@
 
 func (a *attempt) idOf(h http.Header) string { return a.x.g.dialect.DecodeAnswer(0, h).ID }
 
-func notRun(info AnswerInfo) result {
+func notRun(info ResponseInfo) result {
 	if info.OtherInstance {
 		return result{reason: ReasonOtherInstance, sent: true}
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -39,8 +39,8 @@
 	LastEvent string // a stream goes on after it
 }
 
-// AnswerInfo is what the header of a target's answer says.
-type AnswerInfo struct {
+// ResponseInfo is what the header of a target's answer says.
+type ResponseInfo struct {
 	ID            string // of the request it answers
 	Signed        bool   // it bears the target's signature
 	NotRun        bool   // the target states that it did not run the request
@@ -53,7 +53,7 @@
 	Decode(h http.Header) Call
 	// EncodeForward sets and removes fields of a forwarded header.
 	EncodeForward(h http.Header, s ForwardInfo)
-	DecodeAnswer(status int, h http.Header) AnswerInfo
+	DecodeAnswer(status int, h http.Header) ResponseInfo
 }
 
 // Reserver asks the home entry of a target for a place there. Each target has
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -7,7 +7,7 @@
 
 // recordNotice takes what an answer says of the target that gave it. An answer of another
 // instance at the address, or one that no target signed, says nothing of it.
-func (a *attempt) recordNotice(info AnswerInfo) {
+func (a *attempt) recordNotice(info ResponseInfo) {
 	if info.OtherInstance || !info.Signed && !info.NotRun {
 		return
 	}
