--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -49,7 +49,7 @@
 		return a.failure(err)
 	}
 	defer resp.Close()
-	info := a.x.g.dialect.DecodeAnswer(resp.StatusCode, resp.Header)
+	info := a.x.g.dialect.DecodeResponse(resp.StatusCode, resp.Header)
 	a.recordNotice(info)
 	if info.NotRun {
 		return notRun(info)
@@ -99,7 +99,7 @@
 	a.cancel(errFirstEventLate)
 }
 
-func (a *attempt) idOf(h http.Header) string { return a.x.g.dialect.DecodeAnswer(0, h).ID }
+func (a *attempt) idOf(h http.Header) string { return a.x.g.dialect.DecodeResponse(0, h).ID }
 
 func notRun(info ResponseInfo) result {
 	if info.OtherInstance {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -53,7 +53,7 @@
 	Decode(h http.Header) Call
 	// EncodeForward sets and removes fields of a forwarded header.
 	EncodeForward(h http.Header, s ForwardInfo)
-	DecodeAnswer(status int, h http.Header) ResponseInfo
+	DecodeResponse(status int, h http.Header) ResponseInfo
 }
 
 // Reserver asks the home entry of a target for a place there. Each target has
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -39,7 +39,7 @@
 	h.Set("Last", s.LastEvent)
 }
 
-func (testDialect) DecodeAnswer(status int, h http.Header) ResponseInfo {
+func (testDialect) DecodeResponse(status int, h http.Header) ResponseInfo {
 	info := ResponseInfo{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest,
 		OtherInstance: status == http.StatusMisdirectedRequest}
 	if perS, err := strconv.ParseFloat(h.Get("Limit"), 64); err == nil {
