--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -54,8 +54,8 @@
 // relayPlain holds an answer until it is whole and passes it on. An answer beyond
 // the memory allowed is passed on as it comes.
 func (a *attempt) relayPlain(resp *targetconn.Response, watchdog *clock.Timer) result {
-	body, err := io.ReadAll(io.LimitReader(resp, a.x.g.cfg.AnswerMemory))
-	if err == nil && int64(len(body)) == a.x.g.cfg.AnswerMemory {
+	body, err := io.ReadAll(io.LimitReader(resp, a.x.g.cfg.MaxBufferedResponse))
+	if err == nil && int64(len(body)) == a.x.g.cfg.MaxBufferedResponse {
 		if watchdog != nil {
 			watchdog.Stop()
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -107,9 +107,9 @@
 	// elsewhere, at the least; twice the longest pause on time and
 	// stallFactor forecast pauses are the other bounds. Default 900 ms.
 	StallTimeout time.Duration
-	// AnswerMemory bounds how much of a plain answer is held until it is
+	// MaxBufferedResponse bounds how much of a plain answer is held until it is
 	// known to be whole, in bytes. Default 256 KiB.
-	AnswerMemory int64
+	MaxBufferedResponse int64
 	// CancelLead is how long before the end of its version's time a request that has not
 	// begun is taken back from a target: what the close of its connection may take to
 	// get there over a link that pieces of weights share. Default 250 ms.
@@ -144,7 +144,7 @@
 	c.FirstEventTimeout = cmp.Or(c.FirstEventTimeout, 600*time.Millisecond)
 	c.StallTimeout = cmp.Or(c.StallTimeout, 900*time.Millisecond)
 	c.CancelLead = cmp.Or(c.CancelLead, 250*time.Millisecond)
-	c.AnswerMemory = cmp.Or(c.AnswerMemory, int64(256<<10))
+	c.MaxBufferedResponse = cmp.Or(c.MaxBufferedResponse, int64(256<<10))
 	c.RetryAfter = cmp.Or(c.RetryAfter, 1.0/3)
 	c.RetrySpread = cmp.Or(c.RetrySpread, 0.2)
 	c.MinRemaining = cmp.Or(c.MinRemaining, 30*time.Millisecond)
