--- a/gateway/announced.go
+++ b/gateway/announced.go
@@ -8,10 +8,11 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// announcementAt returns when a version was named that is read now. announced is false if it
-// was there when this process first read the store: it takes the time allowed to be
-// over. An entry that was cut off dates by now, too, as all do after an outage of the
-// store, in which no time counts; others tell it what they saw meanwhile.
+// announcementAt returns the announcement of a version that was read from the store at
+// now. announced is false if the version was already present when this process first read
+// the store; its timeout is then assumed to have expired. An entry that was disconnected
+// also uses now, as do all entries after an outage of the store, during which the timeout
+// does not run; the other entries report what they observed in the meantime.
 func announcementAt(now time.Time, announced bool, timeout time.Duration) fleet.Announcement {
 	if !announced {
 		return fleet.Announcement{At: now.Add(-timeout), Guessed: true}
@@ -19,13 +20,13 @@
 	return fleet.Announcement{At: now}
 }
 
-// announcement returns when the version was named, as far as this process knows.
+// announcement returns when the version was announced, as far as this process knows.
 func (a *assignment) announcement() fleet.Announcement {
 	return fleet.Announcement{At: a.since, Guessed: a.guessed}
 }
 
-// Announced implements mesh.Listener. Guesses are not told: others may know better,
-// and none would ever be withdrawn.
+// Announced implements mesh.Listener. Guessed times are not sent: other entries may have
+// an observed time, and a guess that was sent would never be withdrawn.
 func (c *Control) Announced(now time.Time) []peer.SeenVersion {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -44,8 +45,8 @@
 	return out
 }
 
-// mergeVersions takes what another entry saw of the announcements of versions. The
-// earliest sight of one counts: nobody sees it before it is made.
+// mergeVersions merges the version announcements that another entry observed. The earliest
+// observation of an announcement wins, since none can precede the announcement itself.
 func (c *Control) mergeVersions(now time.Time, from string, list []peer.SeenVersion) {
 	for _, v := range list {
 		reported := fleet.Announcement{At: now.Add(-time.Duration(v.AgeMs) * time.Millisecond)}
@@ -58,12 +59,13 @@
 	}
 }
 
-// minDateCorrection is the least by which a date is corrected: each entry sees a version
-// some ms after the others, and agents are told of each correction.
+// minDateCorrection is the least correction that is applied to an announcement time.
+// Entries observe an announcement some milliseconds apart, and each correction is sent to
+// all agents.
 const minDateCorrection = 100 * time.Millisecond
 
-// correctDate corrects when a version was named, and reports whether it did. A version that
-// is not known yet is told again with the next full account.
+// correctDate corrects when a version was announced, and reports whether it did. A version
+// that is not known here yet is ignored; peers send it again with their next full report.
 func (c *Control) correctDate(v fleet.VersionTarget, reported fleet.Announcement) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -86,8 +88,9 @@
 	return changed
 }
 
-// insertMissed takes a version that a newer one had overwritten in the store before this
-// entry saw it, and reports whether it was missed. Its time is over before the newer one's.
+// insertMissed adds a version that was overwritten in the store by a newer one before this
+// entry read it, and reports whether it was missing. Its timeout expires before that of
+// the newer version.
 func (c *Control) insertMissed(v fleet.VersionTarget, reported fleet.Announcement) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -12,11 +12,11 @@
 	"github.com/springgate/springgate/targetconn"
 )
 
-// hopHeaders concern one connection only and are not passed on.
+// hopHeaders are header fields that apply to a single connection and are not forwarded.
 var hopHeaders = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Content-Length", "Expect"}
 
-// forwardHeader copies a header without the fields of its connection.
+// forwardHeader returns a copy of a header without the fields of its connection.
 func forwardHeader(in http.Header) http.Header {
 	out := in.Clone()
 	for _, list := range in["Connection"] {
@@ -30,7 +30,7 @@
 	return out
 }
 
-// bufferedResponse is a whole plain answer of a target.
+// bufferedResponse is a complete non-streaming response of a target.
 type bufferedResponse struct {
 	status int
 	header http.Header
@@ -41,7 +41,7 @@
 	copyHeader(w.Header(), h.header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(h.body)))
 	w.WriteHeader(h.status)
-	// A caller that is gone needs no answer.
+	// The error is ignored: a caller that has disconnected needs no response.
 	_, _ = w.Write(h.body)
 }
 
@@ -51,8 +51,8 @@
 	}
 }
 
-// relayPlain holds an answer until it is whole and passes it on. An answer beyond
-// the memory allowed is passed on as it comes.
+// relayPlain buffers a response until it is complete, then relays it. A response that
+// exceeds the buffer limit is relayed as it arrives.
 func (a *attempt) relayPlain(resp *targetconn.Response, watchdog *clock.Timer) result {
 	body, err := io.ReadAll(io.LimitReader(resp, a.x.g.cfg.MaxBufferedResponse))
 	if err == nil && int64(len(body)) == a.x.g.cfg.MaxBufferedResponse {
@@ -68,7 +68,7 @@
 	if resp.StatusCode >= http.StatusInternalServerError {
 		return result{reason: ReasonTargetError, ran: true, sent: true, held: held}
 	}
-	if a.x.started { // the rest of a stream was due
+	if a.x.started { // the remaining events of a stream were expected
 		return result{reason: ReasonTargetError, ran: true, sent: true}
 	}
 	a.x.firstEventDelay = clock.Since(a.x.start)
@@ -76,7 +76,8 @@
 	return result{sent: true, ran: true}
 }
 
-// relayLarge passes a long answer on. From here on it cannot be taken back.
+// relayLarge relays a response that exceeds the buffer limit. Once it has started, the
+// request can no longer be retried.
 func (a *attempt) relayLarge(resp *targetconn.Response, head []byte) result {
 	copyHeader(a.x.w.Header(), resp.Header)
 	if resp.ContentLength >= 0 {
--- a/gateway/assign.go
+++ b/gateway/assign.go
@@ -18,15 +18,15 @@
 	model    *fleet.EngineModel
 	version  int
 	since    time.Time
-	order    []string // addresses of the engines, in turn; empty if they are not known yet
-	explicit bool     // the operators named the version
-	guessed  bool     // this process started after that; since is the latest it can have been
+	order    []string // addresses of the engines in rollout order; empty if not known yet
+	explicit bool     // the operators announced the version
+	guessed  bool     // announced before this process started; since is the latest possible time
 	withheld bool     // its pieces cannot be read
 	previous *assignment
 }
 
-// earlier returns the versions named before that may not be served everywhere
-// yet, oldest first.
+// earlier returns the versions announced before this one that may not be served by all
+// engines yet, oldest first.
 func (a *assignment) earlier(now time.Time, timeout time.Duration) []peer.AnnouncedVersion {
 	var out []peer.AnnouncedVersion
 	for b := a.previous; b != nil && b.explicit && len(out) < maxEarlierVersions; b = b.previous {
@@ -38,7 +38,7 @@
 	return out
 }
 
-// recent returns the assignment without those that are no longer told.
+// recent returns a copy of the assignment that keeps only one previous version.
 func (a *assignment) recent() *assignment {
 	if a == nil {
 		return nil
@@ -52,11 +52,11 @@
 	return &out
 }
 
-// maxEarlierVersions bounds the versions that an agent is told of beside the newest.
+// maxEarlierVersions bounds how many versions besides the newest are sent to an agent.
 const maxEarlierVersions = 2
 
 func (c *Control) recent(service string) *assignment {
-	c.mu.Lock() // what others tell changes dates
+	c.mu.Lock() // reports of peers change announcement times
 	defer c.mu.Unlock()
 	return c.assignments[service].recent()
 }
@@ -70,8 +70,8 @@
 	c.setAssignment(service, a)
 }
 
-// turnOrder returns the engines of a service in the order in which they change to a version.
-// Entries that know the same engines agree on it.
+// turnOrder returns the order in which the engines of a service change to a version.
+// Entries that know the same engines compute the same order.
 func (c *Control) turnOrder(service string, a *assignment) []string {
 	var addrs []string
 	for _, i := range c.list {
@@ -82,8 +82,9 @@
 	return membership.Rank(fmt.Sprintf("%s/%d", a.model.Model, a.version), addrs, len(addrs))
 }
 
-// updateOrders brings the orders of engines up to date with the list. Agents are told if
-// there was none before; otherwise turns move little, and agents keep theirs.
+// updateOrders recomputes the order of the engines from the current list. Agents are
+// notified only if there was no order before: otherwise the positions change little, and
+// agents keep theirs.
 func (c *Control) updateOrders() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -101,8 +102,8 @@
 	}
 }
 
-// assign gives engines of services for which no version was named the newest
-// one that an engine holds.
+// assign assigns to each service without an announced version the newest version that one
+// of its engines holds.
 func (c *Control) assign(ctx context.Context) {
 	cfg := c.gateway.Config()
 	if cfg == nil {
@@ -133,8 +134,8 @@
 	c.changed = make(chan struct{})
 }
 
-// updateWithheld tells the agents when pieces of a version cannot be read, and
-// when they can be again.
+// updateWithheld notifies the agents when pieces of a version become unreadable, and when
+// they become readable again.
 func (c *Control) updateWithheld() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -151,8 +152,8 @@
 	}
 }
 
-// Assignment implements mesh.Listener. An agent is told of a named version once the
-// engines are known, which an entry that starts reads after the version.
+// Assignment implements mesh.Listener. It returns an announced version only once the
+// engines are known; an entry that starts reads them after the version.
 func (c *Control) Assignment(agent peer.Presence) (*peer.Assignment, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -38,8 +38,8 @@
 	return c
 }
 
-// An agent must know of a version that is not served everywhere yet: it has its
-// own time, and the newer one may not be had.
+// An agent must know each version that is not served by all engines yet: each has its own
+// timeout, and the pieces of the newest may not be available.
 func TestAgentsReceiveEarlierVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControl(&fakeRelay{})
@@ -59,9 +59,10 @@
 	})
 }
 
-// An entry whose link was squeezed learned of a version 4.6 s after all others, dated
-// it by that moment, and sent requests to engines with the version before for 11.3 s,
-// where 8 are allowed. Entries tell each other when they saw it named.
+// Guards against an entry that receives a version late and dates its announcement by that
+// moment. With a 4.6 s delay on its link, an entry sent requests to engines with the
+// previous version for 11.3 s, where 8 s are allowed. Entries therefore exchange when they
+// observed an announcement.
 func TestLateVersionTakesTheAgeReportedByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControl(&fakeRelay{})
@@ -75,7 +76,7 @@
 		c.book.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, time.Now())
 		c.assignVersion("svc", assignModel, 2, time.Now(), true)
 		_, changed := c.Assignment(assignAgent)
-		for _, late := range []time.Duration{0, 20 * time.Millisecond} { // the later word changes nothing
+		for _, late := range []time.Duration{0, 20 * time.Millisecond} { // the later report changes nothing
 			c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.SeenVersion{
 				{Model: "m", Version: 2, AgeMs: (time.Since(announcedAt) - late).Milliseconds()}, {Model: "m", Version: 9, AgeMs: 1}}})
 		}
@@ -97,8 +98,8 @@
 	return verdict != dispatch.NoTarget
 }
 
-// An entry that was started after a version was named takes its time to be over, until
-// another tells that it is not.
+// An entry that started after a version was announced assumes that its timeout has
+// expired, until another entry reports an observed time.
 func TestGuessedAgeIsCorrectedByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControl(&fakeRelay{})
@@ -122,7 +123,8 @@
 	assert.Equal(t, len(got.Earlier), 0)
 }
 
-// Agents are told when an entry fails to read a version, and when it can again.
+// Agents are notified when an entry fails to read a version, and when it can read it
+// again.
 func TestAgentsAreNotifiedOfAWithheldVersion(t *testing.T) {
 	relay := &fakeRelay{}
 	c := newTestControl(relay)
@@ -145,9 +147,10 @@
 	}
 }
 
-// An entry that starts while engines change to a version in turns knows the version before
-// it has read which engines there are. It tells agents nothing until then: one that is told
-// that it is alone changes at once, and with one restart of an entry all do.
+// An entry that starts during a rollout in turns reads the version before the list of
+// engines. It must not assign the version until the engines are known: an agent that is
+// told that it is the only one changes at once, so that a single restart of an entry would
+// make all engines change together.
 func TestStartingEntryKeepsTheRolloutOrder(t *testing.T) {
 	c := newTestControl(&fakeRelay{})
 	list := c.list
@@ -161,7 +164,7 @@
 	last, _ := c.Assignment(peer.Presence{Service: "svc", Engine: c.assignments["svc"].order[1]})
 	assert.Equal(t, last.Turns, 2)
 	assert.Equal(t, last.Turn, 1)
-	// Engines that join have a turn; those that are there already are not told again.
+	// Engines that join get a position; agents of the others are not notified.
 	_, changed = c.Assignment(assignAgent)
 	c.list = append(c.list, &fleet.Instance{ID: "e-3", Addr: "e-3", Service: "svc"})
 	c.updateOrders()
@@ -172,7 +175,8 @@
 		t.Fatal("all agents are told")
 	default:
 	}
-	// All engines have lost their weights: agents must be told all the same.
+	// All engines have lost their weights: agents must receive the assignment
+	// nevertheless.
 	for _, i := range c.list {
 		i.Models = nil
 	}
@@ -181,9 +185,10 @@
 	assert.Equal(t, assigned.Turns, 3)
 }
 
-// Two versions are named within a second, and the store keeps the newer one alone. An entry
-// that reads it late has never seen the older one, whose time is over first: others tell it.
-// Without that it sent requests to engines of the version before until the newer one's time.
+// Guards against a version that is overwritten in the store, by one announced a second
+// later, before an entry reads it. The timeout of the older version expires first. The
+// entry learns of it from other entries; without that it sent requests to engines of the
+// version before until the newer one's timeout expired.
 func TestOverwrittenVersionKeepsItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControl(&fakeRelay{})
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -13,22 +13,22 @@
 	"github.com/springgate/springgate/targetconn"
 )
 
-// attempt is one send.
+// attempt is one send of a request to a target.
 type attempt struct {
 	x           *exchange
 	choice      dispatch.Choice
 	ctx         context.Context
 	cancel      context.CancelCauseFunc
 	sentAt      time.Time
-	unread      int // prompt tokens that the target has not read yet
+	unread      int // prompt tokens that the target has not processed yet
 	events      int
-	lastEventAt time.Time // when the last event came
-	// expiry takes the request back if it has not begun by then; nil if it may begin at
-	// any time.
+	lastEventAt time.Time // when the last event arrived
+	// expiry cancels the request if it has not started when the target's version expires;
+	// nil if it may start at any time.
 	expiry *clock.Timer
 }
 
-// Causes of an attempt's end by our own clock.
+// Causes with which an attempt is cancelled by this process.
 var (
 	errFirstEventLate = errors.New("gateway: first event is late")
 	errStalled        = errors.New("gateway: stream stalled")
@@ -38,7 +38,7 @@
 func (a *attempt) do(r *targetconn.Request) result {
 	var watchdog *clock.Timer
 	if a.x.route.Idempotent() && !a.x.g.cfg.Off.Has(mechanism.LateFirstEvent) {
-		// Only then another target may be tried.
+		// Another target may be tried only if the request may be repeated.
 		watchdog = clock.AfterFunc(a.x.g.cfg.FirstEventTimeout, func() { a.checkLate(watchdog) })
 		defer watchdog.Stop()
 	}
@@ -64,10 +64,10 @@
 	return a.relayPlain(resp, watchdog)
 }
 
-// expireWithVersion takes the request back from a target that serves an older version,
-// if it has not begun there when that must not be served any more: how long it waits at
-// the target is not known when it is sent. Only a request that another target may run
-// is taken back.
+// expireWithVersion cancels the request if the target serves an older version and has not
+// started the request when that version expires: how long the request will queue at the
+// target is not known when it is sent. Only a request that another target may run is
+// cancelled.
 func (a *attempt) expireWithVersion() {
 	if a.choice.Until.IsZero() || !a.x.route.Idempotent() {
 		return
@@ -76,19 +76,21 @@
 	a.expiry = clock.AfterFunc(left, func() { a.cancel(errVersionExpired) })
 }
 
-// stopExpiry notes that the target has stopExpiry with the request.
+// stopExpiry stops the version expiry; it is called when the target has started the
+// request.
 func (a *attempt) stopExpiry() {
 	if a.expiry != nil {
 		a.expiry.Stop()
 	}
 }
 
-// lateRecheckInterval is the time between two looks at a late target.
+// lateRecheckInterval is the time between two checks of a target whose first event is
+// late.
 const lateRecheckInterval = 100 * time.Millisecond
 
-// checkLate decides about a request whose target is checkLate. One that still sends events
-// of other streams is loaded, and sending the request elsewhere would only add
-// load; one that is silent is left. It runs on the timer's goroutine.
+// checkLate decides about a request whose first event is late. A target that still sends
+// events of other streams is loaded, and sending the request elsewhere would only add
+// load; a target that sends nothing is abandoned. It runs on the timer's goroutine.
 func (a *attempt) checkLate(watchdog *clock.Timer) {
 	x := a.x
 	now := clock.Now()
@@ -108,7 +110,7 @@
 	return result{reason: ReasonTargetRefused, sent: true}
 }
 
-// failure turns an error of an exchange into a result.
+// failure converts an error of the attempt into a result.
 func (a *attempt) failure(err error) result {
 	switch {
 	case errors.Is(context.Cause(a.ctx), errVersionExpired):
@@ -127,12 +129,12 @@
 	return result{reason: ReasonConnLost, ran: true, sent: true}
 }
 
-// firstEventFactor is how many times longer than forecast the first event of a
-// busy target may take.
+// firstEventFactor is the multiple of the forecast that the first event of a busy target
+// may take.
 const firstEventFactor = 4
 
-// firstEventLimit is how long a target that sends events of other streams, or
-// answers other requests, may take before another is asked.
+// firstEventLimit is how long a target that sends events of other streams, or answers
+// other requests, may take before another target is tried.
 func (a *attempt) firstEventLimit() time.Duration {
 	if a.x.route.Kind != fleet.Streaming {
 		return a.plainLimit()
@@ -140,13 +142,12 @@
 	return max(a.x.g.cfg.FirstEventLimit, firstEventFactor*a.choice.Forecast.FirstEvent)
 }
 
-// plainLimit is how long an answer that is no stream may take before another
-// target is asked.
+// plainLimit is how long a non-streaming response may take before another target is tried.
 func (a *attempt) plainLimit() time.Duration {
 	return max(a.choice.Forecast.FirstEvent, a.x.route.Objective) + a.x.g.cfg.FirstEventTimeout
 }
 
-// finish tells the book how the attempt ended.
+// finish records in the book how the attempt ended.
 func (a *attempt) finish(res result) {
 	r := dispatch.Result{Unread: a.unread, Latency: clock.Since(a.sentAt)}
 	switch res.reason {
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -15,44 +15,45 @@
 	"github.com/springgate/springgate/mirror"
 )
 
-// Decoder turns items of the store into the product's types.
+// Decoder decodes items of the store into fleet types.
 type Decoder interface {
 	// Config returns nil if the item is not the configuration.
 	Config(i mirror.Item) (*fleet.Config, error)
 	Version(i mirror.Item) (v fleet.VersionTarget, ok bool, err error)
-	// Evacuation returns the failure domain that an item evacuates; ok is false for others.
+	// Evacuation returns the failure domain that the item evacuates; ok is false for other
+	// items.
 	Evacuation(i mirror.Item) (domain string, ok bool)
 	IsInstance(i mirror.Item) bool
 	Instance(i mirror.Item) (*fleet.Instance, error)
 }
 
-// ControlConfig holds the times of a Control.
+// ControlConfig holds the timing and the switches of a Control.
 type ControlConfig struct {
-	// Tick is the time between two looks at what changes with time only.
-	// Default 200 ms.
+	// Tick is the interval at which state that changes only with time is checked. Default
+	// 200 ms.
 	Tick time.Duration
-	// Off are mechanisms that are switched off.
+	// Off is the set of mechanisms that are switched off.
 	Off mechanism.Off
-	// VersionTimeout is the time in which a new version must be everywhere.
+	// VersionTimeout is the time within which all engines must serve a new version.
 	VersionTimeout time.Duration
 }
 
-// Relay is told which weights are wanted.
+// Relay fetches weights for the agents.
 type Relay interface {
-	// Want reads the pieces of a new version ahead.
+	// Want prefetches the pieces of a new version.
 	Want(ctx context.Context, model string, version, pieces int)
-	// Hold reads those of a version that is not new as agents ask for them. It
-	// reports whether the version was not held before.
+	// Hold makes a version that is not new available; its pieces are read when agents
+	// request them. It reports whether the version was not held before.
 	Hold(model string, version int) bool
-	// Failing reports whether pieces of a version could not be read lately.
+	// Failing reports whether reading pieces of a version has failed recently.
 	Failing(model string, version int) bool
 }
 
-// Control owns what an entry believes of the fleet. Its goroutine follows the
-// copies of the store and hands the results to the gateway and its book.
+// Control maintains an entry's view of the fleet. Its goroutine follows the mirror of the
+// store and applies changes to the gateway and its book.
 type Control struct {
 	cfg     ControlConfig
-	addr    string // of this entry, for its peers
+	addr    string // of this entry, sent to peers
 	gateway *Gateway
 	book    *dispatch.Book
 	decoder Decoder
@@ -61,17 +62,18 @@
 	relay   Relay
 	log     logrus.FieldLogger
 
-	evacuated []string // failure domains, in order
-	// unknownEvacuations counts evacuations of failure domains that no setting names.
+	evacuated []string // failure domains, sorted
+	// unknownEvacuations counts evacuations of failure domains that are not configured.
 	unknownEvacuations metrics.Gauge
-	foreign            metrics.Gauge // entries of the list that name no target to use
-	// endedWithRequests counts targets that vanished and at which requests of this entry lost
-	// their connections.
+	foreign            metrics.Gauge // items of the target list that describe no usable target
+	// endedWithRequests counts targets that disappeared from the list after requests of
+	// this entry had lost their connections to them.
 	endedWithRequests metrics.Counter
 	roster            Roster
 	decoded           map[string]decodedInstance
 	configRev         int64
-	// copyRevision is what the items reach, or more by changes of a moment ago.
+	// copyRevision is the revision of the mirror. It may exceed the revision of the items
+	// by changes that arrived just after they were read.
 	copyRevision int64
 	versionRev   map[string]int64 // by key
 	list         []*fleet.Instance
@@ -82,13 +84,13 @@
 	changed     chan struct{}
 }
 
-// decodedInstance is an entry of the list of targets.
+// decodedInstance is a decoded item of the target list.
 type decodedInstance struct {
 	revision int64
-	instance *fleet.Instance // nil if the entry names no target
+	instance *fleet.Instance // nil if the item describes no target
 }
 
-// ControlOptions are what a Control is made of.
+// ControlOptions are the dependencies of a Control.
 type ControlOptions struct {
 	Config  ControlConfig
 	Addr    string
@@ -100,10 +102,10 @@
 	Roster  Roster
 	Relay   Relay
 	Log     logrus.FieldLogger
-	Metrics metrics.Registry // nil for none
+	Metrics metrics.Registry // optional
 }
 
-// NewControl returns a control that is not running.
+// NewControl returns a Control that is not running.
 func NewControl(o ControlOptions) *Control {
 	o.Config.Tick = cmp.Or(o.Config.Tick, 200*time.Millisecond)
 	if o.Metrics == nil {
@@ -117,7 +119,7 @@
 		changed: make(chan struct{})}
 }
 
-// Run follows until ctx ends.
+// Run follows the mirror until ctx is done.
 func (c *Control) Run(ctx context.Context) {
 	ticker := time.NewTicker(c.cfg.Tick)
 	defer ticker.Stop()
@@ -175,9 +177,9 @@
 	c.book.Apply(c.list, cfg.Services)
 }
 
-// applyVersion takes the version that the operators name for a model. One that was
-// named before this process started may be old: engines without it get no requests
-// until others tell its age.
+// applyVersion applies the version that the operators announced for a model. A version
+// announced before this process started may be old: engines that lack it get no requests
+// until other entries report its age.
 func (c *Control) applyVersion(ctx context.Context, i mirror.Item) {
 	if i.Revision <= c.versionRev[i.Key] {
 		return
@@ -193,7 +195,7 @@
 		return
 	}
 	now := clock.Now()
-	announced := i.Revision > c.table.FirstRevision() // while this process runs
+	announced := i.Revision > c.table.FirstRevision() // announced since this process started
 	announcement := announcementAt(now, announced, c.cfg.VersionTimeout)
 	c.versionRev[i.Key] = i.Revision
 	c.log.WithFields(logrus.Fields{"model": v.Model, "version": v.Version, "revision": i.Revision,
@@ -207,7 +209,8 @@
 	}
 }
 
-// notifyRelay tells the relay of a version. Few engines lack one that is not new.
+// notifyRelay passes a version to the relay. A version that is not new is not prefetched,
+// since few engines lack it.
 func (c *Control) notifyRelay(ctx context.Context, v fleet.VersionTarget, announced bool) {
 	if !announced {
 		c.relay.Hold(v.Model, v.Version)
@@ -249,16 +252,16 @@
 	c.book.UpdateNotices(clock.Now())
 }
 
-// serves reports whether a target is of a service that the configuration names. One
-// that is not must not stand for another at its address either.
+// serves reports whether a target belongs to a configured service. A target of another
+// service must not replace a configured one at the same address either.
 func (c *Control) serves(i *fleet.Instance) bool {
 	cfg := c.gateway.Config()
 	return cfg == nil || cfg.Services[i.Service] != nil
 }
 
-// decodeInstance decodes an entry. One that another than a target wrote names no
-// target, also if a target wrote it before. It is logged once, until it is readable
-// again: it may be written each second.
+// decodeInstance decodes an item of the target list. An item that is not readable as a
+// target describes none, even if it did before. This is logged once until the item is
+// readable again, since it may be rewritten every second.
 func (c *Control) decodeInstance(i mirror.Item, old decodedInstance) decodedInstance {
 	inst, err := c.decoder.Instance(i)
 	if err != nil {
--- a/gateway/endings.go
+++ b/gateway/endings.go
@@ -15,40 +15,43 @@
 )
 
 const (
-	// dialCheckTimeout bounds the question whether a target is still there: fifteen times the
-	// longest way there and back. Who cannot be asked is not taken for ended.
+	// dialCheckTimeout bounds the check whether a target still listens: fifteen times the
+	// longest round trip. A target that cannot be checked in time is not assumed to have
+	// ended.
 	dialCheckTimeout = 100 * time.Millisecond
-	// crashReportWait is how long a request waits under which a target has just ended, before it
-	// is sent to another: what others saw in the same moment arrives meanwhile. It is
-	// three times the longest way between two entries.
+	// crashReportWait is how long a request whose target has just ended waits before it is
+	// sent to another target, so that crashes that other entries observed at the same
+	// moment arrive first. It is three times the longest one-way delay between two
+	// entries.
 	crashReportWait = 20 * time.Millisecond
-	// suspectRetention is how long it is remembered which contents lost their connections at a
-	// target: a target that comes back does so within seconds, and shows by its next life
-	// that it had ended.
+	// suspectRetention is how long contents that lost their connections to a target are
+	// remembered. A target that restarts does so within seconds, and its next incarnation
+	// shows that it had ended.
 	suspectRetention = 30 * time.Second
-	// maxCrashesPerSuspect bounds how many contents that is for each target, the newest: more than one
-	// works on at a time.
+	// maxCrashesPerSuspect bounds the contents remembered for each target; the newest are
+	// kept. A target serves more than one at a time.
 	maxCrashesPerSuspect = 64
 )
 
-// incarnationOf returns the name of a target's life.
+// incarnationOf returns the identity of a target's incarnation.
 func incarnationOf(i fleet.Instance) quarantine.Life {
 	return quarantine.Life{Target: i.ID, Born: i.Born}
 }
 
-// crashSuspect is a target's life at which connections broke.
+// crashSuspect is an incarnation of a target to which connections broke.
 type crashSuspect struct {
 	target     fleet.Instance
-	lastLossAt time.Time          // the last of them before it had ended
-	ended      bool               // it has ended
-	unreported []quarantine.Crash // not reported yet
-	checked    chan struct{}      // closed when the target has answered, or has not
+	lastLossAt time.Time          // when the last connection broke before the target ended
+	ended      bool               // the target has ended
+	unreported []quarantine.Crash // crashes that are not reported yet
+	checked    chan struct{}      // closed when the check has finished, whatever its result
 }
 
-// crashDetector finds out which of the connections that break do so because the target ended.
-// A reset, a cut link or a freeze must not count: a content is shut out by it. Two things
-// show an end: nothing listens at the address any more, or another life does. A target
-// that was leaving, or no longer listed, has not ended under its requests.
+// crashDetector determines which connections break because their target ended. A reset, a
+// network partition or a frozen target must not count, because counted contents are
+// quarantined. An end is detected if the target's address refuses connections, or if
+// another incarnation is listed. A target that was draining or no longer listed is not
+// counted as having crashed under its requests.
 type crashDetector struct {
 	table *quarantine.Table
 	host  string
@@ -62,8 +65,9 @@
 	return &crashDetector{table: table, host: host, log: log, suspects: map[quarantine.Life]*crashSuspect{}}
 }
 
-// connectionLost takes that a content's connection to a target broke, which it was sent to at sent.
-// It reports whether the target is known to have ended under it.
+// connectionLost records that the connection to a target broke for a content that was sent
+// at sent. It waits for the check of the target and reports whether the target is known to
+// have ended.
 func (e *crashDetector) connectionLost(ctx context.Context, t fleet.Instance, content quarantine.Fingerprint, sent, now time.Time) bool {
 	x, counts := e.recordLoss(t, content, sent, now)
 	if !counts {
@@ -78,8 +82,8 @@
 	return x.ended
 }
 
-// recordLoss notes that a connection broke. It counts unless it was made to what had ended
-// before.
+// recordLoss records a broken connection. counts is false if the request was sent after
+// the target had already ended.
 func (e *crashDetector) recordLoss(t fleet.Instance, content quarantine.Fingerprint, sent, now time.Time) (x *crashSuspect, counts bool) {
 	incarnation := incarnationOf(t)
 	e.mu.Lock()
@@ -89,7 +93,7 @@
 	if x != nil && x.ended && sent.After(x.lastLossAt) {
 		return x, false
 	}
-	if x == nil || !x.ended && closed(x.checked) { // what listened then may have ended now
+	if x == nil || !x.ended && closed(x.checked) { // the target may have ended since the last check
 		x = x.rechecked(t)
 		e.suspects[incarnation] = x
 		go e.checkListening(x)
@@ -103,7 +107,8 @@
 	return x, true
 }
 
-// rechecked returns the ending, or a new one, with a question that is open.
+// rechecked returns a new suspect with an unfinished check, which takes over the
+// unreported crashes of x. x may be nil.
 func (x *crashSuspect) rechecked(t fleet.Instance) *crashSuspect {
 	out := &crashSuspect{target: t, checked: make(chan struct{})}
 	if x != nil {
@@ -121,7 +126,7 @@
 	}
 }
 
-// checkListening finds out whether something still listens at a target's address.
+// checkListening checks whether a process still listens at the target's address.
 func (e *crashDetector) checkListening(x *crashSuspect) {
 	defer close(x.checked)
 	ctx, cancel := clock.WithTimeout(context.Background(), dialCheckTimeout)
@@ -139,8 +144,8 @@
 	}
 }
 
-// compareListed takes the targets that are compareListed now: a later life under the ID of one that
-// connections broke to, or at its address, shows that it has ended.
+// compareListed compares the suspects with the current list of targets. A suspect has
+// ended if a later incarnation is listed under its ID or at its address.
 func (e *crashDetector) compareListed(list []*fleet.Instance) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -157,7 +162,7 @@
 	}
 }
 
-// markEnded takes that a target's life has ended; the lock is held.
+// markEnded marks the incarnation as ended. The caller holds the lock.
 func (e *crashDetector) markEnded(x *crashSuspect, how string) {
 	if x.ended {
 		return
@@ -168,7 +173,8 @@
 	e.report(x)
 }
 
-// report tells the table of what was lost with a life that has ended; the lock is held.
+// report adds the unreported crashes of an ended incarnation to the table. The caller
+// holds the lock.
 func (e *crashDetector) report(x *crashSuspect) {
 	if !x.ended {
 		return
@@ -177,8 +183,8 @@
 	x.unreported = nil
 }
 
-// recordAnswer takes that a target's life has recordAnswer a request that it was sent at a time.
-// If that was after connections broke, these did not break because it ended.
+// recordAnswer records that an incarnation answered a request that was sent at sent. If
+// that was after its connections broke, they did not break because it ended.
 func (e *crashDetector) recordAnswer(t fleet.Instance, sent time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -194,7 +200,7 @@
 	}
 }
 
-// prune forgets lives at which connections broke long ago; the lock is held.
+// prune removes suspects whose connections broke long ago. The caller holds the lock.
 func (e *crashDetector) prune(now time.Time) {
 	for incarnation, x := range e.suspects {
 		if now.Sub(x.lastLossAt) >= suspectRetention {
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -7,9 +7,9 @@
 	"github.com/springgate/springgate/mirror"
 )
 
-// applyEvacuations takes which failure domains are evacuated. They are those whose keys the
-// copy of the store has; the copy orders what it is told by revision, so an evacuation that
-// was taken back stays so.
+// applyEvacuations applies the evacuations of failure domains: those whose keys are in the
+// mirror of the store. The mirror orders changes by revision, so an evacuation that was
+// withdrawn does not reappear.
 func (c *Control) applyEvacuations(items []mirror.Item) {
 	var evacuated []string
 	for _, i := range items {
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -16,15 +16,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// evacuationDecoder reads keys of the form "evacuate DOMAIN".
+// evacuationDecoder decodes keys of the form "evacuate DOMAIN".
 type evacuationDecoder struct{ textDecoder }
 
 func (evacuationDecoder) Evacuation(i mirror.Item) (string, bool) {
 	return strings.CutPrefix(i.Key, "evacuate ")
 }
 
-// Evacuations follow the copy of the store; one of a failure domain that nobody knows is
-// counted and harms nothing.
+// Evacuations follow the mirror of the store. An evacuation of an unknown failure domain
+// is counted and has no other effect.
 func TestEvacuationsFollowTheMirror(t *testing.T) {
 	log, lines := test.NewNullLogger()
 	book := dispatch.NewBook(dispatch.Config{Regions: map[string]string{"a": "north", "b": "south"}}, rand.New(rand.NewPCG(1, 2)))
--- a/gateway/expiry_test.go
+++ b/gateway/expiry_test.go
@@ -17,8 +17,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// newVersionedGateway is a gateway before engines of which the i-th serves version i+1. Version
-// 2 was named so long ago that version 1 may be begun for left.
+// newVersionedGateway returns a gateway in front of engines, of which the i-th serves
+// version i+1. Version 1 expires after left, since version 2 was announced long enough
+// ago.
 func newVersionedGateway(t *testing.T, left time.Duration, engines ...*target) *testGateway {
 	t.Helper()
 	log := logrus.New()
@@ -35,7 +36,7 @@
 		fleet.Limits{BodyBytes: 1 << 10})
 	book.Apply(list, cfg.Services)
 	book.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, time.Now().Add(left-timeout))
-	// No other clock than the version's ends an attempt.
+	// All other timeouts are too long to end an attempt.
 	g := New(Config{Domain: "0", RetryRatio: 1, RetryBurst: 100, FirstEventTimeout: time.Hour, CancelLead: time.Nanosecond}, testDialect{}, book,
 		targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), log)
 	g.SetConfig(cfg)
@@ -44,9 +45,10 @@
 	return f
 }
 
-// A request that waits at an engine until the time of the engine's version is over would
-// begin on a version that must not be served any more: one began 8.63 s after the newer
-// one was named, where 8 s are allowed. It is taken back and served by another.
+// Guards against a request that queues at an engine until the engine's version expires and
+// then starts on a version that must not be served any more: one started 8.63 s after the
+// newer version was announced, where 8 s are allowed. It must be cancelled and served by
+// another engine.
 func TestQueuedRequestIsRetriedWhenItsVersionExpires(t *testing.T) {
 	cancelled := make(chan struct{})
 	queueing := newTarget(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -58,12 +60,12 @@
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.status, http.StatusOK)
 	assert.Equal(t, a.body, eventText(1)+eventText(2)+eventText(3))
-	<-cancelled // the engine was told
+	<-cancelled // the engine's connection was closed
 	assert.Equal(t, serving.count(), 1)
 }
 
-// One that has begun goes on with the version that it began on, and one that another
-// engine must not run too is left where it is.
+// A request that has started completes on the version on which it started, and one that
+// must not run on another engine is not cancelled.
 func TestStartedOrUnsafeRequestIsNotCancelledWhenItsVersionExpires(t *testing.T) {
 	expired := make(chan struct{})
 	const left = 200 * time.Millisecond
--- a/gateway/foreign_test.go
+++ b/gateway/foreign_test.go
@@ -18,7 +18,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// textDecoder reads entries of the form "SERVICE ADDR"; others no target wrote.
+// textDecoder decodes entries of the form "SERVICE ADDR"; other values are not entries of
+// a target.
 type textDecoder struct{ Decoder }
 
 func (textDecoder) IsInstance(mirror.Item) bool { return true }
@@ -31,7 +32,8 @@
 	return inst, nil
 }
 
-// Entries that name no target harm no other, whoever writes them, however often.
+// Entries that describe no target do not affect others, whoever writes them and however
+// often.
 func TestForeignEntriesDoNotAffectOthers(t *testing.T) {
 	log, lines := test.NewNullLogger()
 	log.SetLevel(logrus.InfoLevel)
@@ -54,7 +56,8 @@
 	}
 	good, other := item("i-1", "s 10.0.0.1:80", 1), item("i-2", "s 10.0.0.2:80", 2)
 	assert.DeepEqual(t, usable(good, other), []string{"i-1", "i-2"})
-	// A service that the configuration does not name takes no address.
+	// A target of a service that is not configured does not replace another at its
+	// address.
 	assert.DeepEqual(t, usable(good, other, item("x", "unknown 10.0.0.1:80", 3)), []string{"i-1", "i-2"})
 	assert.Equal(t, c.foreign.Value(), int64(1))
 	lines.Reset()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package gateway is the entry of `springgate gateway`, the mode in which callers' requests go
-// straight from the entry to the target: it matches routes and teams, chooses targets, passes
-// answers and event streams on, and resumes broken streams elsewhere. The
-// names on the wire are a Dialect's.
+// Package gateway implements the entry of `springgate gateway`, the mode in which callers'
+// requests are forwarded directly from the entry to the target. It matches routes and
+// teams, chooses targets, relays responses and event streams, and resumes broken streams
+// at other targets. The header names are defined by a Dialect.
 package gateway
 
 import (
@@ -22,7 +22,7 @@
 	"github.com/springgate/springgate/targetconn"
 )
 
-// Call is what a caller's header says beside the request itself.
+// Call is the request metadata in the header of a caller's request.
 type Call struct {
 	ID        string // of this attempt of the caller
 	Key       string // API key
@@ -31,100 +31,99 @@
 	LastEvent string
 }
 
-// ForwardInfo is what the header of a request to a target says.
+// ForwardInfo is the metadata in the header of a request that is forwarded to a target.
 type ForwardInfo struct {
-	Instance  string // the only one that may run it
+	Instance  string // the only instance that may run the request
 	Team      string
 	Remaining time.Duration
-	LastEvent string // a stream goes on after it
+	LastEvent string // ID of the event after which a stream resumes
 }
 
-// ResponseInfo is what the header of a target's answer says.
+// ResponseInfo is the metadata in the header of a target's response.
 type ResponseInfo struct {
-	ID            string // of the request it answers
-	Signed        bool   // it bears the target's signature
+	ID            string // of the request that it answers
+	Signed        bool   // it has the target's signature
 	NotRun        bool   // the target states that it did not run the request
 	OtherInstance bool   // another instance has the address
 	Notice        notice.Statement
 }
 
-// Dialect translates the names of headers.
+// Dialect maps request metadata to header names.
 type Dialect interface {
 	Decode(h http.Header) Call
-	// EncodeForward sets and removes fields of a forwarded header.
+	// EncodeForward sets and removes fields of the header of a forwarded request.
 	EncodeForward(h http.Header, s ForwardInfo)
 	DecodeResponse(status int, h http.Header) ResponseInfo
 }
 
-// Reserver asks the home entry of a target for a place there. Each target has
-// one home, so that entries that see the same free target at the same moment do
-// not all fill it.
+// Reserver reserves capacity of a target at its home entry. Each target has one home, so
+// that entries that see the same free target at the same moment do not all fill it.
 type Reserver interface {
-	// Reserve asks for a place for a request with so long a prompt, in tokens. It is
-	// granted too if the home cannot be asked in time, unless the choice is Paced.
+	// Reserve requests a place for a request whose prompt has the given number of tokens.
+	// The place is also granted if the home does not answer in time, unless the choice is
+	// Paced.
 	Reserve(ctx context.Context, c dispatch.Choice, prompt int) dispatch.Reservation
 }
 
-// Copy describes this entry's copy of the store at a moment.
+// Copy describes the state of this entry's mirror of the store.
 type Copy struct {
-	Revision int64         // what it reaches
-	Age      time.Duration // since the store was last known to agree
+	Revision int64         // the revision that it has reached
+	Age      time.Duration // since it was last confirmed to be current
 }
 
 // Config holds the limits of a Gateway.
 type Config struct {
 	Off    mechanism.Off // mechanisms that are switched off
 	Domain string        // failure domain of this entry
-	// Copy tells, for the lines about requests, what choices are based on.
-	// Default: nothing is known.
+	// Copy returns the state of the mirror, for the log records of requests. Default:
+	// unknown.
 	Copy func() Copy
 
-	// Crashes is what is known of requests under which targets end. Default: a table of
-	// this entry's own. Hasher names their contents, Host this entry in it.
+	// Crashes records which requests crash targets. Default: a private table. Hasher
+	// computes the fingerprints of contents, Host names this entry in the table.
 	Crashes *quarantine.Table
 	Hasher  quarantine.Hasher
 	Host    string
-	// Probes reports whether this entry is the one that tries a content again that is
-	// sent no more. Default: it is.
+	// Probes reports whether this entry is the one that probes a quarantined content.
+	// Default: it is.
 	Probes func(quarantine.Fingerprint) bool
 
-	// MaxWaitRatio is the part of the service's tightest objective that a fresh
-	// request may wait for a target: enough to bridge a moment without one, and
-	// little enough that a caller who is refused has lost nothing. All wait
-	// equally long, since those who wait longer win the places that others
-	// leave. Default 0.1.
+	// MaxWaitRatio is the part of the service's tightest objective that a fresh request
+	// may wait for a target: long enough to bridge a short lack of targets, and short
+	// enough that a refused caller has lost no useful time. All requests of a service wait
+	// equally long, since those that waited longer would win the places that others give
+	// up. Default 0.1.
 	MaxWaitRatio float64
-	// RetryMaxWait is how long a request that failed at one target may wait
-	// for another. Default 250 ms.
+	// RetryMaxWait is how long a request that failed at one target may wait for another.
+	// Default 250 ms.
 	RetryMaxWait time.Duration
-	// FirstEventLimit is how long a first event may take at the least at a
-	// target that sends events of other streams. Default 2.2 s.
+	// FirstEventLimit is the least time allowed for a first event at a target that is
+	// sending events of other streams. Default 2.2 s.
 	FirstEventLimit time.Duration
-	// FirstEventTimeout is how long a first event may take at a target that is
-	// silent, before another is tried. Default 600 ms.
+	// FirstEventTimeout is how long a target that sends nothing may take for a first event
+	// before another target is tried. Default 600 ms.
 	FirstEventTimeout time.Duration
-	// StallTimeout is how long a stream may pause before it is resumed
-	// elsewhere, at the least; twice the longest pause on time and
-	// stallFactor forecast pauses are the other bounds. Default 900 ms.
+	// StallTimeout is the least pause after which a stream is resumed at another target.
+	// Longer pauses are allowed up to twice the route's MaxGap and up to stallFactor times
+	// the forecast gap. Default 900 ms.
 	StallTimeout time.Duration
-	// MaxBufferedResponse bounds how much of a plain answer is held until it is
-	// known to be whole, in bytes. Default 256 KiB.
+	// MaxBufferedResponse bounds how much of a non-streaming response is buffered until it
+	// is complete, in bytes. Default 256 KiB.
 	MaxBufferedResponse int64
-	// CancelLead is how long before the end of its version's time a request that has not
-	// begun is taken back from a target: what the close of its connection may take to
-	// get there over a link that pieces of weights share. Default 250 ms.
+	// CancelLead is how long before the target's version expires a request that has not
+	// started is cancelled: the time that closing its connection may take to reach the
+	// target over a link shared with weight transfers. Default 250 ms.
 	CancelLead time.Duration
-	// RetryAfter is the part of the time left after which a refused caller
-	// should come back, the longest that callers heed: most bursts, changes of
-	// version and restarts are over by then. RetrySpread is the part by which
-	// that varies, so that those who are refused together do not come back
-	// together. Defaults 1/3 and 0.2.
+	// RetryAfter is the part of the remaining time after which a refused caller should
+	// retry, the longest that callers respect: most bursts, version changes and restarts
+	// are over by then. RetrySpread is the part by which it varies, so that callers
+	// refused at the same time do not all retry at the same time. Defaults 1/3 and 0.2.
 	RetryAfter, RetrySpread float64
-	// RetryRatio is how many retries each request pays for, and RetryBurst
-	// how many may be saved up by all entries together.
+	// RetryRatio is how many retries each request adds to the budget, and RetryBurst the
+	// most that all entries together may accumulate.
 	RetryRatio, RetryBurst float64
-	// MinRemaining is the least time in which a target can still do something for
-	// a request. Default 30 ms.
+	// MinRemaining is the least remaining time with which a target can still serve a
+	// request. Default 30 ms.
 	MinRemaining time.Duration
 }
 
@@ -151,7 +150,7 @@
 	return c
 }
 
-// Gateway serves callers.
+// Gateway serves callers' requests.
 type Gateway struct {
 	cfg      Config
 	dialect  Dialect
@@ -173,14 +172,15 @@
 	entries int
 }
 
-// New returns a gateway that refuses all until it has a configuration.
+// New returns a gateway that refuses all requests until it has a configuration.
 func New(cfg Config, d Dialect, book *dispatch.Book, pool *targetconn.Pool, reserver Reserver, stats *Stats, log logrus.FieldLogger) *Gateway {
 	cfg = cfg.applyDefaults()
 	return &Gateway{cfg: cfg, dialect: d, book: book, pool: pool, reserver: reserver, stats: stats, log: log,
 		returns: dispatch.NewReturns(cfg.RetryAfter, cfg.RetrySpread), crashDetector: newCrashDetector(cfg.Crashes, cfg.Host, log), budgets: map[string]*routing.Budget{}, entries: 1}
 }
 
-// SetConfig puts a configuration in force. Older versions are ignored.
+// SetConfig applies a configuration and reports whether it did. Versions that are not
+// newer than the current one are ignored.
 func (g *Gateway) SetConfig(c *fleet.Config) bool {
 	for {
 		old := g.config.Load()
@@ -196,19 +196,19 @@
 // Config returns the configuration in force, or nil.
 func (g *Gateway) Config() *fleet.Config { return g.config.Load() }
 
-// Ready reports whether the gateway should get callers' connections.
+// Ready reports whether the gateway should receive callers' connections.
 func (g *Gateway) Ready() bool { return g.config.Load() != nil && !g.draining.Load() }
 
-// Drain makes the gateway not ready, and lets callers close their connections
-// after the next answer.
+// Drain makes the gateway not ready, and makes callers close their connections after the
+// next response.
 func (g *Gateway) Drain() { g.draining.Store(true) }
 
-// Inflight returns how many requests are being served.
+// Inflight returns the number of requests being served.
 func (g *Gateway) Inflight() int64 { return g.inflight.Load() }
 
-// SetEntries tells how many entries share the retry budget. The budgets themselves stay:
-// made anew they would be full after each change, and entries come and go each second
-// while a border is cut.
+// SetEntries sets how many entries share the retry budget. Existing budgets are resized
+// rather than replaced: a new budget is full, and entries join and leave every second
+// during a network partition.
 func (g *Gateway) SetEntries(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -221,14 +221,13 @@
 	}
 }
 
-// budgetShare is how many retries this entry may save up; the lock is held.
+// budgetShare is how many retries this entry may accumulate. The caller holds the lock.
 func (g *Gateway) budgetShare() float64 {
 	return max(g.cfg.RetryBurst/float64(max(g.entries, 1)), 1)
 }
 
-// budget returns the retry budget of a service. The entries share it without
-// talking: each takes an equal part of the burst, and pays in by its own
-// requests.
+// budget returns the retry budget of a service. The entries share it without coordination:
+// each has an equal share of the burst and refills it with its own requests.
 func (g *Gateway) budget(service string) *routing.Budget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -23,7 +23,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// testDialect uses names of its own.
+// testDialect uses header names of its own.
 type testDialect struct{}
 
 func (testDialect) Decode(h http.Header) Call {
@@ -51,14 +51,14 @@
 	return info
 }
 
-// grantAll grants all places.
+// grantAll grants all reservations.
 type grantAll struct{}
 
 func (grantAll) Reserve(context.Context, dispatch.Choice, int) dispatch.Reservation {
 	return dispatch.PlaceGranted
 }
 
-// target is a fake target that notes what reached it.
+// target is a fake target that records the requests that reached it.
 type target struct {
 	*httptest.Server
 	mu     sync.Mutex
@@ -108,13 +108,13 @@
 	writeSigned(w, http.StatusInternalServerError, "broken")
 }
 
-// abortHandler closes the connection without an answer.
+// abortHandler closes the connection without a response.
 func abortHandler(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func eventText(i int) string { return fmt.Sprintf("id: %d\ndata: token %d\n\n", i, i) }
 
-// streamHandler streams streamHandler after the last one that the caller has, up to most of
-// them, and breaks off unless whole.
+// streamHandler streams up to most events after the last one that the caller has, and
+// breaks off inside an event unless total is reached.
 func streamHandler(total, most int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		last, _ := strconv.Atoi(r.Header.Get("Last"))
@@ -144,7 +144,7 @@
 		route("stream", fleet.Streaming, testTimeout), route("short", fleet.Unsafe, 50*time.Millisecond)}
 }
 
-// testGateway is a gateway before targets; the first target is preferred.
+// testGateway is a gateway in front of targets, the first of which is preferred.
 type testGateway struct {
 	t       *testing.T
 	gateway *Gateway
@@ -158,7 +158,8 @@
 	book := dispatch.NewBook(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
 	var list []*fleet.Instance
 	for i, x := range targets {
-		// Targets after the first stand elsewhere, which costs a little.
+		// Targets after the first are in other failure domains, which makes them slightly
+		// more costly.
 		list = append(list, &fleet.Instance{ID: fmt.Sprintf("i-%d", i), Service: "s", Addr: x.addr(), Domain: fmt.Sprint(i), Slots: 100})
 	}
 	services := []*fleet.Service{{Name: "s"}}
@@ -173,7 +174,7 @@
 	return f
 }
 
-// answer is what the caller got; err is set if it was broken off.
+// answer is the response that the caller received; err is set if it was cut off.
 type answer struct {
 	status int
 	body   string
@@ -217,8 +218,8 @@
 	assert.Assert(t, left > 0 && left <= 1000, "left %d", left)
 }
 
-// What each end of a request at the first target means for the caller, and
-// whether another target may be asked.
+// For each way in which a request can end at the first target: the status that the caller
+// gets, and whether another target may be tried.
 func TestOutcomes(t *testing.T) {
 	unsignedOK := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "spoilt") }
 	encoded := func(w http.ResponseWriter, _ *http.Request) {
@@ -268,8 +269,8 @@
 	}
 }
 
-// A status that promises "not run" is only given if no target was reached, or
-// each said so.
+// A status that means that the request did not run is returned only if no target was
+// reached, or each stated that it did not run it.
 func TestRefusalStatusIsAccurate(t *testing.T) {
 	x, y := newTarget(t, notRunHandler), newTarget(t, notRunHandler)
 	a := newTestGateway(t, x, y).call(http.MethodPost, "/unsafe/x", "b")
@@ -352,8 +353,8 @@
 	assert.Equal(t, a.body, wantEvents(5))
 }
 
-// A stream that breaks inside an event goes on at another target with the
-// event after the last whole one.
+// A stream that breaks inside an event is resumed at another target after the last
+// complete event.
 func TestBrokenStreamIsResumedElsewhere(t *testing.T) {
 	x, y := newTarget(t, streamHandler(7, 3)), newTarget(t, streamHandler(7, 7))
 	a := newTestGateway(t, x, y).call(http.MethodPost, "/stream/x", "b")
@@ -368,7 +369,7 @@
 	assert.Equal(t, a.body, eventText(4)+eventText(5))
 }
 
-// A stream that can't be completed must not look complete.
+// A stream that cannot be completed must not look complete.
 func TestStreamThatCannotBeCompletedIsBrokenOff(t *testing.T) {
 	for name, second := range map[string]http.HandlerFunc{"breaks too": streamHandler(9, 2), "fails": failHandler, "refuses": notRunHandler} {
 		a := newTestGateway(t, newTarget(t, streamHandler(9, 3)), newTarget(t, second)).call(http.MethodPost, "/stream/x", "b")
@@ -377,7 +378,7 @@
 	}
 }
 
-// The caller leaves: the target's connection is closed at once.
+// If the caller disconnects, the connection to the target is closed at once.
 func TestDisconnectOfCallerCancelsTheRequest(t *testing.T) {
 	started, ended := make(chan struct{}), make(chan struct{})
 	x := newTarget(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -404,21 +405,21 @@
 	x, y := newTarget(t, notRunHandler), newTarget(t, notRunHandler)
 	f := newTestGateway(t, x, y)
 	f.gateway.cfg.RetryRatio, f.gateway.cfg.RetryBurst = 0.01, 8
-	f.gateway.SetEntries(4) // a part of 2
+	f.gateway.SetEntries(4) // a share of 2
 	for range 10 {
 		f.call(http.MethodPost, "/unsafe/x", "b")
 	}
 	assert.Equal(t, x.count()+y.count(), 12)
 }
 
-// Entries come and go, as they do while a border is cut or hosts are busy. What was spent of
-// the retry budget stays spent: it was full again after each change, so that repeats had no
-// bound in all.
+// Guards against a retry budget that is refilled by each change in the number of entries,
+// as happens during a network partition or when hosts are busy. The total number of
+// retries then had no bound.
 func TestRetryBudgetSurvivesChangesOfTheEntries(t *testing.T) {
 	x, y := newTarget(t, notRunHandler), newTarget(t, notRunHandler)
 	f := newTestGateway(t, x, y)
 	f.gateway.cfg.RetryRatio, f.gateway.cfg.RetryBurst = 0.01, 8
-	f.gateway.SetEntries(4) // a part of 2
+	f.gateway.SetEntries(4) // a share of 2
 	for i := range 10 {
 		f.call(http.MethodPost, "/unsafe/x", "b")
 		f.gateway.SetEntries(3 + i%2)
@@ -426,7 +427,7 @@
 	assert.Equal(t, x.count()+y.count(), 12)
 }
 
-// Where there are fewer entries, each may save up more, by its own requests.
+// With fewer entries, each may accumulate more retries from its own requests.
 func TestRetryBudgetGrowsWithTheShareOfTheEntry(t *testing.T) {
 	f := newTestGateway(t, newTarget(t, okHandler))
 	f.gateway.cfg.RetryRatio, f.gateway.cfg.RetryBurst = 1, 8
@@ -444,7 +445,8 @@
 	assert.Equal(t, n, 8)
 }
 
-// A request that may wait longer than others wins the places that these leave.
+// A request that may wait longer than others wins the places that these give up, so all
+// wait by the tightest objective.
 func TestMaxWaitFollowsTheTightestObjective(t *testing.T) {
 	g := &Gateway{cfg: Config{}.applyDefaults()}
 	x := &exchange{g: g, route: &fleet.Route{Objective: 1500 * time.Millisecond}, tightest: 250 * time.Millisecond, start: time.Now(),
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -5,8 +5,9 @@
 	"github.com/springgate/springgate/clock"
 )
 
-// recordNotice takes what an answer says of the target that gave it. An answer of another
-// instance at the address, or one that no target signed, says nothing of it.
+// recordNotice records the notice that a target attached to its response. A response of
+// another instance at the address, or one that is not signed by a target, says nothing
+// about the target.
 func (a *attempt) recordNotice(info ResponseInfo) {
 	if info.OtherInstance || !info.Signed && !info.NotRun {
 		return
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// withLimit names a limit of 1 request a second on all answers of a target.
+// withLimit adds a limit of 1 request a second to all responses of a target.
 func withLimit(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Limit", "1")
@@ -18,7 +18,7 @@
 	}
 }
 
-// withLeaving says on all answers of a target that it leaves.
+// withLeaving adds to all responses of a target that it leaves.
 func withLeaving(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Leaving", "1")
@@ -45,7 +45,8 @@
 	}
 }
 
-// A target that had named a limit got requests as before.
+// Guards against ignoring the limit that a target announced: such a target got requests as
+// before.
 func TestTargetWithALimitIsRateLimited(t *testing.T) {
 	x, free := newTarget(t, withLimit(okHandler)), newTarget(t, okHandler)
 	f := newTestGateway(t, x, free)
@@ -57,7 +58,7 @@
 	assert.Equal(t, x.count()+free.count(), 40)
 }
 
-// If no target takes one more soon enough, the caller is told so at once.
+// If no target accepts another request soon enough, the caller is refused at once.
 func TestRequestIsRefusedAtOnceIfAllTargetsAreRateLimited(t *testing.T) {
 	x := newTarget(t, withLimit(okHandler))
 	f := newTestGateway(t, x)
@@ -69,8 +70,8 @@
 	assert.Equal(t, x.count(), 1)
 }
 
-// A target that had said in an answer that it leaves got requests as before, because the
-// list went on naming it as ready.
+// Guards against relying on the list alone: a target that had announced in a response that
+// it leaves got requests as before, because the list still showed it as ready.
 func TestLeavingTargetGetsNoMoreRequests(t *testing.T) {
 	for path, h := range map[string]http.HandlerFunc{"/unsafe/x": okHandler, "/stream/x": streamHandler(3, 3), "/safe/x": failHandler} {
 		x, stays := newTarget(t, withLeaving(h)), newTarget(t, h)
@@ -82,15 +83,15 @@
 	}
 }
 
-// backOffHandler turns requests away and asks for 3 s of rest.
+// backOffHandler refuses requests and asks for a back-off of 3 s.
 func backOffHandler(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Not-Run", "1")
 	w.Header().Set("Rest-Ms", "3000")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// A target that turned requests away and asked for rest had no load, and got most of what
-// came.
+// Guards against ignoring a requested back-off: a target that refused requests had no
+// load, and therefore got most of the new ones.
 func TestBackOffOfATargetIsHonored(t *testing.T) {
 	const before, meanwhile = 3, 20
 	var x *target
@@ -110,7 +111,8 @@
 	assert.Equal(t, free.count(), meanwhile)
 }
 
-// If all targets rest, callers are refused at once and told when the first is to be back.
+// If all targets have asked for a back-off, callers are refused at once, with a
+// Retry-After at which the first target is available again.
 func TestRetryAfterIfAllTargetsBackOff(t *testing.T) {
 	x, y := newTarget(t, backOffHandler), newTarget(t, backOffHandler)
 	f := newTestGateway(t, x, y)
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -14,7 +14,7 @@
 
 // holder is an agent whose engine holds a version of a model.
 type holder struct {
-	addr    string // where it hands out pieces
+	addr    string // address at which it serves pieces
 	domain  string
 	model   string
 	version int
@@ -43,7 +43,7 @@
 	}
 }
 
-// mergeNotices takes what another entry believes of targets by what they say.
+// mergeNotices merges the notices of targets that another entry has received.
 func (c *Control) mergeNotices(from string, list []peer.TargetNotice) {
 	for _, n := range list {
 		decoded, ok := n.Decode()
@@ -82,7 +82,7 @@
 	c.book.SetState(s.Addr, dispatch.EngineState{Version: s.Version, Loading: s.Loading, Born: s.Born})
 }
 
-// setHolder notes which version an agent's engine holds.
+// setHolder records which version an agent's engine holds.
 func (c *Control) setHolder(agent peer.Presence, s peer.EngineState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +106,8 @@
 	return out
 }
 
-// OwnLoads returns what this entry has in flight, for the other entries.
+// OwnLoads returns the load that this entry has in flight at each target, for the other
+// entries.
 func (c *Control) OwnLoads() []peer.TargetLoad {
 	own := c.book.OwnLoads()
 	silent, heard := c.book.SilentTargets(clock.Now()), c.book.HeardTargets(clock.Now())
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -29,7 +29,7 @@
 		case verdict == dispatch.Chosen:
 			return choice, ReasonNone
 		case verdict == dispatch.NoDomain:
-			return choice, ReasonNoDomain // operators evacuate for minutes
+			return choice, ReasonNoDomain // evacuations last minutes, so waiting is of no use
 		case verdict == dispatch.Paced && choice.FreeAt.After(until):
 			return choice, x.unplaced(verdict, choice, d)
 		}
@@ -44,8 +44,9 @@
 	}
 }
 
-// timerUntilFree returns a channel that gets a value when a target takes one more; nil if that is
-// not what the request waits for.
+// timerUntilFree returns a channel that receives a value when a target that is
+// rate-limited or backing off accepts its next request; nil if the request does not wait
+// for that.
 func (x *exchange) timerUntilFree(v dispatch.Verdict, c dispatch.Choice) <-chan time.Time {
 	if v != dispatch.Paced {
 		return nil
@@ -53,12 +54,12 @@
 	return clock.NewTimer(max(clock.Until(c.FreeAt), 0)).C
 }
 
-// maxHeldTargets is how many targets that turn out to take no more for a time are passed over,
-// though the request may not wait.
+// maxHeldTargets bounds how many targets that are found to accept no request for some time
+// are skipped when the request may not wait.
 const maxHeldTargets = 4
 
-// pick chooses a target whose home grants a place. Targets that turn out to take no more
-// for a time are passed over.
+// pick chooses a target whose home entry grants a place. Targets that are found to accept
+// no request for some time are skipped.
 func (x *exchange) pick(ctx context.Context, d dispatch.Demand, until time.Time) (dispatch.Choice, dispatch.Verdict) {
 	for held := 0; ; held++ {
 		choice, verdict := x.g.book.Pick(clock.Now(), x.service, d, x.avoid)
@@ -78,7 +79,7 @@
 	}
 }
 
-// unplaced notes that no target could serve the request in time, and returns why.
+// unplaced records that no target could serve the request in time, and returns the reason.
 func (x *exchange) unplaced(v dispatch.Verdict, c dispatch.Choice, d dispatch.Demand) Reason {
 	x.logUnplaced(v, c, d)
 	switch v {
@@ -93,7 +94,7 @@
 	return ReasonNoTarget
 }
 
-// demand is what the request asks of a target now.
+// demand returns what the request currently requires of a target.
 func (x *exchange) demand() dispatch.Demand {
 	d := dispatch.Demand{Prompt: x.call.Prompt, Objective: x.route.Objective, MaxGap: x.route.MaxGap, Domain: x.g.cfg.Domain,
 		Homes: x.homes()}
@@ -106,7 +107,7 @@
 	return d
 }
 
-// homes are the regions in which the request may run.
+// homes returns the regions in which the request may run.
 func (x *exchange) homes() residency.Homes {
 	h := residency.Homes{Route: x.route.Homes}
 	if x.team != nil {
@@ -129,7 +130,7 @@
 	x.g.log.WithFields(f).Info("No target in time.")
 }
 
-// maxWait is how long the request may wait for a target now.
+// maxWait is how long the request may currently wait for a target.
 func (x *exchange) maxWait() time.Duration {
 	if x.sends > 0 {
 		return min(x.g.cfg.RetryMaxWait, clock.Until(x.deadline))
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -12,8 +12,8 @@
 	"github.com/springgate/springgate/quarantine"
 )
 
-// fingerprint returns the name of the request's content. API keys of one team are one
-// caller.
+// fingerprint returns the fingerprint of the request's content. All API keys of a team
+// count as one caller.
 func (x *exchange) fingerprint() quarantine.Fingerprint {
 	caller := x.call.Key
 	if x.team != nil {
@@ -23,8 +23,9 @@
 		URI: x.r.RequestURI, Body: x.body})
 }
 
-// quarantined reports whether the request is sent no more because targets end under it.
-// It is asked before each send: others may have seen one end meanwhile.
+// quarantined reports whether the request is refused because targets crash when they run
+// it. It is checked before each send, since other entries may have observed a crash in the
+// meantime.
 func (x *exchange) quarantined() bool {
 	if x.probing || x.g.cfg.Off.Has(mechanism.Quarantine) {
 		return false
@@ -38,14 +39,15 @@
 	return verdict == quarantine.Refuse
 }
 
-// logFinding adds what is known of a request that is sent no more.
+// logFinding adds what is known about a quarantined request to a log record.
 func logFinding(f logrus.Fields, x *quarantine.Finding, now time.Time) {
 	f["ended"], f["first_age_ms"], f["last_age_ms"] = x.Lives, now.Sub(x.First).Milliseconds(), now.Sub(x.Last).Milliseconds()
 	f["seen_by"], f["again_in_ms"] = x.Seen, x.ProbeAt.Sub(now).Milliseconds()
 }
 
-// recordLostConnection notes that the connection to a target broke under the request. If the target has
-// ended, it waits for what others saw of the same content in the same moment.
+// recordLostConnection records that the connection to a target broke during the request.
+// If the target has ended, it waits for crashes of the same content that other entries
+// observed at the same moment.
 func (x *exchange) recordLostConnection(ctx context.Context, c dispatch.Choice, sent time.Time) {
 	if !x.g.book.Serving(c.Target) || !x.g.crashDetector.connectionLost(ctx, c.Instance, x.content, sent, clock.Now()) {
 		return
@@ -54,7 +56,7 @@
 	loop.Sleep(ctx, crashReportWait)
 }
 
-// recordSuccess notes that a target has brought a run of the request to its end.
+// recordSuccess records that a target has completed a run of the request.
 func (x *exchange) recordSuccess(c dispatch.Choice, sent time.Time) {
 	x.g.cfg.Crashes.RecordSuccess(clock.Now(), x.content)
 	x.g.crashDetector.recordAnswer(c.Instance, sent)
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// crashHandler returns a handler under which the target ends: nothing listens any more, and the
-// connection breaks.
+// crashHandler returns a handler that simulates a crash of the target: its listener is
+// closed and the connection breaks.
 func crashHandler(x **target) http.HandlerFunc {
 	return func(http.ResponseWriter, *http.Request) {
 		(*x).Listener.Close()
@@ -23,7 +23,7 @@
 	}
 }
 
-// newCrashingTargets returns targets that end under a request whose body says so.
+// newCrashingTargets returns targets that crash on a request with the header Crash.
 func newCrashingTargets(t *testing.T, n int) []*target {
 	out := make([]*target, n)
 	for i := range out {
@@ -49,9 +49,9 @@
 	return n
 }
 
-// A request that ends targets is sent to three, whatever its attempt's ID, and then
-// answered at once with a status that callers do not repeat it after. Other requests, also
-// of the same caller on the same path, are served.
+// A request that crashes targets is sent to three of them, whatever the ID of the attempt,
+// and is then answered at once with a status that callers do not retry. Other requests are
+// served, including those of the same caller on the same path.
 func TestRequestThatCrashesTargetsIsQuarantined(t *testing.T) {
 	for _, route := range []string{"safe", "unsafe", "stream"} {
 		targets := newCrashingTargets(t, 6)
@@ -69,8 +69,8 @@
 	}
 }
 
-// A stream under which targets end after its first event goes on elsewhere, as any that
-// breaks, and counts all the same.
+// A stream whose target crashes after its first event is resumed at another target, as any
+// broken stream is, and the crash counts nevertheless.
 func TestStreamThatCrashesTargetsMidway(t *testing.T) {
 	targets := make([]*target, 6)
 	for i := range targets {
@@ -93,7 +93,7 @@
 	assert.Equal(t, f.call(http.MethodPost, "/stream/x", "another").body, wantEvents(9))
 }
 
-// Entries that know the same table refuse what another has seen.
+// Entries with a shared table refuse a request whose crashes another entry has observed.
 func TestEntriesShareCrashes(t *testing.T) {
 	targets := newCrashingTargets(t, 12)
 	table := quarantine.NewTable()
@@ -109,7 +109,8 @@
 	assert.Equal(t, totalRequests(targets), 3)
 }
 
-// When all that knew are gone, entries and agents, it is learned again at the same price.
+// If all entries and agents that knew of the crashes are gone, a request is quarantined
+// again after the same number of crashes.
 func TestForgottenCrashesAreLearnedAgain(t *testing.T) {
 	targets := newCrashingTargets(t, 12)
 	for round := 1; round <= 2; round++ {
@@ -121,8 +122,9 @@
 	}
 }
 
-// It arrives at all entries at the same moment, before any knows of an end. No attempt has
-// more sends than its route allows, and no later one has any.
+// The same request arrives at all entries at once, before any of them has observed a
+// crash. No attempt has more sends than its route allows, and later ones are not sent at
+// all.
 func TestSimultaneousArrivals(t *testing.T) {
 	const entries, attempts = 4, 2
 	targets := newCrashingTargets(t, 12)
@@ -132,7 +134,7 @@
 	for i := range entries {
 		f := newTestGateway(t, targets...)
 		f.gateway.cfg.Crashes, f.gateway.crashDetector.table = table, table
-		f.gateway.cfg.Domain = fmt.Sprint(i) // each has a target of its own that it prefers
+		f.gateway.cfg.Domain = fmt.Sprint(i) // each prefers a different target
 		gateways = append(gateways, f)
 		wait.Go(func() { f.call(http.MethodPost, "/safe/x", "the one", "Crash", "1", "Id", fmt.Sprint("r", i)) })
 	}
@@ -146,7 +148,7 @@
 	assert.Equal(t, totalRequests(targets), reached)
 }
 
-// Connections that break while the target lives on are no end of it.
+// Connections that break while the target keeps running do not count as crashes.
 func TestResetsAreNotCrashes(t *testing.T) {
 	targets := []*target{newTarget(t, abortHandler), newTarget(t, abortHandler), newTarget(t, abortHandler), newTarget(t, abortHandler), newTarget(t, abortHandler)}
 	f := newTestGateway(t, targets...)
@@ -157,7 +159,7 @@
 	assert.Equal(t, totalRequests(targets), 10)
 }
 
-// A target that was leaving ends by plan, also with requests at work.
+// A draining target ends by plan, even if requests are still running there.
 func TestPlannedEndsDoNotCount(t *testing.T) {
 	targets := newCrashingTargets(t, 5)
 	f := newTestGateway(t, targets...)
@@ -179,8 +181,8 @@
 	}
 }
 
-// leaveAndCrash returns a handler of the k-th target under which it says that it leaves,
-// and ends.
+// leaveAndCrash returns a handler of the k-th target that marks the target as draining and
+// then crashes it.
 func leaveAndCrash(f *testGateway, list []*fleet.Instance, k int, x **target) http.HandlerFunc {
 	crash := crashHandler(x)
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -192,15 +194,15 @@
 	}
 }
 
-// Before a target stands something that takes connections although it has ended. Its next
-// life shows that.
+// A proxy in front of a target accepts connections although the target has ended. Its next
+// incarnation shows that it has.
 func TestCrashDetectedByTheNextIncarnation(t *testing.T) {
 	var targets []*target
 	for range 5 {
 		targets = append(targets, newTarget(t, abortHandler))
 	}
 	f := newTestGateway(t, targets...)
-	for i := range 12 { // one that fails is left for the next after a few
+	for i := range 12 { // a failing target is avoided after a few failures
 		f.call(http.MethodPost, "/unsafe/x", "the one", "Id", fmt.Sprint("r", i))
 	}
 	assert.Assert(t, targets[2].count() > 0)
@@ -218,7 +220,7 @@
 	assert.Equal(t, totalRequests(targets), 13)
 }
 
-// Nothing seemed to listen, but the same life answers again.
+// The address of a target refused a connection, but the same incarnation answers again.
 func TestTargetThatAnswersAgainHadNotCrashed(t *testing.T) {
 	x := newTarget(t, okHandler)
 	f := newTestGateway(t, x)
@@ -233,8 +235,8 @@
 	assert.Assert(t, n.Crashes[0].Void)
 }
 
-// Half a minute after the last end one request of the content is let through. It ends well,
-// and so do all after it.
+// 30 s after the last crash one request of a quarantined content is let through as a
+// probe. It succeeds, and so do all later ones.
 func TestProbeOfQuarantinedContent(t *testing.T) {
 	x := newTarget(t, okHandler)
 	f := newTestGateway(t, x)
@@ -252,7 +254,7 @@
 	assert.Equal(t, x.count(), 2)
 }
 
-// unusedAddr returns an address that nothing listens at.
+// unusedAddr returns an address at which nothing listens.
 func unusedAddr(t *testing.T) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -6,30 +6,29 @@
 	"github.com/springgate/springgate/fleet"
 )
 
-// Roster keeps instances whose entries vanished for a moment: entries lapse
-// while the store is away although the targets live, and a target that really
-// left answers that it has not run a request. It is pure.
+// Roster retains instances whose list entries disappeared for a short time: entries expire
+// while the store is unavailable although the targets run, and a target that really left
+// answers that it has not run a request. It does no I/O and reads no clock.
 type Roster struct {
-	// Hold is how long an instance that vanished without draining is kept. It
-	// must stay under the time in which a target that left may still get
-	// requests.
+	// Hold is how long an instance that disappeared without draining is retained. It must
+	// be less than the time during which a target that left may still get requests.
 	Hold time.Duration
-	// CatchUp is how long after an outage of the store an entry may be missing
-	// although the target lives.
+	// CatchUp is how long after an outage of the store the entry of a running target may
+	// be missing.
 	CatchUp time.Duration
 
 	known map[string]*fleet.Instance
-	// vanished tells of instances, by ID, for how long the store has been there since
-	// they vanished, so that a live one could have been listed again. Time since the last
-	// outage does not do: an entry whose calls come late sees outages end again and
-	// again, and would keep a target that left for as long.
+	// vanished maps the IDs of retained instances to how long the store has been available
+	// since they disappeared, during which a running target could have been listed again.
+	// The time since the last outage is not used: an entry with slow calls to the store
+	// detects outages again and again, and would retain a target that left for as long.
 	vanished map[string]time.Duration
 	updated  time.Time
 	down     bool // at the last update
 }
 
-// Update takes the list and returns the instances that may be used. down is
-// true while the store cannot be read, and ended is when it last came back.
+// Update applies the current list and returns the instances that may be used. down is true
+// while the store cannot be read, and ended is when the last outage ended.
 func (r *Roster) Update(now time.Time, list []*fleet.Instance, down bool, ended time.Time) []*fleet.Instance {
 	var elapsed time.Duration
 	if !r.updated.IsZero() && !r.down {
@@ -63,9 +62,9 @@
 	return newestAtEachAddr(out)
 }
 
-// newestAtEachAddr drops incarnations that another one at the same address has
-// replaced. Their entries stay in the list until they lapse, seconds after all
-// hosts lost power, and nothing that they say is true any more.
+// newestAtEachAddr drops incarnations that were replaced by another one at the same
+// address. After a power loss of all hosts their entries stay in the list for seconds
+// until they expire, and are no longer valid.
 func newestAtEachAddr(list []*fleet.Instance) []*fleet.Instance {
 	newest := make(map[string]*fleet.Instance, len(list))
 	for _, i := range list {
@@ -82,5 +81,5 @@
 	return out
 }
 
-// Pending reports whether instances are kept that are no longer listed.
+// Pending reports whether instances are retained that are no longer listed.
 func (r *Roster) Pending() bool { return len(r.vanished) > 0 }
--- a/gateway/roster_test.go
+++ b/gateway/roster_test.go
@@ -20,7 +20,7 @@
 	return out
 }
 
-// state returns which instances are in use; true means doubtful.
+// state returns which instances are in use; the value is true for doubtful ones.
 func state(list []*fleet.Instance) map[string]bool {
 	out := map[string]bool{}
 	for _, i := range list {
@@ -29,7 +29,7 @@
 	return out
 }
 
-// The entries of a crashed incarnation stay in the list for seconds.
+// The entry of a crashed incarnation stays in the list for seconds.
 func TestNewerIncarnationReplacesTheOlder(t *testing.T) {
 	r := Roster{Hold: time.Second}
 	old := &fleet.Instance{ID: "old", Addr: "x", Revision: 7}
@@ -39,7 +39,7 @@
 	got = r.Update(start, []*fleet.Instance{old, next}, false, time.Time{})
 	assert.DeepEqual(t, state(got), map[string]bool{"new": false, "other": true})
 	got = r.Update(start, []*fleet.Instance{next}, false, time.Time{})
-	assert.DeepEqual(t, state(got), map[string]bool{"new": false, "other": true}) // nor is it held
+	assert.DeepEqual(t, state(got), map[string]bool{"new": false, "other": true}) // and it is not retained
 }
 
 func TestVanishedInstanceIsRetainedForHold(t *testing.T) {
@@ -61,8 +61,8 @@
 	assert.DeepEqual(t, state(r.Update(start, listed("a"), false, time.Time{})), map[string]bool{"a": false})
 }
 
-// Entries lapse while the store is away; those of live targets come back within
-// the time to catch up.
+// Entries expire while the store is unavailable; those of running targets reappear within
+// CatchUp.
 func TestInstancesSurviveAnOutageOfTheStore(t *testing.T) {
 	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
@@ -75,10 +75,10 @@
 	assert.DeepEqual(t, state(got), map[string]bool{"a": false})
 }
 
-// An entry whose calls to the store come late may take it for away for a moment, again
-// and again, while the store answers and targets leave for good. A target that lives is
-// listed again once the store has been there for the time to catch up; one that is not
-// has left, however often an outage seems to have ended.
+// An entry with slow calls to the store may detect short outages again and again while the
+// store is available and targets leave for good. A running target is listed again once the
+// store has been available for CatchUp; one that is not has left, however often an outage
+// seems to have ended.
 func TestFlappingOutagesDoNotRetainATargetThatLeft(t *testing.T) {
 	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
@@ -91,6 +91,6 @@
 		}
 		got := state(r.Update(now, listed("a"), down, ended))
 		_, kept := got["b"]
-		assert.Equal(t, kept, ms < 3600, "after %d ms", ms) // the store was there for 3 s of these
+		assert.Equal(t, kept, ms < 3600, "after %d ms", ms) // the store was available for 3 s of these
 	}
 }
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -14,19 +14,20 @@
 	"github.com/springgate/springgate/loop"
 )
 
-// ServerConfig holds the addresses and times of a Server.
+// ServerConfig holds the addresses and timeouts of a Server.
 type ServerConfig struct {
 	CallerAddr string
 	ReadyAddr  string
-	// DrainTimeout is the time from the request to stop until the process is
-	// killed. Default 8 s.
+	// DrainTimeout is the time from the start of the drain until the process is killed.
+	// Default 8 s.
 	DrainTimeout time.Duration
-	// DrainMargin is how long before that connections are closed. Default 400 ms.
+	// DrainMargin is how long before the end of DrainTimeout connections are closed.
+	// Default 400 ms.
 	DrainMargin time.Duration
-	// AcceptFor is how long requests are still taken: the balancer sends new
-	// connections until it has asked twice, 1 s apart. A request taken later
-	// than that has too little time left: streams last up to 5 s. Default
-	// 2.8 s.
+	// AcceptFor is how long requests are still accepted after the drain has started. The
+	// load balancer sends new connections until it has made two readiness checks, 1 s
+	// apart. A request accepted later than AcceptFor may not finish in time, since streams
+	// last up to 5 s. Default 2.8 s.
 	AcceptFor time.Duration
 }
 
@@ -37,18 +38,18 @@
 	return c
 }
 
-// Timeouts and limits of the callers' connections. The configuration's limits
-// bind callers; these are wider, so that a caller that keeps within them is
-// never cut by a race.
+// Timeouts and limits of callers' connections. They are wider than the limits that the
+// configuration sets for callers, so that a race cannot cut off a caller that keeps within
+// those.
 const (
 	headerTimeout  = 15 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
 )
 
-// Server listens for callers and for the balancer's question. net/http serves
-// the callers: the routes of go-zero's rest are fixed at start, and its
-// handlers buffer and time out answers by themselves.
+// Server listens for callers and for the load balancer's readiness checks. It uses
+// net/http directly: the routes of go-zero's rest server are fixed at startup, and its
+// handlers buffer and time out responses on their own.
 type Server struct {
 	cfg     ServerConfig
 	gateway *Gateway
@@ -61,7 +62,7 @@
 	return &Server{cfg: cfg.applyDefaults(), gateway: g, log: log}
 }
 
-// Start listens.
+// Start starts the listeners.
 func (s *Server) Start(ctx context.Context) error {
 	err := s.listen(ctx, s.cfg.CallerAddr, s.gateway)
 	if err != nil {
@@ -89,7 +90,7 @@
 	}
 }
 
-// serveReady answers the balancer.
+// serveReady answers readiness checks of the load balancer.
 func (s *Server) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !s.gateway.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -98,7 +99,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Drain serves on until all requests have ended, or the time is over.
+// Drain continues to serve until all requests have ended or the drain times out.
 func (s *Server) Drain() {
 	start := clock.Now()
 	s.gateway.Drain()
@@ -106,8 +107,8 @@
 	ctx, cancel := clock.WithTimeout(context.Background(), s.cfg.DrainTimeout-s.cfg.DrainMargin)
 	defer cancel()
 	loop.Sleep(ctx, s.cfg.AcceptFor)
-	// From here on no more requests are taken: each that was gets its answer
-	// before the process is killed.
+	// No new requests are accepted from here on, so that each accepted request can be
+	// answered before the process is killed.
 	for _, server := range s.servers {
 		if err := server.Shutdown(ctx); err != nil {
 			s.log.WithError(err).WithField("inflight", s.gateway.Inflight()).Warn("Requests cut at the end.")
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// startServer serves a gateway before one target.
+// startServer starts a server with a gateway in front of one target.
 func startServer(t *testing.T, cfg ServerConfig, x *target) *Server {
 	t.Helper()
 	log := logrus.New()
@@ -40,8 +40,8 @@
 	return http.DefaultClient.Do(r)
 }
 
-// A request that was taken before the drain is answered before the server ends,
-// and none is taken once the time for that is over.
+// A request accepted before the drain is answered before the server stops, and none is
+// accepted after AcceptFor.
 func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	x := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
@@ -91,8 +91,8 @@
 	assert.Equal(t, status(), http.StatusServiceUnavailable)
 }
 
-// On the platform a request that is sent 3 s after the signal must be answered
-// whole however long it lasts; streams there last up to 5 s of the 8 s allowed.
+// On the platform a request sent 3 s after the signal must be answered completely however
+// long it runs; streams there last up to 5 s of the 8 s allowed.
 func TestRequestsAreAcceptedOnlyIfTheyCanFinish(t *testing.T) {
 	cfg := ServerConfig{}.applyDefaults()
 	assert.Assert(t, cfg.AcceptFor < 3*time.Second)
--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -13,22 +13,22 @@
 	sampleAlpha = 0.015
 )
 
-// Stats are the counters and histograms of a gateway. Times are in ms.
+// Stats are the counters and histograms of a gateway. Times are in milliseconds.
 type Stats struct {
 	answered          metrics.Counter
 	refused           map[Reason]metrics.Counter
 	retried           map[Reason]metrics.Counter
 	firstEvent        metrics.Histogram
 	answerTime        metrics.Histogram
-	lostWithTarget    metrics.Counter // requests whose target ended under them
+	lostWithTarget    metrics.Counter // requests whose target ended while it ran them
 	waitTime          metrics.Histogram
-	notices           metrics.Counter // changes of what targets say of themselves
-	unreadableNotices metrics.Counter // answers in which that is not readable
-	// forecastError is how much later than forecast first events came.
+	notices           metrics.Counter // changes in the notices of targets
+	unreadableNotices metrics.Counter // responses whose notice is not readable
+	// forecastError is how much later than forecast the first event arrived.
 	forecastError metrics.Histogram
 }
 
-// NewStats registers the counters.
+// NewStats registers the metrics and returns them.
 func NewStats(r metrics.Registry) *Stats {
 	s := &Stats{answered: metrics.NewRegisteredCounter("gateway.answered", r),
 		lostWithTarget: metrics.NewRegisteredCounter("gateway.lost_with_target", r),
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -11,20 +11,20 @@
 	"github.com/springgate/springgate/targetconn"
 )
 
-// maxEvent bounds one event in bytes.
+// maxEvent bounds the size of one event in bytes.
 const maxEvent = 1 << 20
 
-// event is one whole event of a stream as it came.
+// event is one complete event of a stream, as received.
 type event struct {
 	raw []byte
 	id  string
 }
 
-// eventReader splits a stream into events. Each ends with an empty line.
+// eventReader splits a stream into events, each terminated by an empty line.
 type eventReader struct{ r *bufio.Reader }
 
-// next returns the next whole event. A stream that ends between two events
-// returns io.EOF; one that ends inside an event io.ErrUnexpectedEOF.
+// next returns the next complete event. It returns io.EOF if the stream ends between two
+// events, and io.ErrUnexpectedEOF if it ends inside an event.
 func (e *eventReader) next() (event, error) {
 	var ev event
 	for {
@@ -51,7 +51,7 @@
 	}
 }
 
-// relayStream passes events on, each as soon as it is whole.
+// relayStream relays events, each as soon as it is complete.
 func (a *attempt) relayStream(resp *targetconn.Response, watchdog *clock.Timer) result {
 	x := a.x
 	events := eventReader{bufio.NewReader(resp)}
@@ -87,15 +87,15 @@
 	}
 }
 
-// stallFactor is how many times longer than forecast a stream may pause.
+// stallFactor is the multiple of the forecast gap that a stream may pause.
 const stallFactor = 3
 
-// stallTimeout is how long the stream may pause before it is resumed elsewhere.
+// stallTimeout is how long the stream may pause before it is resumed at another target.
 func (a *attempt) stallTimeout() time.Duration {
 	return max(a.x.g.cfg.StallTimeout, 2*a.x.route.MaxGap, stallFactor*a.choice.Forecast.Gap)
 }
 
-// endStream ends the answer. A stream without any event is passed on too.
+// endStream completes the response. A stream without any event is relayed too.
 func (a *attempt) endStream(resp *targetconn.Response) result {
 	if !a.x.started {
 		copyHeader(a.x.w.Header(), resp.Header)
@@ -115,7 +115,7 @@
 	return res
 }
 
-// recordEvent notes an event for the book and the histograms.
+// recordEvent records an event in the book and the histograms.
 func (a *attempt) recordEvent() {
 	now := clock.Now()
 	x := a.x
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -12,10 +12,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A machine was suspended with requests of callers in its hands. Their time was over when
-// it woke; they were sent to targets all the same, with time that nobody had left, and
-// held for as long as the suspension beyond their route's timeout. The time of a version
-// that had been named before went on for as much longer.
+// Guards against clocks that stop while the machine is suspended with requests in flight.
+// After the resume, requests whose time had expired were sent to targets with remaining
+// time that they no longer had, and were held beyond their route's timeout by the length
+// of the suspension. The timeout of a version announced before was extended by as much.
 func TestSuspension(t *testing.T) {
 	for _, d := range []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second} {
 		machine := clocktest.New(t)
