--- a/gateway/announced.go
+++ b/gateway/announced.go
@@ -55,7 +55,7 @@
 			continue
 		}
 		c.book.SetVersion(target, reported.At)
-		c.log.WithFields(logrus.Fields{"model": v.Model, "version": v.Version, "age_ms": v.AgeMs, "peer": from}).Info("Version named earlier than known.")
+		c.log.WithFields(logrus.Fields{"model": v.Model, "version": v.Version, "age_ms": v.AgeMs, "peer": from}).Info("Version was announced earlier than known.")
 	}
 }
 
--- a/gateway/assign.go
+++ b/gateway/assign.go
@@ -146,7 +146,7 @@
 		}
 		a.withheld = failing
 		c.log.WithFields(logrus.Fields{"service": service, "model": a.model.Model, "version": a.version,
-			"withheld": failing}).Info("Agents told whether the version can be read.")
+			"withheld": failing}).Info("Agents notified that readability of the version changed.")
 		close(c.changed)
 		c.changed = make(chan struct{})
 	}
--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -55,7 +55,7 @@
 		assert.DeepEqual(t, got.Earlier, []peer.AnnouncedVersion{{Version: 3, AgeMs: 6000}, {Version: 4, AgeMs: 4000}})
 		time.Sleep(20 * time.Second)
 		got, _ = c.Assignment(assignAgent)
-		assert.Equal(t, len(got.Earlier), 0, "their time is long over")
+		assert.Equal(t, len(got.Earlier), 0, "their timeouts have expired")
 	})
 }
 
@@ -85,9 +85,9 @@
 		assert.Equal(t, got.AgeMs, int64(4600))
 		assert.Assert(t, !got.Guessed)
 		assert.DeepEqual(t, c.Announced(time.Now()), []peer.SeenVersion{{Model: "m", Version: 2, AgeMs: 4600}})
-		assert.Assert(t, c.canPick(services), "its time is not over")
+		assert.Assert(t, c.canPick(services), "the timeout of version 2 has not expired yet")
 		time.Sleep(time.Until(announcedAt.Add(7100 * time.Millisecond)))
-		assert.Assert(t, !c.canPick(services), "0.9 s before its time is over")
+		assert.Assert(t, !c.canPick(services), "no request is sent 0.9 s before the timeout of version 2 expires")
 	})
 }
 
@@ -105,7 +105,7 @@
 		c := newTestControl(&fakeRelay{})
 		c.book = dispatch.NewBook(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 		c.assignVersion("svc", assignModel, 2, time.Now().Add(-8*time.Second), false)
-		assert.Equal(t, len(c.Announced(time.Now())), 0, "a guess is not told")
+		assert.Equal(t, len(c.Announced(time.Now())), 0, "a guessed time must not be sent")
 		c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.SeenVersion{{Model: "m", Version: 2, AgeMs: 1500}}})
 		got, _ := c.Assignment(assignAgent)
 		assert.Equal(t, got.AgeMs, int64(1500))
@@ -142,7 +142,7 @@
 	c.updateWithheld()
 	select {
 	case <-changed:
-		t.Fatal("nothing changed")
+		t.Fatal("agents were notified although nothing changed")
 	default:
 	}
 }
@@ -172,7 +172,7 @@
 	assert.Equal(t, joined.Turns, 3)
 	select {
 	case <-changed:
-		t.Fatal("all agents are told")
+		t.Fatal("agents with unchanged positions were notified")
 	default:
 	}
 	// All engines have lost their weights: agents must receive the assignment
@@ -220,12 +220,12 @@
 		report()
 		select {
 		case <-changed:
-			t.Fatal("told again, it changes nothing")
+			t.Fatal("agents were notified of a report that changes nothing")
 		default:
 		}
 		time.Sleep(time.Until(second.Add(6900 * time.Millisecond)))
-		assert.Assert(t, c.canPick(services), "its time is not over")
+		assert.Assert(t, c.canPick(services), "the timeout of version 2 has not expired yet")
 		time.Sleep(time.Until(second.Add(7100 * time.Millisecond)))
-		assert.Assert(t, !c.canPick(services), "0.9 s before the time of version 2 is over")
+		assert.Assert(t, !c.canPick(services), "no request is sent 0.9 s before the timeout of version 2 expires")
 	})
 }
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -30,9 +30,9 @@
 
 // Causes with which an attempt is cancelled by this process.
 var (
-	errFirstEventLate = errors.New("gateway: first event is late")
+	errFirstEventLate = errors.New("gateway: first event not received in time")
 	errStalled        = errors.New("gateway: stream stalled")
-	errVersionExpired = errors.New("gateway: time of the target's version is over")
+	errVersionExpired = errors.New("gateway: version of the target has expired")
 )
 
 func (a *attempt) do(r *targetconn.Request) result {
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -164,7 +164,7 @@
 	cfg, err := c.decoder.Config(i)
 	if err != nil {
 		c.configRev = i.Revision
-		c.log.WithError(err).WithFields(logrus.Fields{"key": i.Key, "revision": i.Revision}).Error("Configuration not readable, the last one stays.")
+		c.log.WithError(err).WithFields(logrus.Fields{"key": i.Key, "revision": i.Revision}).Error("Configuration not readable; keeping the previous one.")
 		return
 	}
 	if cfg == nil {
@@ -172,7 +172,7 @@
 	}
 	c.configRev = i.Revision
 	if c.gateway.SetConfig(cfg) {
-		c.log.WithFields(logrus.Fields{"config": cfg.Version, "revision": i.Revision}).Info("Configuration in force.")
+		c.log.WithFields(logrus.Fields{"config": cfg.Version, "revision": i.Revision}).Info("Configuration applied.")
 	}
 	c.book.Apply(c.list, cfg.Services)
 }
@@ -187,7 +187,7 @@
 	v, ok, err := c.decoder.Version(i)
 	if err != nil {
 		c.versionRev[i.Key] = i.Revision
-		c.log.WithError(err).WithFields(logrus.Fields{"key": i.Key, "revision": i.Revision}).Error("Version not readable, the last one stays.")
+		c.log.WithError(err).WithFields(logrus.Fields{"key": i.Key, "revision": i.Revision}).Error("Version not readable; keeping the previous one.")
 		return
 	}
 	cfg := c.gateway.Config()
@@ -199,7 +199,7 @@
 	announcement := announcementAt(now, announced, c.cfg.VersionTimeout)
 	c.versionRev[i.Key] = i.Revision
 	c.log.WithFields(logrus.Fields{"model": v.Model, "version": v.Version, "revision": i.Revision,
-		"age_ms": now.Sub(announcement.At).Milliseconds(), "guessed": announcement.Guessed}).Info("Version wanted.")
+		"age_ms": now.Sub(announcement.At).Milliseconds(), "guessed": announcement.Guessed}).Info("Version announced.")
 	c.book.SetVersion(v, announcement.At)
 	c.notifyRelay(ctx, v, announced)
 	for name, s := range cfg.Services {
@@ -266,7 +266,7 @@
 	inst, err := c.decoder.Instance(i)
 	if err != nil {
 		if old.revision == 0 || old.instance != nil {
-			c.log.WithError(err).WithFields(logrus.Fields{"key": i.Key, "revision": i.Revision}).Warn("Entry names no target.")
+			c.log.WithError(err).WithFields(logrus.Fields{"key": i.Key, "revision": i.Revision}).Warn("Entry of the target list is not a valid target.")
 		}
 		return decodedInstance{i.Revision, nil}
 	}
--- a/gateway/endings.go
+++ b/gateway/endings.go
@@ -140,7 +140,7 @@
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		e.markEnded(x, "nothing listens")
+		e.markEnded(x, "connection refused")
 	}
 }
 
@@ -156,7 +156,7 @@
 		for incarnation, x := range e.suspects {
 			same := i.ID == incarnation.Target && fleet.SameLife(i.Born, incarnation.Born)
 			if !same && (i.ID == incarnation.Target || i.Addr == x.target.Addr) && i.Revision > x.target.Revision {
-				e.markEnded(x, "another life is listed")
+				e.markEnded(x, "another incarnation is listed")
 			}
 		}
 	}
@@ -169,7 +169,7 @@
 	}
 	x.ended = true
 	t := x.target
-	e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.Born, "how": how, "lost": len(x.unreported)}).Warn("Target ended under its requests.")
+	e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.Born, "how": how, "lost": len(x.unreported)}).Warn("Target ended while running requests.")
 	e.report(x)
 }
 
@@ -196,7 +196,7 @@
 	delete(e.suspects, incarnation)
 	if x.ended {
 		e.table.RetractCrash(incarnation)
-		e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.Born}).Warn("Target has not ended after all.")
+		e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.Born}).Warn("Target answered again; crashes reported for it are retracted.")
 	}
 }
 
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -24,5 +24,5 @@
 	c.evacuated = evacuated
 	unknown := c.book.SetEvacuated(evacuated)
 	c.unknownEvacuations.Update(int64(unknown))
-	c.log.WithFields(logrus.Fields{"domains": evacuated, "unknown": unknown, "copy": c.copyRevision}).Info("Failure domains evacuated.")
+	c.log.WithFields(logrus.Fields{"domains": evacuated, "unknown": unknown, "copy": c.copyRevision}).Info("Evacuated failure domains changed.")
 }
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -54,7 +54,7 @@
 	assert.Equal(t, c.unknownEvacuations.Value(), int64(1))
 	logged := len(lines.AllEntries())
 	apply("evacuate nowhere", "evacuate a")
-	assert.Equal(t, len(lines.AllEntries()), logged, "one line for each change")
+	assert.Equal(t, len(lines.AllEntries()), logged, "one log record for each change")
 	apply("evacuate nowhere")
-	assert.Equal(t, reached("north"), "a", "taken back")
+	assert.Equal(t, reached("north"), "a", "evacuation withdrawn")
 }
--- a/gateway/foreign_test.go
+++ b/gateway/foreign_test.go
@@ -71,6 +71,6 @@
 			warnings++
 		}
 	}
-	assert.Equal(t, warnings, 2, "one line for each")
+	assert.Equal(t, warnings, 2, "one log record for each")
 	assert.DeepEqual(t, usable(good, item("i-2", "s 10.0.0.2:80", 50)), []string{"i-1", "i-2"})
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -263,7 +263,7 @@
 			assert.Equal(t, a.status, c.want)
 			assert.Equal(t, second.count(), c.wantOther)
 			if c.want != http.StatusOK && c.want != http.StatusInternalServerError {
-				assert.Equal(t, a.header.Get("Signed"), "", "our own answers bear no signature")
+				assert.Equal(t, a.header.Get("Signed"), "", "responses of the gateway are not signed")
 			}
 		})
 	}
@@ -314,7 +314,7 @@
 	assert.Equal(t, f.call(http.MethodGet, "/safe/x", "", "Key", "revoked").status, http.StatusUnauthorized)
 	assert.Equal(t, f.call(http.MethodPost, "/safe/x", strings.Repeat("x", 2<<10)).status, http.StatusRequestEntityTooLarge)
 	f.gateway.config.Store(nil)
-	assert.Equal(t, f.call(http.MethodGet, "/none/x", "").status, http.StatusServiceUnavailable, "nothing is known yet")
+	assert.Equal(t, f.call(http.MethodGet, "/none/x", "").status, http.StatusServiceUnavailable, "no configuration yet")
 	assert.Equal(t, x.count(), 0)
 }
 
@@ -335,7 +335,7 @@
 	r.Header.Set("Key", "secret")
 	w := httptest.NewRecorder()
 	f.gateway.ServeHTTP(w, r)
-	assert.Equal(t, w.Code, http.StatusOK, "it goes on serving")
+	assert.Equal(t, w.Code, http.StatusOK, "requests are still served")
 	assert.Equal(t, w.Header().Get("Connection"), "close")
 }
 
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -19,20 +19,20 @@
 	changed := g.book.HearNotice(clock.Now(), t, s, a.sentAt)
 	f := logrus.Fields{"target": t.ID, "request": a.x.call.ID}
 	if changed.Unreadable {
-		g.log.WithFields(f).Warn("Target says of itself what is not readable.")
+		g.log.WithFields(f).Warn("Notice of the target is not readable.")
 	}
 	if changed.Leaving {
 		g.stats.notices.Inc(1)
-		g.log.WithFields(f).Info("Target said that it leaves.")
+		g.log.WithFields(f).Info("Target announced that it is leaving.")
 	}
 	if changed.Rest {
 		g.stats.notices.Inc(1)
 		f["rest_ms"] = s.Rest.Milliseconds()
-		g.log.WithFields(f).Info("Target asked for rest.")
+		g.log.WithFields(f).Info("Target requested a back-off.")
 	}
 	if changed.Limit {
 		g.stats.notices.Inc(1)
 		f["limited"], f["limit"] = s.Limit.Named, s.Limit.PerS
-		g.log.WithFields(f).Info("Target's limit heard.")
+		g.log.WithFields(f).Info("Request rate limit of the target changed.")
 	}
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -30,7 +30,7 @@
 		loads[t.Instance] = dispatch.Load{Requests: t.Requests, Unread: t.Unread}
 		c.book.SetHeard(from, t.Instance, t.Heard && shareSilence)
 		if shareSilence && t.Silent && c.book.Suspect(clock.Now(), t.Instance) {
-			c.log.WithFields(logrus.Fields{"target": t.Instance, "peer": from}).Info("Target silent for another entry.")
+			c.log.WithFields(logrus.Fields{"target": t.Instance, "peer": from}).Info("Another entry reports that the target is silent.")
 		}
 	}
 	if c.cfg.Off.Has(mechanism.SharedLoads) {
@@ -51,7 +51,7 @@
 			continue
 		}
 		if c.book.Learn(clock.Now(), decoded) != (notice.Change{}) {
-			c.log.WithFields(logrus.Fields{"target": n.Instance, "peer": from, "limited": n.Limited, "limit": n.PerS, "leaving": n.Leaving}).Info("Target's words learned.")
+			c.log.WithFields(logrus.Fields{"target": n.Instance, "peer": from, "limited": n.Limited, "limit": n.PerS, "leaving": n.Leaving}).Info("Notice of the target received from another entry.")
 		}
 	}
 }
@@ -72,13 +72,13 @@
 // EngineState implements mesh.Listener.
 func (c *Control) EngineState(agent peer.Presence, s *peer.EngineState) {
 	if s == nil {
-		c.log.WithField("addr", agent.Engine).Info("Agent not heard any more.")
+		c.log.WithField("addr", agent.Engine).Info("Agent no longer reachable.")
 		c.book.ForgetState(agent.Engine)
 		c.setHolder(agent, peer.EngineState{})
 		return
 	}
 	c.setHolder(agent, *s)
-	c.log.WithFields(logrus.Fields{"addr": s.Addr, "model": s.Model, "version": s.Version, "loading": s.Loading}).Info("Engine state heard.")
+	c.log.WithFields(logrus.Fields{"addr": s.Addr, "model": s.Model, "version": s.Version, "loading": s.Loading}).Info("Engine state received.")
 	c.book.SetState(s.Addr, dispatch.EngineState{Version: s.Version, Loading: s.Loading, Born: s.Born})
 }
 
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -127,7 +127,7 @@
 	if v == dispatch.Paced {
 		f["free_in_ms"] = clock.Until(c.FreeAt).Milliseconds()
 	}
-	x.g.log.WithFields(f).Info("No target in time.")
+	x.g.log.WithFields(f).Info("No target can serve the request in time.")
 }
 
 // maxWait is how long the request may currently wait for a target.
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -211,7 +211,7 @@
 		next = append(next, &fleet.Instance{ID: fmt.Sprintf("i-%d", i), Born: 7, Service: "s", Addr: x.addr(), Slots: 100, Revision: 9})
 	}
 	f.gateway.crashDetector.compareListed(next)
-	assert.Equal(t, f.call(http.MethodPost, "/unsafe/x", "the one").status, http.StatusBadGateway, "the life before has no known birth")
+	assert.Equal(t, f.call(http.MethodPost, "/unsafe/x", "the one").status, http.StatusBadGateway, "the start of the previous incarnation is not known")
 	for _, i := range next {
 		i.ID += "-again"
 	}
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -163,7 +163,7 @@
 	if c.Limit.Named {
 		f["limit"] = c.Limit.PerS
 	}
-	x.g.log.WithFields(f).Info("Sending.")
+	x.g.log.WithFields(f).Info("Sending request to target.")
 }
 
 func (x *exchange) teamName() string {
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -111,7 +111,7 @@
 	// answered before the process is killed.
 	for _, server := range s.servers {
 		if err := server.Shutdown(ctx); err != nil {
-			s.log.WithError(err).WithField("inflight", s.gateway.Inflight()).Warn("Requests cut at the end.")
+			s.log.WithError(err).WithField("inflight", s.gateway.Inflight()).Warn("Drain incomplete; remaining requests are cut off.")
 		}
 	}
 	s.log.WithFields(logrus.Fields{"inflight": s.gateway.Inflight(), "ms": clock.Since(start).Milliseconds()}).Info("Drained.")
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -96,5 +96,5 @@
 func TestRequestsAreAcceptedOnlyIfTheyCanFinish(t *testing.T) {
 	cfg := ServerConfig{}.applyDefaults()
 	assert.Assert(t, cfg.AcceptFor < 3*time.Second)
-	assert.Assert(t, cfg.AcceptFor > 2*time.Second, "the balancer still sends connections")
+	assert.Assert(t, cfg.AcceptFor > 2*time.Second, "the load balancer still sends connections")
 }
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -25,7 +25,7 @@
 		})
 		second := newTarget(t, okHandler)
 		a := newTestGateway(t, first, second).call(http.MethodPost, "/safe/x", "b", "Left-Ms", "2500")
-		assert.Check(t, second.count() == 0, "%v: sent with time that is over", d)
+		assert.Check(t, second.count() == 0, "%v: sent after its deadline", d)
 		assert.Check(t, a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout, "%v: status %d", d, a.status)
 
 		release := make(chan struct{})
@@ -38,7 +38,7 @@
 		})
 		giveUp := time.AfterFunc(2*time.Second, func() { close(release) })
 		a = newTestGateway(t, held).call(http.MethodPost, "/unsafe/x", "b", "Left-Ms", "2900")
-		assert.Check(t, giveUp.Stop(), "%v: held beyond its time", d)
+		assert.Check(t, giveUp.Stop(), "%v: held beyond its deadline", d)
 		assert.Check(t, a.status == http.StatusGatewayTimeout, "%v: status %d", d, a.status)
 
 		announced := &assignment{model: &fleet.EngineModel{Model: "m"}, version: 2, since: clock.Now(), explicit: true,
@@ -46,7 +46,7 @@
 		c := &Control{assignments: map[string]*assignment{"s": announced}, cfg: ControlConfig{VersionTimeout: time.Hour}}
 		machine.Suspend(d)
 		got, _ := c.Assignment(agentOf("s"))
-		assert.Check(t, got.AgeMs >= d.Milliseconds(), "%v: version said to be named %d ms ago", d, got.AgeMs)
+		assert.Check(t, got.AgeMs >= d.Milliseconds(), "%v: version reported as announced %d ms ago", d, got.AgeMs)
 	}
 }
 
