--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -13,44 +13,44 @@
 	"github.com/springgate/springgate/targetconn"
 )
 
-// attempt is one send.
+// attempt is one send of a request to a target.
 type attempt struct {
-	x      *exchange
-	choice dispatch.Choice
-	ctx    context.Context
-	cancel context.CancelCauseFunc
-	began  time.Time
-	unread int // prompt tokens that the target has not read yet
-	events int
-	lastAt time.Time // when the last event came
-	// expiry takes the request back if it has not begun by then; nil if it may begin at
-	// any time.
+	x           *exchange
+	choice      dispatch.Choice
+	ctx         context.Context
+	cancel      context.CancelCauseFunc
+	sentAt      time.Time
+	unread      int // prompt tokens that the target has not processed yet
+	events      int
+	lastEventAt time.Time // when the last event arrived
+	// expiry cancels the request if it has not started when the target's version expires;
+	// nil if it may start at any time.
 	expiry *clock.Timer
 }
 
-// Causes of an attempt's end by our own clock.
+// Causes with which an attempt is cancelled by this process.
 var (
-	errFirstEventLate = errors.New("gateway: first event is late")
+	errFirstEventLate = errors.New("gateway: first event not received in time")
 	errStalled        = errors.New("gateway: stream stalled")
-	errVersionOver    = errors.New("gateway: time of the target's version is over")
+	errVersionExpired = errors.New("gateway: version of the target has expired")
 )
 
 func (a *attempt) do(r *targetconn.Request) result {
 	var watchdog *clock.Timer
 	if a.x.route.Idempotent() && !a.x.g.cfg.Off.Has(mechanism.LateFirstEvent) {
-		// Only then another target may be tried.
-		watchdog = clock.AfterFunc(a.x.g.cfg.FirstEventTimeout, func() { a.late(watchdog) })
+		// Another target may be tried only if the request may be repeated.
+		watchdog = clock.AfterFunc(a.x.g.cfg.FirstEventTimeout, func() { a.checkLate(watchdog) })
 		defer watchdog.Stop()
 	}
 	a.expireWithVersion()
-	defer a.begun()
+	defer a.stopExpiry()
 	resp, err := a.x.g.pool.Do(a.ctx, a.choice.Instance.Addr, r, a.idOf)
 	if err != nil {
-		return a.failed(err)
+		return a.failure(err)
 	}
 	defer resp.Close()
-	info := a.x.g.dialect.DecodeAnswer(resp.StatusCode, resp.Header)
-	a.hearNotice(info)
+	info := a.x.g.dialect.DecodeResponse(resp.StatusCode, resp.Header)
+	a.recordNotice(info)
 	if info.NotRun {
 		return notRun(info)
 	}
@@ -58,65 +58,67 @@
 		return result{reason: ReasonGarbled, ran: true, sent: true}
 	}
 	if a.x.route.Kind == fleet.Streaming && resp.StatusCode == http.StatusOK {
-		return a.stream(resp, watchdog)
+		return a.relayStream(resp, watchdog)
 	}
-	a.begun()
-	return a.plain(resp, watchdog)
+	a.stopExpiry()
+	return a.relayPlain(resp, watchdog)
 }
 
-// expireWithVersion takes the request back from a target that serves an older version,
-// if it has not begun there when that must not be served any more: how long it waits at
-// the target is not known when it is sent. Only a request that another target may run
-// is taken back.
+// expireWithVersion cancels the request if the target serves an older version and has not
+// started the request when that version expires: how long the request will queue at the
+// target is not known when it is sent. Only a request that another target may run is
+// cancelled.
 func (a *attempt) expireWithVersion() {
 	if a.choice.Until.IsZero() || !a.x.route.Idempotent() {
 		return
 	}
-	left := clock.Until(a.choice.Until) - a.x.g.cfg.TakeBack
-	a.expiry = clock.AfterFunc(left, func() { a.cancel(errVersionOver) })
+	left := clock.Until(a.choice.Until) - a.x.g.cfg.CancelLead
+	a.expiry = clock.AfterFunc(left, func() { a.cancel(errVersionExpired) })
 }
 
-// begun notes that the target has begun with the request.
-func (a *attempt) begun() {
+// stopExpiry stops the version expiry; it is called when the target has started the
+// request.
+func (a *attempt) stopExpiry() {
 	if a.expiry != nil {
 		a.expiry.Stop()
 	}
 }
 
-// lateRecheck is the time between two looks at a late target.
-const lateRecheck = 100 * time.Millisecond
+// lateRecheckInterval is the time between two checks of a target whose first event is
+// late.
+const lateRecheckInterval = 100 * time.Millisecond
 
-// late decides about a request whose target is late. One that still sends events
-// of other streams is loaded, and sending the request elsewhere would only add
-// load; one that is silent is left. It runs on the timer's goroutine.
-func (a *attempt) late(watchdog *clock.Timer) {
+// checkLate decides about a request whose first event is late. A target that still sends
+// events of other streams is loaded, and sending the request elsewhere would only add
+// load; a target that sends nothing is abandoned. It runs on the timer's goroutine.
+func (a *attempt) checkLate(watchdog *clock.Timer) {
 	x := a.x
 	now := clock.Now()
-	if now.Sub(a.began) < a.firstEventLimit() && !x.g.book.Silent(now, a.choice.Target) {
-		watchdog.Reset(lateRecheck)
+	if now.Sub(a.sentAt) < a.firstEventLimit() && !x.g.book.Silent(now, a.choice.Target) {
+		watchdog.Reset(lateRecheckInterval)
 		return
 	}
 	a.cancel(errFirstEventLate)
 }
 
-func (a *attempt) idOf(h http.Header) string { return a.x.g.dialect.DecodeAnswer(0, h).ID }
+func (a *attempt) idOf(h http.Header) string { return a.x.g.dialect.DecodeResponse(0, h).ID }
 
-func notRun(info AnswerInfo) result {
+func notRun(info ResponseInfo) result {
 	if info.OtherInstance {
 		return result{reason: ReasonOtherInstance, sent: true}
 	}
 	return result{reason: ReasonTargetRefused, sent: true}
 }
 
-// failed turns an error of an exchange into a result.
-func (a *attempt) failed(err error) result {
+// failure converts an error of the attempt into a result.
+func (a *attempt) failure(err error) result {
 	switch {
-	case errors.Is(context.Cause(a.ctx), errVersionOver):
+	case errors.Is(context.Cause(a.ctx), errVersionExpired):
 		return result{reason: ReasonVersionOver, ran: true, sent: true}
 	case errors.Is(err, targetconn.ErrDial):
 		return result{reason: ReasonDialFailed}
 	case errors.Is(context.Cause(a.ctx), errFirstEventLate):
-		return result{reason: ReasonSlowStart, ran: true, sent: true, silent: true}
+		return result{reason: ReasonLateFirstEvent, ran: true, sent: true, silent: true}
 	case errors.Is(context.Cause(a.ctx), errStalled):
 		return result{reason: ReasonStalled, ran: true, sent: true, silent: true}
 	case a.ctx.Err() != nil:
@@ -127,12 +129,12 @@
 	return result{reason: ReasonConnLost, ran: true, sent: true}
 }
 
-// firstEventFactor is how many times longer than forecast the first event of a
-// busy target may take.
+// firstEventFactor is the multiple of the forecast that the first event of a busy target
+// may take.
 const firstEventFactor = 4
 
-// firstEventLimit is how long a target that sends events of other streams, or
-// answers other requests, may take before another is asked.
+// firstEventLimit is how long a target that sends events of other streams, or answers
+// other requests, may take before another target is tried.
 func (a *attempt) firstEventLimit() time.Duration {
 	if a.x.route.Kind != fleet.Streaming {
 		return a.plainLimit()
@@ -140,15 +142,14 @@
 	return max(a.x.g.cfg.FirstEventLimit, firstEventFactor*a.choice.Forecast.FirstEvent)
 }
 
-// plainLimit is how long an answer that is no stream may take before another
-// target is asked.
+// plainLimit is how long a non-streaming response may take before another target is tried.
 func (a *attempt) plainLimit() time.Duration {
 	return max(a.choice.Forecast.FirstEvent, a.x.route.Objective) + a.x.g.cfg.FirstEventTimeout
 }
 
-// finish tells the book how the attempt ended.
+// finish records in the book how the attempt ended.
 func (a *attempt) finish(res result) {
-	r := dispatch.Result{Unread: a.unread, Latency: clock.Since(a.began)}
+	r := dispatch.Result{Unread: a.unread, Latency: clock.Since(a.sentAt)}
 	switch res.reason {
 	case ReasonNone, ReasonTimeout, ReasonCallerGone, ReasonVersionOver:
 	case ReasonTargetRefused:
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -7,9 +7,9 @@
 	"github.com/springgate/springgate/mirror"
 )
 
-// applyEvacuations takes which failure domains are evacuated. They are those whose keys the
-// copy of the store has; the copy orders what it is told by revision, so an evacuation that
-// was taken back stays so.
+// applyEvacuations applies the evacuations of failure domains: those whose keys are in the
+// mirror of the store. The mirror orders changes by revision, so an evacuation that was
+// withdrawn does not reappear.
 func (c *Control) applyEvacuations(items []mirror.Item) {
 	var evacuated []string
 	for _, i := range items {
@@ -24,5 +24,5 @@
 	c.evacuated = evacuated
 	unknown := c.book.SetEvacuated(evacuated)
 	c.unknownEvacuations.Update(int64(unknown))
-	c.log.WithFields(logrus.Fields{"domains": evacuated, "unknown": unknown, "copy": c.copyRevision}).Info("Failure domains evacuated.")
+	c.log.WithFields(logrus.Fields{"domains": evacuated, "unknown": unknown, "copy": c.copyRevision}).Info("Evacuated failure domains changed.")
 }
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -16,19 +16,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// evacuationDecoder reads keys of the form "evacuate DOMAIN".
+// evacuationDecoder decodes keys of the form "evacuate DOMAIN".
 type evacuationDecoder struct{ textDecoder }
 
 func (evacuationDecoder) Evacuation(i mirror.Item) (string, bool) {
 	return strings.CutPrefix(i.Key, "evacuate ")
 }
 
-// Evacuations follow the copy of the store; one of a failure domain that nobody knows is
-// counted and harms nothing.
-func TestEvacuationsFollowTheCopy(t *testing.T) {
+// Evacuations follow the mirror of the store. An evacuation of an unknown failure domain
+// is counted and has no other effect.
+func TestEvacuationsFollowTheMirror(t *testing.T) {
 	log, lines := test.NewNullLogger()
 	book := dispatch.NewBook(dispatch.Config{Regions: map[string]string{"a": "north", "b": "south"}}, rand.New(rand.NewPCG(1, 2)))
-	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), granted{}, NewStats(metrics.NewRegistry()), log)
+	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), log)
 	c := NewControl(ControlOptions{Gateway: g, Book: book, Decoder: evacuationDecoder{}, Log: log})
 	book.Apply([]*fleet.Instance{{ID: "i-a", Service: "s", Domain: "a", Slots: 1}, {ID: "i-b", Service: "s", Domain: "b", Slots: 1}},
 		map[string]*fleet.Service{"s": {Name: "s"}})
@@ -54,7 +54,7 @@
 	assert.Equal(t, c.unknownEvacuations.Value(), int64(1))
 	logged := len(lines.AllEntries())
 	apply("evacuate nowhere", "evacuate a")
-	assert.Equal(t, len(lines.AllEntries()), logged, "one line for each change")
+	assert.Equal(t, len(lines.AllEntries()), logged, "one log record for each change")
 	apply("evacuate nowhere")
-	assert.Equal(t, reached("north"), "a", "taken back")
+	assert.Equal(t, reached("north"), "a", "evacuation withdrawn")
 }
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -23,7 +23,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// testDialect uses names of its own.
+// testDialect uses header names of its own.
 type testDialect struct{}
 
 func (testDialect) Decode(h http.Header) Call {
@@ -31,7 +31,7 @@
 	return Call{ID: h.Get("Id"), Key: h.Get("Key"), LastEvent: h.Get("Last"), Remaining: time.Duration(ms) * time.Millisecond}
 }
 
-func (testDialect) EncodeSend(h http.Header, s Send) {
+func (testDialect) EncodeForward(h http.Header, s ForwardInfo) {
 	h.Del("Key")
 	h.Set("Team", s.Team)
 	h.Set("Instance", s.Instance)
@@ -39,8 +39,8 @@
 	h.Set("Last", s.LastEvent)
 }
 
-func (testDialect) DecodeAnswer(status int, h http.Header) AnswerInfo {
-	info := AnswerInfo{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest,
+func (testDialect) DecodeResponse(status int, h http.Header) ResponseInfo {
+	info := ResponseInfo{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest,
 		OtherInstance: status == http.StatusMisdirectedRequest}
 	if perS, err := strconv.ParseFloat(h.Get("Limit"), 64); err == nil {
 		info.Notice.Limit = notice.Limit{Named: true, PerS: perS}
@@ -51,14 +51,14 @@
 	return info
 }
 
-// granted grants all places.
-type granted struct{}
+// grantAll grants all reservations.
+type grantAll struct{}
 
-func (granted) Reserve(context.Context, dispatch.Choice, int) dispatch.Reservation {
+func (grantAll) Reserve(context.Context, dispatch.Choice, int) dispatch.Reservation {
 	return dispatch.PlaceGranted
 }
 
-// target is a fake target that notes what reached it.
+// target is a fake target that records the requests that reached it.
 type target struct {
 	*httptest.Server
 	mu     sync.Mutex
@@ -89,31 +89,33 @@
 	return len(x.seen)
 }
 
-func signed(w http.ResponseWriter, status int, body string) {
+func writeSigned(w http.ResponseWriter, status int, body string) {
 	w.Header().Set("Signed", "by the target")
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, body)
 }
 
-func ok(w http.ResponseWriter, r *http.Request) { signed(w, http.StatusOK, "done "+r.URL.RequestURI()) }
+func okHandler(w http.ResponseWriter, r *http.Request) {
+	writeSigned(w, http.StatusOK, "done "+r.URL.RequestURI())
+}
 
-func notRunAnswer(w http.ResponseWriter, _ *http.Request) {
+func notRunHandler(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-func failure(w http.ResponseWriter, _ *http.Request) {
-	signed(w, http.StatusInternalServerError, "broken")
+func failHandler(w http.ResponseWriter, _ *http.Request) {
+	writeSigned(w, http.StatusInternalServerError, "broken")
 }
 
-// abort closes the connection without an answer.
-func abort(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+// abortHandler closes the connection without a response.
+func abortHandler(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func eventText(i int) string { return fmt.Sprintf("id: %d\ndata: token %d\n\n", i, i) }
 
-// events streams events after the last one that the caller has, up to most of
-// them, and breaks off unless whole.
-func events(total, most int) http.HandlerFunc {
+// streamHandler streams up to most events after the last one that the caller has, and
+// breaks off inside an event unless total is reached.
+func streamHandler(total, most int) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		last, _ := strconv.Atoi(r.Header.Get("Last"))
 		w.Header().Set("Signed", "by the target")
@@ -142,21 +144,22 @@
 		route("stream", fleet.Streaming, testTimeout), route("short", fleet.Unsafe, 50*time.Millisecond)}
 }
 
-// front is a gateway before targets; the first target is preferred.
-type front struct {
+// testGateway is a gateway in front of targets, the first of which is preferred.
+type testGateway struct {
 	t       *testing.T
 	gateway *Gateway
 	server  *httptest.Server
 }
 
-func newFront(t *testing.T, targets ...*target) *front {
+func newTestGateway(t *testing.T, targets ...*target) *testGateway {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	book := dispatch.NewBook(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
 	var list []*fleet.Instance
 	for i, x := range targets {
-		// Targets after the first stand elsewhere, which costs a little.
+		// Targets after the first are in other failure domains, which makes them slightly
+		// more costly.
 		list = append(list, &fleet.Instance{ID: fmt.Sprintf("i-%d", i), Service: "s", Addr: x.addr(), Domain: fmt.Sprint(i), Slots: 100})
 	}
 	services := []*fleet.Service{{Name: "s"}}
@@ -164,14 +167,14 @@
 	cfg := fleet.NewConfig(1, routes(), services, teams, fleet.Limits{BodyBytes: 1 << 10})
 	book.Apply(list, cfg.Services)
 	g := New(Config{Domain: "0", RetryRatio: 1, RetryBurst: 100}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}),
-		granted{}, NewStats(metrics.NewRegistry()), log)
+		grantAll{}, NewStats(metrics.NewRegistry()), log)
 	g.SetConfig(cfg)
-	f := &front{t: t, gateway: g, server: httptest.NewServer(g)}
+	f := &testGateway{t: t, gateway: g, server: httptest.NewServer(g)}
 	t.Cleanup(f.server.Close)
 	return f
 }
 
-// answer is what the caller got; err is set if it was broken off.
+// answer is the response that the caller received; err is set if it was cut off.
 type answer struct {
 	status int
 	body   string
@@ -179,7 +182,7 @@
 	err    error
 }
 
-func (f *front) call(method, path, body string, header ...string) answer {
+func (f *testGateway) call(method, path, body string, header ...string) answer {
 	f.t.Helper()
 	r, err := http.NewRequestWithContext(f.t.Context(), method, f.server.URL+path, strings.NewReader(body))
 	assert.NilError(f.t, err)
@@ -198,9 +201,9 @@
 	return answer{resp.StatusCode, string(b), resp.Header, err}
 }
 
-func TestAnswerIsPassedOn(t *testing.T) {
-	x := newTarget(t, ok)
-	a := newFront(t, x).call(http.MethodPost, "/unsafe/a%2Fb?q=1", "the body", "Team", "forged", "Left-Ms", "1000")
+func TestResponseIsRelayed(t *testing.T) {
+	x := newTarget(t, okHandler)
+	a := newTestGateway(t, x).call(http.MethodPost, "/unsafe/a%2Fb?q=1", "the body", "Team", "forged", "Left-Ms", "1000")
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.status, http.StatusOK)
 	assert.Equal(t, a.body, "done /unsafe/a%2Fb?q=1")
@@ -215,22 +218,22 @@
 	assert.Assert(t, left > 0 && left <= 1000, "left %d", left)
 }
 
-// What each end of a request at the first target means for the caller, and
-// whether another target may be asked.
+// For each way in which a request can end at the first target: the status that the caller
+// gets, and whether another target may be tried.
 func TestOutcomes(t *testing.T) {
 	unsignedOK := func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "spoilt") }
 	encoded := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Encoding", "gzip")
-		signed(w, http.StatusOK, "spoilt")
+		writeSigned(w, http.StatusOK, "spoilt")
 	}
 	misdirected := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) }
 	wrongID := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Id", "another")
-		signed(w, http.StatusOK, "another's answer")
+		writeSigned(w, http.StatusOK, "another's answer")
 	}
 	cut := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "100")
-		signed(w, http.StatusOK, "cut")
+		writeSigned(w, http.StatusOK, "cut")
 	}
 	for _, c := range []struct {
 		name      string
@@ -239,92 +242,92 @@
 		want      int
 		wantOther int // requests that reach the second target
 	}{
-		{"unsafe, not run", notRunAnswer, "unsafe", http.StatusOK, 1},
+		{"unsafe, not run", notRunHandler, "unsafe", http.StatusOK, 1},
 		{"unsafe, other instance", misdirected, "unsafe", http.StatusOK, 1},
-		{"unsafe, connection lost", abort, "unsafe", http.StatusBadGateway, 0},
-		{"unsafe, failed", failure, "unsafe", http.StatusInternalServerError, 0},
+		{"unsafe, connection lost", abortHandler, "unsafe", http.StatusBadGateway, 0},
+		{"unsafe, failed", failHandler, "unsafe", http.StatusInternalServerError, 0},
 		{"unsafe, unsigned success", unsignedOK, "unsafe", http.StatusBadGateway, 0},
 		{"unsafe, encoded", encoded, "unsafe", http.StatusBadGateway, 0},
 		{"unsafe, cut", cut, "unsafe", http.StatusBadGateway, 0},
 		{"unsafe, answer to another", wrongID, "short", http.StatusGatewayTimeout, 0},
-		{"safe, not run", notRunAnswer, "safe", http.StatusOK, 1},
-		{"safe, connection lost", abort, "safe", http.StatusOK, 1},
-		{"safe, failed", failure, "safe", http.StatusOK, 1},
+		{"safe, not run", notRunHandler, "safe", http.StatusOK, 1},
+		{"safe, connection lost", abortHandler, "safe", http.StatusOK, 1},
+		{"safe, failed", failHandler, "safe", http.StatusOK, 1},
 		{"safe, cut", cut, "safe", http.StatusOK, 1},
 		{"safe, unsigned success", unsignedOK, "safe", http.StatusOK, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			first, second := newTarget(t, c.first), newTarget(t, ok)
-			a := newFront(t, first, second).call(http.MethodPost, "/"+c.route+"/x", "b")
+			first, second := newTarget(t, c.first), newTarget(t, okHandler)
+			a := newTestGateway(t, first, second).call(http.MethodPost, "/"+c.route+"/x", "b")
 			assert.NilError(t, a.err)
 			assert.Equal(t, a.status, c.want)
 			assert.Equal(t, second.count(), c.wantOther)
 			if c.want != http.StatusOK && c.want != http.StatusInternalServerError {
-				assert.Equal(t, a.header.Get("Signed"), "", "our own answers bear no signature")
+				assert.Equal(t, a.header.Get("Signed"), "", "responses of the gateway are not signed")
 			}
 		})
 	}
 }
 
-// A status that promises "not run" is only given if no target was reached, or
-// each said so.
-func TestRefusalIsTrue(t *testing.T) {
-	x, y := newTarget(t, notRunAnswer), newTarget(t, notRunAnswer)
-	a := newFront(t, x, y).call(http.MethodPost, "/unsafe/x", "b")
+// A status that means that the request did not run is returned only if no target was
+// reached, or each stated that it did not run it.
+func TestRefusalStatusIsAccurate(t *testing.T) {
+	x, y := newTarget(t, notRunHandler), newTarget(t, notRunHandler)
+	a := newTestGateway(t, x, y).call(http.MethodPost, "/unsafe/x", "b")
 	assert.Equal(t, a.status, http.StatusServiceUnavailable)
 	assert.Assert(t, a.header.Get("Retry-After") != "")
 	assert.Equal(t, x.count()+y.count(), 2, "attempts are bounded")
 
-	x, y = newTarget(t, abort), newTarget(t, notRunAnswer)
-	a = newFront(t, x, y).call(http.MethodPost, "/safe/x", "b")
+	x, y = newTarget(t, abortHandler), newTarget(t, notRunHandler)
+	a = newTestGateway(t, x, y).call(http.MethodPost, "/safe/x", "b")
 	assert.Equal(t, a.status, http.StatusBadGateway, "the first target may have run it")
 }
 
-func TestFailureOfTheTargetIsPassedOnAtLast(t *testing.T) {
-	x, y := newTarget(t, failure), newTarget(t, failure)
-	a := newFront(t, x, y).call(http.MethodGet, "/safe/x", "")
+func TestFailureOfTheLastTargetIsRelayed(t *testing.T) {
+	x, y := newTarget(t, failHandler), newTarget(t, failHandler)
+	a := newTestGateway(t, x, y).call(http.MethodGet, "/safe/x", "")
 	assert.Equal(t, a.status, http.StatusInternalServerError)
 	assert.Equal(t, a.body, "broken")
 }
 
-func TestUnreachableTargetIsNoAttempt(t *testing.T) {
-	x, y := newTarget(t, ok), newTarget(t, ok)
-	f := newFront(t, x, y)
+func TestUnreachableTargetIsNotCountedAsAttempt(t *testing.T) {
+	x, y := newTarget(t, okHandler), newTarget(t, okHandler)
+	f := newTestGateway(t, x, y)
 	x.Close()
 	a := f.call(http.MethodPost, "/unsafe/x", "b")
 	assert.Equal(t, a.status, http.StatusOK)
 }
 
-func TestFinalAnswerAtTheTimeoutOfTheRoute(t *testing.T) {
+func TestGatewayTimeoutAtTheTimeoutOfTheRoute(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	x := newTarget(t, func(http.ResponseWriter, *http.Request) { <-release })
-	a := newFront(t, x).call(http.MethodPost, "/short/x", "b")
+	a := newTestGateway(t, x).call(http.MethodPost, "/short/x", "b")
 	assert.Equal(t, a.status, http.StatusGatewayTimeout)
 }
 
-func TestOwnAnswers(t *testing.T) {
-	x := newTarget(t, ok)
-	f := newFront(t, x)
+func TestResponsesOfTheGateway(t *testing.T) {
+	x := newTarget(t, okHandler)
+	f := newTestGateway(t, x)
 	assert.Equal(t, f.call(http.MethodGet, "/none/x", "").status, http.StatusNotFound)
 	assert.Equal(t, f.call(http.MethodGet, "/safe", "").status, http.StatusNotFound, "a prefix ends with its slash")
 	assert.Equal(t, f.call(http.MethodGet, "/safe/x", "", "Key", "revoked").status, http.StatusUnauthorized)
 	assert.Equal(t, f.call(http.MethodPost, "/safe/x", strings.Repeat("x", 2<<10)).status, http.StatusRequestEntityTooLarge)
 	f.gateway.config.Store(nil)
-	assert.Equal(t, f.call(http.MethodGet, "/none/x", "").status, http.StatusServiceUnavailable, "nothing is known yet")
+	assert.Equal(t, f.call(http.MethodGet, "/none/x", "").status, http.StatusServiceUnavailable, "no configuration yet")
 	assert.Equal(t, x.count(), 0)
 }
 
-func TestConfigurationNeverGoesBack(t *testing.T) {
-	f := newFront(t, newTarget(t, ok))
+func TestOlderConfigurationIsIgnored(t *testing.T) {
+	f := newTestGateway(t, newTarget(t, okHandler))
 	assert.Assert(t, !f.gateway.SetConfig(fleet.NewConfig(1, nil, nil, nil, fleet.Limits{})))
 	assert.Assert(t, f.gateway.SetConfig(fleet.NewConfig(7, routes(), nil, nil, fleet.Limits{})))
 	assert.Assert(t, !f.gateway.SetConfig(fleet.NewConfig(6, nil, nil, nil, fleet.Limits{})))
 	assert.Equal(t, f.gateway.Config().Version, int64(7))
 }
 
-func TestDrainingAnswersAreTheLastOfTheirConnection(t *testing.T) {
-	f := newFront(t, newTarget(t, ok))
+func TestDrainingClosesConnectionsAfterTheResponse(t *testing.T) {
+	f := newTestGateway(t, newTarget(t, okHandler))
 	assert.Assert(t, f.gateway.Ready())
 	f.gateway.Drain()
 	assert.Assert(t, !f.gateway.Ready())
@@ -332,7 +335,7 @@
 	r.Header.Set("Key", "secret")
 	w := httptest.NewRecorder()
 	f.gateway.ServeHTTP(w, r)
-	assert.Equal(t, w.Code, http.StatusOK, "it goes on serving")
+	assert.Equal(t, w.Code, http.StatusOK, "requests are still served")
 	assert.Equal(t, w.Header().Get("Connection"), "close")
 }
 
@@ -344,17 +347,17 @@
 	return b.String()
 }
 
-func TestStreamIsPassedOn(t *testing.T) {
-	a := newFront(t, newTarget(t, events(5, 5))).call(http.MethodPost, "/stream/x", "b")
+func TestStreamIsRelayed(t *testing.T) {
+	a := newTestGateway(t, newTarget(t, streamHandler(5, 5))).call(http.MethodPost, "/stream/x", "b")
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.body, wantEvents(5))
 }
 
-// A stream that breaks inside an event goes on at another target with the
-// event after the last whole one.
+// A stream that breaks inside an event is resumed at another target after the last
+// complete event.
 func TestBrokenStreamIsResumedElsewhere(t *testing.T) {
-	x, y := newTarget(t, events(7, 3)), newTarget(t, events(7, 7))
-	a := newFront(t, x, y).call(http.MethodPost, "/stream/x", "b")
+	x, y := newTarget(t, streamHandler(7, 3)), newTarget(t, streamHandler(7, 7))
+	a := newTestGateway(t, x, y).call(http.MethodPost, "/stream/x", "b")
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.body, wantEvents(7))
 	assert.Equal(t, y.seen[0].Header.Get("Last"), "3")
@@ -362,28 +365,28 @@
 }
 
 func TestCallerResumesAStream(t *testing.T) {
-	a := newFront(t, newTarget(t, events(5, 5))).call(http.MethodPost, "/stream/x", "b", "Last", "3")
+	a := newTestGateway(t, newTarget(t, streamHandler(5, 5))).call(http.MethodPost, "/stream/x", "b", "Last", "3")
 	assert.Equal(t, a.body, eventText(4)+eventText(5))
 }
 
-// A stream that can't be completed must not look complete.
+// A stream that cannot be completed must not look complete.
 func TestStreamThatCannotBeCompletedIsBrokenOff(t *testing.T) {
-	for name, second := range map[string]http.HandlerFunc{"breaks too": events(9, 2), "fails": failure, "refuses": notRunAnswer} {
-		a := newFront(t, newTarget(t, events(9, 3)), newTarget(t, second)).call(http.MethodPost, "/stream/x", "b")
+	for name, second := range map[string]http.HandlerFunc{"breaks too": streamHandler(9, 2), "fails": failHandler, "refuses": notRunHandler} {
+		a := newTestGateway(t, newTarget(t, streamHandler(9, 3)), newTarget(t, second)).call(http.MethodPost, "/stream/x", "b")
 		assert.Assert(t, a.err != nil, name)
 		assert.Assert(t, strings.HasPrefix(wantEvents(9), a.body), name)
 	}
 }
 
-// The caller leaves: the target's connection is closed at once.
-func TestCallerThatLeavesEndsTheWork(t *testing.T) {
+// If the caller disconnects, the connection to the target is closed at once.
+func TestDisconnectOfCallerCancelsTheRequest(t *testing.T) {
 	started, ended := make(chan struct{}), make(chan struct{})
 	x := newTarget(t, func(_ http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-r.Context().Done()
 		close(ended)
 	})
-	f := newFront(t, x)
+	f := newTestGateway(t, x)
 	ctx, cancel := context.WithCancel(t.Context())
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, f.server.URL+"/safe/x", nil)
 	assert.NilError(t, err)
@@ -399,24 +402,24 @@
 }
 
 func TestRetryBudgetIsShared(t *testing.T) {
-	x, y := newTarget(t, notRunAnswer), newTarget(t, notRunAnswer)
-	f := newFront(t, x, y)
+	x, y := newTarget(t, notRunHandler), newTarget(t, notRunHandler)
+	f := newTestGateway(t, x, y)
 	f.gateway.cfg.RetryRatio, f.gateway.cfg.RetryBurst = 0.01, 8
-	f.gateway.SetEntries(4) // a part of 2
+	f.gateway.SetEntries(4) // a share of 2
 	for range 10 {
 		f.call(http.MethodPost, "/unsafe/x", "b")
 	}
 	assert.Equal(t, x.count()+y.count(), 12)
 }
 
-// Entries come and go, as they do while a border is cut or hosts are busy. What was spent of
-// the retry budget stays spent: it was full again after each change, so that repeats had no
-// bound in all.
-func TestRetryBudgetOutlivesChangesOfTheEntries(t *testing.T) {
-	x, y := newTarget(t, notRunAnswer), newTarget(t, notRunAnswer)
-	f := newFront(t, x, y)
+// Guards against a retry budget that is refilled by each change in the number of entries,
+// as happens during a network partition or when hosts are busy. The total number of
+// retries then had no bound.
+func TestRetryBudgetSurvivesChangesOfTheEntries(t *testing.T) {
+	x, y := newTarget(t, notRunHandler), newTarget(t, notRunHandler)
+	f := newTestGateway(t, x, y)
 	f.gateway.cfg.RetryRatio, f.gateway.cfg.RetryBurst = 0.01, 8
-	f.gateway.SetEntries(4) // a part of 2
+	f.gateway.SetEntries(4) // a share of 2
 	for i := range 10 {
 		f.call(http.MethodPost, "/unsafe/x", "b")
 		f.gateway.SetEntries(3 + i%2)
@@ -424,9 +427,9 @@
 	assert.Equal(t, x.count()+y.count(), 12)
 }
 
-// Where there are fewer entries, each may save up more, by its own requests.
-func TestRetryBudgetGrowsWithThePartOfTheEntry(t *testing.T) {
-	f := newFront(t, newTarget(t, ok))
+// With fewer entries, each may accumulate more retries from its own requests.
+func TestRetryBudgetGrowsWithTheShareOfTheEntry(t *testing.T) {
+	f := newTestGateway(t, newTarget(t, okHandler))
 	f.gateway.cfg.RetryRatio, f.gateway.cfg.RetryBurst = 1, 8
 	f.gateway.SetEntries(4)
 	for f.gateway.budget("s").Spend(time.Now()) {
@@ -442,12 +445,13 @@
 	assert.Equal(t, n, 8)
 }
 
-// A request that may wait longer than others wins the places that these leave.
-func TestPatienceIsThatOfTheTightestObjective(t *testing.T) {
+// A request that may wait longer than others wins the places that these give up, so all
+// wait by the tightest objective.
+func TestMaxWaitFollowsTheTightestObjective(t *testing.T) {
 	g := &Gateway{cfg: Config{}.applyDefaults()}
 	x := &exchange{g: g, route: &fleet.Route{Objective: 1500 * time.Millisecond}, tightest: 250 * time.Millisecond, start: time.Now(),
 		deadline: time.Now().Add(time.Minute)}
-	assert.Assert(t, x.patience() <= 25*time.Millisecond)
+	assert.Assert(t, x.maxWait() <= 25*time.Millisecond)
 }
 
 func TestTimeoutsFollowTheForecast(t *testing.T) {
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -10,45 +10,46 @@
 	"gotest.tools/v3/assert"
 )
 
-// limited names a limit of 1 request a second on all answers of a target.
-func limited(h http.HandlerFunc) http.HandlerFunc {
+// withLimit adds a limit of 1 request a second to all responses of a target.
+func withLimit(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Limit", "1")
 		h(w, r)
 	}
 }
 
-// leaving says on all answers of a target that it leaves.
-func leaving(h http.HandlerFunc) http.HandlerFunc {
+// withLeaving adds to all responses of a target that it leaves.
+func withLeaving(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Leaving", "1")
 		h(w, r)
 	}
 }
 
-func TestLimitIsHeardFromEachKindOfAnswer(t *testing.T) {
+func TestLimitIsReadFromEachKindOfResponse(t *testing.T) {
 	for name, c := range map[string]struct {
 		path string
 		h    http.HandlerFunc
 		want float64
 	}{
-		"plain":            {"/unsafe/x", ok, 1},
-		"stream":           {"/stream/x", events(3, 3), 1},
-		"failure":          {"/unsafe/x", failure, 1},
-		"not run":          {"/unsafe/x", notRunAnswer, 1},
+		"plain":            {"/unsafe/x", okHandler, 1},
+		"stream":           {"/stream/x", streamHandler(3, 3), 1},
+		"failure":          {"/unsafe/x", failHandler, 1},
+		"not run":          {"/unsafe/x", notRunHandler, 1},
 		"another instance": {"/unsafe/x", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusMisdirectedRequest) }, 0},
 		"not signed":       {"/unsafe/x", func(http.ResponseWriter, *http.Request) {}, 0},
 	} {
-		f := newFront(t, newTarget(t, limited(c.h)))
+		f := newTestGateway(t, newTarget(t, withLimit(c.h)))
 		f.call(http.MethodPost, c.path, "")
 		assert.Equal(t, f.gateway.book.NoticeOf("i-0").Limit.PerS, c.want, name)
 	}
 }
 
-// A target that had named a limit got requests as before.
-func TestTargetThatNamedALimitGetsNoMore(t *testing.T) {
-	x, free := newTarget(t, limited(ok)), newTarget(t, ok)
-	f := newFront(t, x, free)
+// Guards against ignoring the limit that a target announced: such a target got requests as
+// before.
+func TestTargetWithALimitIsRateLimited(t *testing.T) {
+	x, free := newTarget(t, withLimit(okHandler)), newTarget(t, okHandler)
+	f := newTestGateway(t, x, free)
 	for i := range 40 {
 		assert.Equal(t, f.call(http.MethodPost, "/unsafe/x", "", "Id", fmt.Sprint("r", i)).status, http.StatusOK)
 	}
@@ -57,10 +58,10 @@
 	assert.Equal(t, x.count()+free.count(), 40)
 }
 
-// If no target takes one more soon enough, the caller is told so at once.
-func TestRequestThatNoTargetTakesIsRefusedAtOnce(t *testing.T) {
-	x := newTarget(t, limited(ok))
-	f := newFront(t, x)
+// If no target accepts another request soon enough, the caller is refused at once.
+func TestRequestIsRefusedAtOnceIfAllTargetsAreRateLimited(t *testing.T) {
+	x := newTarget(t, withLimit(okHandler))
+	f := newTestGateway(t, x)
 	assert.Equal(t, f.call(http.MethodPost, "/unsafe/x", "").status, http.StatusOK)
 	a := f.call(http.MethodPost, "/unsafe/x", "", "Left-Ms", "20000")
 	assert.Equal(t, a.status, http.StatusServiceUnavailable)
@@ -69,12 +70,12 @@
 	assert.Equal(t, x.count(), 1)
 }
 
-// A target that had said in an answer that it leaves got requests as before, because the
-// list went on naming it as ready.
-func TestTargetThatSaidItLeavesGetsNoMore(t *testing.T) {
-	for path, h := range map[string]http.HandlerFunc{"/unsafe/x": ok, "/stream/x": events(3, 3), "/safe/x": failure} {
-		x, stays := newTarget(t, leaving(h)), newTarget(t, h)
-		f := newFront(t, x, stays)
+// Guards against relying on the list alone: a target that had announced in a response that
+// it leaves got requests as before, because the list still showed it as ready.
+func TestLeavingTargetGetsNoMoreRequests(t *testing.T) {
+	for path, h := range map[string]http.HandlerFunc{"/unsafe/x": okHandler, "/stream/x": streamHandler(3, 3), "/safe/x": failHandler} {
+		x, stays := newTarget(t, withLeaving(h)), newTarget(t, h)
+		f := newTestGateway(t, x, stays)
 		for i := range 10 {
 			f.call(http.MethodPost, path, "", "Id", fmt.Sprint("r", i))
 		}
@@ -82,27 +83,27 @@
 	}
 }
 
-// resting turns requests away and asks for 3 s of rest.
-func resting(w http.ResponseWriter, _ *http.Request) {
+// backOffHandler refuses requests and asks for a back-off of 3 s.
+func backOffHandler(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Not-Run", "1")
 	w.Header().Set("Rest-Ms", "3000")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// A target that turned requests away and asked for rest had no load, and got most of what
-// came.
-func TestTargetThatAskedForRestGetsNoMore(t *testing.T) {
+// Guards against ignoring a requested back-off: a target that refused requests had no
+// load, and therefore got most of the new ones.
+func TestBackOffOfATargetIsHonored(t *testing.T) {
 	const before, meanwhile = 3, 20
 	var x *target
 	x = newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		if x.count() > before {
-			resting(w, r)
+			backOffHandler(w, r)
 			return
 		}
-		ok(w, r)
+		okHandler(w, r)
 	})
-	free := newTarget(t, ok)
-	f := newFront(t, x, free)
+	free := newTarget(t, okHandler)
+	f := newTestGateway(t, x, free)
 	for i := range before + meanwhile {
 		assert.Equal(t, f.call(http.MethodPost, "/unsafe/x", "", "Id", fmt.Sprint("r", i)).status, http.StatusOK)
 	}
@@ -110,10 +111,11 @@
 	assert.Equal(t, free.count(), meanwhile)
 }
 
-// If all targets rest, callers are refused at once and told when the first is to be back.
-func TestAllTargetsRest(t *testing.T) {
-	x, y := newTarget(t, resting), newTarget(t, resting)
-	f := newFront(t, x, y)
+// If all targets have asked for a back-off, callers are refused at once, with a
+// Retry-After at which the first target is available again.
+func TestRetryAfterIfAllTargetsBackOff(t *testing.T) {
+	x, y := newTarget(t, backOffHandler), newTarget(t, backOffHandler)
+	f := newTestGateway(t, x, y)
 	for i := range 10 {
 		a := f.call(http.MethodPost, "/unsafe/x", "", "Id", fmt.Sprint("r", i), "Left-Ms", "2000")
 		assert.Equal(t, a.status, http.StatusServiceUnavailable)
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -14,7 +14,7 @@
 
 // holder is an agent whose engine holds a version of a model.
 type holder struct {
-	addr    string // where it hands out pieces
+	addr    string // address at which it serves pieces
 	domain  string
 	model   string
 	version int
@@ -22,15 +22,15 @@
 
 // Loads implements mesh.Listener.
 func (c *Control) Loads(from string, l *peer.Loads) {
-	c.hearVersions(clock.Now(), from, l.Versions)
-	c.learnNotices(from, l.Notices)
+	c.mergeVersions(clock.Now(), from, l.Versions)
+	c.mergeNotices(from, l.Notices)
 	loads := make(map[string]dispatch.Load, len(l.Targets))
-	silence := !c.cfg.Off.Has(mechanism.SharedSilence)
+	shareSilence := !c.cfg.Off.Has(mechanism.SharedSilence)
 	for _, t := range l.Targets {
 		loads[t.Instance] = dispatch.Load{Requests: t.Requests, Unread: t.Unread}
-		c.book.SetHeard(from, t.Instance, t.Heard && silence)
-		if silence && t.Silent && c.book.Suspect(clock.Now(), t.Instance) {
-			c.log.WithFields(logrus.Fields{"target": t.Instance, "peer": from}).Info("Target silent for another entry.")
+		c.book.SetHeard(from, t.Instance, t.Heard && shareSilence)
+		if shareSilence && t.Silent && c.book.Suspect(clock.Now(), t.Instance) {
+			c.log.WithFields(logrus.Fields{"target": t.Instance, "peer": from}).Info("Another entry reports that the target is silent.")
 		}
 	}
 	if c.cfg.Off.Has(mechanism.SharedLoads) {
@@ -43,15 +43,15 @@
 	}
 }
 
-// learnNotices takes what another entry believes of targets by what they say.
-func (c *Control) learnNotices(from string, list []peer.TargetNotice) {
+// mergeNotices merges the notices of targets that another entry has received.
+func (c *Control) mergeNotices(from string, list []peer.TargetNotice) {
 	for _, n := range list {
-		told, ok := n.Decode()
+		decoded, ok := n.Decode()
 		if !ok {
 			continue
 		}
-		if c.book.Learn(clock.Now(), told) != (notice.Change{}) {
-			c.log.WithFields(logrus.Fields{"target": n.Instance, "peer": from, "limited": n.Limited, "limit": n.PerS, "leaving": n.Leaving}).Info("Target's words learned.")
+		if c.book.Learn(clock.Now(), decoded) != (notice.Change{}) {
+			c.log.WithFields(logrus.Fields{"target": n.Instance, "peer": from, "limited": n.Limited, "limit": n.PerS, "leaving": n.Leaving}).Info("Notice of the target received from another entry.")
 		}
 	}
 }
@@ -59,8 +59,8 @@
 // Notices implements mesh.Listener.
 func (c *Control) Notices() []peer.TargetNotice {
 	var out []peer.TargetNotice
-	for _, told := range c.book.Notices() {
-		out = append(out, peer.EncodeNotice(told))
+	for _, received := range c.book.Notices() {
+		out = append(out, peer.EncodeNotice(received))
 	}
 	slices.SortFunc(out, func(a, b peer.TargetNotice) int { return cmp.Compare(a.Instance, b.Instance) })
 	return out
@@ -72,17 +72,17 @@
 // EngineState implements mesh.Listener.
 func (c *Control) EngineState(agent peer.Presence, s *peer.EngineState) {
 	if s == nil {
-		c.log.WithField("addr", agent.Engine).Info("Agent not heard any more.")
+		c.log.WithField("addr", agent.Engine).Info("Agent no longer reachable.")
 		c.book.ForgetState(agent.Engine)
 		c.setHolder(agent, peer.EngineState{})
 		return
 	}
 	c.setHolder(agent, *s)
-	c.log.WithFields(logrus.Fields{"addr": s.Addr, "model": s.Model, "version": s.Version, "loading": s.Loading}).Info("Engine state heard.")
+	c.log.WithFields(logrus.Fields{"addr": s.Addr, "model": s.Model, "version": s.Version, "loading": s.Loading}).Info("Engine state received.")
 	c.book.SetState(s.Addr, dispatch.EngineState{Version: s.Version, Loading: s.Loading, Born: s.Born})
 }
 
-// setHolder notes which version an agent's engine holds.
+// setHolder records which version an agent's engine holds.
 func (c *Control) setHolder(agent peer.Presence, s peer.EngineState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,14 +106,15 @@
 	return out
 }
 
-// OwnLoads returns what this entry has in flight, for the other entries.
+// OwnLoads returns the load that this entry has in flight at each target, for the other
+// entries.
 func (c *Control) OwnLoads() []peer.TargetLoad {
 	own := c.book.OwnLoads()
 	silent, heard := c.book.SilentTargets(clock.Now()), c.book.HeardTargets(clock.Now())
 	out := make([]peer.TargetLoad, 0, len(own)+len(silent))
 	for id, l := range own {
-		_, found := slices.BinarySearch(silent, id)
-		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, Unread: l.Unread, Silent: found, Heard: heard[id]})
+		_, isSilent := slices.BinarySearch(silent, id)
+		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, Unread: l.Unread, Silent: isSilent, Heard: heard[id]})
 	}
 	for _, id := range silent {
 		if _, listed := own[id]; !listed {
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -13,14 +13,14 @@
 
 // place waits until a target can serve the request in time.
 func (x *exchange) place(ctx context.Context, d dispatch.Demand) (dispatch.Choice, Reason) {
-	began := clock.Now()
-	defer func() { x.waited += clock.Since(began) }()
+	start := clock.Now()
+	defer func() { x.waited += clock.Since(start) }()
 	if x.sends == 0 {
-		x.tightest = x.g.book.Arrived(began, x.service, d)
+		x.tightest = x.g.book.Arrived(start, x.service, d)
 	}
-	patience := x.patience()
-	until := began.Add(patience)
-	timer := clock.NewTimer(patience)
+	maxWait := x.maxWait()
+	until := start.Add(maxWait)
+	timer := clock.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
 		changed := x.g.book.Changed()
@@ -29,13 +29,13 @@
 		case verdict == dispatch.Chosen:
 			return choice, ReasonNone
 		case verdict == dispatch.NoDomain:
-			return choice, ReasonNoDomain // operators evacuate for minutes
+			return choice, ReasonNoDomain // evacuations last minutes, so waiting is of no use
 		case verdict == dispatch.Paced && choice.FreeAt.After(until):
 			return choice, x.unplaced(verdict, choice, d)
 		}
 		select {
 		case <-changed:
-		case <-x.freeAt(verdict, choice):
+		case <-x.timerUntilFree(verdict, choice):
 		case <-timer.C:
 			return choice, x.unplaced(verdict, choice, d)
 		case <-ctx.Done():
@@ -44,41 +44,42 @@
 	}
 }
 
-// freeAt returns a channel that gets a value when a target takes one more; nil if that is
-// not what the request waits for.
-func (x *exchange) freeAt(v dispatch.Verdict, c dispatch.Choice) <-chan time.Time {
+// timerUntilFree returns a channel that receives a value when a target that is
+// rate-limited or backing off accepts its next request; nil if the request does not wait
+// for that.
+func (x *exchange) timerUntilFree(v dispatch.Verdict, c dispatch.Choice) <-chan time.Time {
 	if v != dispatch.Paced {
 		return nil
 	}
 	return clock.NewTimer(max(clock.Until(c.FreeAt), 0)).C
 }
 
-// maxHeld is how many targets that turn out to take no more for a time are passed over,
-// though the request may not wait.
-const maxHeld = 4
+// maxHeldTargets bounds how many targets that are found to accept no request for some time
+// are skipped when the request may not wait.
+const maxHeldTargets = 4
 
-// pick chooses a target whose home grants a place. Targets that turn out to take no more
-// for a time are passed over.
+// pick chooses a target whose home entry grants a place. Targets that are found to accept
+// no request for some time are skipped.
 func (x *exchange) pick(ctx context.Context, d dispatch.Demand, until time.Time) (dispatch.Choice, dispatch.Verdict) {
 	for held := 0; ; held++ {
 		choice, verdict := x.g.book.Pick(clock.Now(), x.service, d, x.avoid)
 		if verdict != dispatch.Chosen {
 			return choice, verdict
 		}
-		reservation := x.g.homes.Reserve(ctx, choice, d.Prompt)
+		reservation := x.g.reserver.Reserve(ctx, choice, d.Prompt)
 		if reservation == dispatch.PlaceGranted {
 			return choice, dispatch.Chosen
 		}
 		x.g.book.Cancel(choice.Target, d)
 		x.denied++
-		goOn := reservation == dispatch.PlaceHeld && (held < maxHeld || clock.Now().Before(until))
-		if !goOn || ctx.Err() != nil {
+		retry := reservation == dispatch.PlaceHeld && (held < maxHeldTargets || clock.Now().Before(until))
+		if !retry || ctx.Err() != nil {
 			return choice, dispatch.Saturated
 		}
 	}
 }
 
-// unplaced notes that no target could serve the request in time, and returns why.
+// unplaced records that no target could serve the request in time, and returns the reason.
 func (x *exchange) unplaced(v dispatch.Verdict, c dispatch.Choice, d dispatch.Demand) Reason {
 	x.logUnplaced(v, c, d)
 	switch v {
@@ -86,14 +87,14 @@
 		x.g.book.Refused(clock.Now(), x.service, d)
 		return ReasonSaturated
 	case dispatch.Paced:
-		x.freeFrom = c.FreeAt
+		x.nextFreeAt = c.FreeAt
 		x.g.book.Refused(clock.Now(), x.service, d)
 		return ReasonPaced
 	}
 	return ReasonNoTarget
 }
 
-// demand is what the request asks of a target now.
+// demand returns what the request currently requires of a target.
 func (x *exchange) demand() dispatch.Demand {
 	d := dispatch.Demand{Prompt: x.call.Prompt, Objective: x.route.Objective, MaxGap: x.route.MaxGap, Domain: x.g.cfg.Domain,
 		Homes: x.homes()}
@@ -106,7 +107,7 @@
 	return d
 }
 
-// homes are the regions in which the request may run.
+// homes returns the regions in which the request may run.
 func (x *exchange) homes() residency.Homes {
 	h := residency.Homes{Route: x.route.Homes}
 	if x.team != nil {
@@ -126,13 +127,13 @@
 	if v == dispatch.Paced {
 		f["free_in_ms"] = clock.Until(c.FreeAt).Milliseconds()
 	}
-	x.g.log.WithFields(f).Info("No target in time.")
+	x.g.log.WithFields(f).Info("No target can serve the request in time.")
 }
 
-// patience is how long the request may wait for a target now.
-func (x *exchange) patience() time.Duration {
+// maxWait is how long the request may currently wait for a target.
+func (x *exchange) maxWait() time.Duration {
 	if x.sends > 0 {
-		return min(x.g.cfg.RetryPatience, clock.Until(x.deadline))
+		return min(x.g.cfg.RetryMaxWait, clock.Until(x.deadline))
 	}
 	if x.returning {
 		return 0
@@ -140,6 +141,6 @@
 	if x.g.cfg.Off.Has(mechanism.Patience) {
 		return 0
 	}
-	limit := time.Duration(x.g.cfg.Patience * float64(x.tightest))
+	limit := time.Duration(x.g.cfg.MaxWaitRatio * float64(x.tightest))
 	return max(min(limit-clock.Since(x.start), clock.Until(x.deadline)), 0)
 }
--- a/gateway/roster_test.go
+++ b/gateway/roster_test.go
@@ -20,7 +20,7 @@
 	return out
 }
 
-// state returns which instances are in use; true means doubtful.
+// state returns which instances are in use; the value is true for doubtful ones.
 func state(list []*fleet.Instance) map[string]bool {
 	out := map[string]bool{}
 	for _, i := range list {
@@ -29,7 +29,7 @@
 	return out
 }
 
-// The entries of a crashed incarnation stay in the list for seconds.
+// The entry of a crashed incarnation stays in the list for seconds.
 func TestNewerIncarnationReplacesTheOlder(t *testing.T) {
 	r := Roster{Hold: time.Second}
 	old := &fleet.Instance{ID: "old", Addr: "x", Revision: 7}
@@ -39,10 +39,10 @@
 	got = r.Update(start, []*fleet.Instance{old, next}, false, time.Time{})
 	assert.DeepEqual(t, state(got), map[string]bool{"new": false, "other": true})
 	got = r.Update(start, []*fleet.Instance{next}, false, time.Time{})
-	assert.DeepEqual(t, state(got), map[string]bool{"new": false, "other": true}) // nor is it held
+	assert.DeepEqual(t, state(got), map[string]bool{"new": false, "other": true}) // and it is not retained
 }
 
-func TestVanishedInstanceIsHeldForAMoment(t *testing.T) {
+func TestVanishedInstanceIsRetainedForHold(t *testing.T) {
 	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
 	got := r.Update(at(0), listed("a"), false, time.Time{})
@@ -61,25 +61,25 @@
 	assert.DeepEqual(t, state(r.Update(start, listed("a"), false, time.Time{})), map[string]bool{"a": false})
 }
 
-// Entries lapse while the store is away; those of live targets come back within
-// the time to catch up.
-func TestInstancesOutliveAnOutageOfTheStore(t *testing.T) {
+// Entries expire while the store is unavailable; those of running targets reappear within
+// CatchUp.
+func TestInstancesSurviveAnOutageOfTheStore(t *testing.T) {
 	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
 	got := r.Update(at(time.Minute), nil, true, time.Time{})
 	assert.DeepEqual(t, state(got), map[string]bool{"a": true, "b": true})
-	back := at(2 * time.Minute)
-	got = r.Update(back.Add(2*time.Second), listed("a"), false, back)
+	restored := at(2 * time.Minute)
+	got = r.Update(restored.Add(2*time.Second), listed("a"), false, restored)
 	assert.DeepEqual(t, state(got), map[string]bool{"a": false, "b": true})
-	got = r.Update(back.Add(3*time.Second), listed("a"), false, back)
+	got = r.Update(restored.Add(3*time.Second), listed("a"), false, restored)
 	assert.DeepEqual(t, state(got), map[string]bool{"a": false})
 }
 
-// An entry whose calls to the store come late may take it for away for a moment, again
-// and again, while the store answers and targets leave for good. A target that lives is
-// listed again once the store has been there for the time to catch up; one that is not
-// has left, however often an outage seems to have ended.
-func TestOutagesThatFlapDoNotKeepATargetThatLeft(t *testing.T) {
+// An entry with slow calls to the store may detect short outages again and again while the
+// store is available and targets leave for good. A running target is listed again once the
+// store has been available for CatchUp; one that is not has left, however often an outage
+// seems to have ended.
+func TestFlappingOutagesDoNotRetainATargetThatLeft(t *testing.T) {
 	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
 	var ended time.Time
@@ -91,6 +91,6 @@
 		}
 		got := state(r.Update(now, listed("a"), down, ended))
 		_, kept := got["b"]
-		assert.Equal(t, kept, ms < 3600, "after %d ms", ms) // the store was there for 3 s of these
+		assert.Equal(t, kept, ms < 3600, "after %d ms", ms) // the store was available for 3 s of these
 	}
 }
--- a/gateway/server_test.go
+++ b/gateway/server_test.go
@@ -12,13 +12,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// startServer serves a gateway before one target.
+// startServer starts a server with a gateway in front of one target.
 func startServer(t *testing.T, cfg ServerConfig, x *target) *Server {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	cfg.CallerAddr, cfg.ReadyAddr = freeAddr(t), freeAddr(t)
-	s := NewServer(cfg, newFront(t, x).gateway, log)
+	s := NewServer(cfg, newTestGateway(t, x).gateway, log)
 	assert.NilError(t, s.Start(t.Context()))
 	return s
 }
@@ -40,16 +40,16 @@
 	return http.DefaultClient.Do(r)
 }
 
-// A request that was taken before the drain is answered before the server ends,
-// and none is taken once the time for that is over.
-func TestDrainAnswersWhatWasTaken(t *testing.T) {
+// A request accepted before the drain is answered before the server stops, and none is
+// accepted after AcceptFor.
+func TestDrainAnswersAcceptedRequests(t *testing.T) {
 	started, release := make(chan struct{}), make(chan struct{})
 	x := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 		close(started)
 		<-release
-		ok(w, r)
+		okHandler(w, r)
 	})
-	s := startServer(t, ServerConfig{DrainTimeout: time.Minute, TakeFor: time.Millisecond}, x)
+	s := startServer(t, ServerConfig{DrainTimeout: time.Minute, AcceptFor: time.Millisecond}, x)
 	answered := make(chan int, 1)
 	go func() {
 		resp, err := get(t.Context(), s.cfg.CallerAddr)
@@ -79,7 +79,7 @@
 }
 
 func TestReadiness(t *testing.T) {
-	s := startServer(t, ServerConfig{}, newTarget(t, ok))
+	s := startServer(t, ServerConfig{}, newTarget(t, okHandler))
 	status := func() int {
 		resp, err := get(t.Context(), s.cfg.ReadyAddr)
 		assert.NilError(t, err)
@@ -91,10 +91,10 @@
 	assert.Equal(t, status(), http.StatusServiceUnavailable)
 }
 
-// On the platform a request that is sent 3 s after the signal must be answered
-// whole however long it lasts; streams there last up to 5 s of the 8 s allowed.
-func TestNoRequestIsTakenThatMayNotEnd(t *testing.T) {
+// On the platform a request sent 3 s after the signal must be answered completely however
+// long it runs; streams there last up to 5 s of the 8 s allowed.
+func TestRequestsAreAcceptedOnlyIfTheyCanFinish(t *testing.T) {
 	cfg := ServerConfig{}.applyDefaults()
-	assert.Assert(t, cfg.TakeFor < 3*time.Second)
-	assert.Assert(t, cfg.TakeFor > 2*time.Second, "the balancer still sends connections")
+	assert.Assert(t, cfg.AcceptFor < 3*time.Second)
+	assert.Assert(t, cfg.AcceptFor > 2*time.Second, "the load balancer still sends connections")
 }
--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -13,29 +13,29 @@
 	sampleAlpha = 0.015
 )
 
-// Stats are the counters and histograms of a gateway. Times are in ms.
+// Stats are the counters and histograms of a gateway. Times are in milliseconds.
 type Stats struct {
-	answered   metrics.Counter
-	refused    map[Reason]metrics.Counter
-	retried    map[Reason]metrics.Counter
-	firstEvent metrics.Histogram
-	whole      metrics.Histogram
-	ended      metrics.Counter // requests whose target ended under them
-	waited     metrics.Histogram
-	noticed    metrics.Counter // changes of what targets say of themselves
-	unreadable metrics.Counter // answers in which that is not readable
-	// forecastError is how much later than forecast first events came.
+	answered          metrics.Counter
+	refused           map[Reason]metrics.Counter
+	retried           map[Reason]metrics.Counter
+	firstEvent        metrics.Histogram
+	answerTime        metrics.Histogram
+	lostWithTarget    metrics.Counter // requests whose target ended while it ran them
+	waitTime          metrics.Histogram
+	notices           metrics.Counter // changes in the notices of targets
+	unreadableNotices metrics.Counter // responses whose notice is not readable
+	// forecastError is how much later than forecast the first event arrived.
 	forecastError metrics.Histogram
 }
 
-// NewStats registers the counters.
+// NewStats registers the metrics and returns them.
 func NewStats(r metrics.Registry) *Stats {
 	s := &Stats{answered: metrics.NewRegisteredCounter("gateway.answered", r),
-		ended:   metrics.NewRegisteredCounter("gateway.lost_with_target", r),
-		noticed: metrics.NewRegisteredCounter("gateway.notices", r), unreadable: metrics.NewRegisteredCounter("gateway.notices_unreadable", r),
+		lostWithTarget: metrics.NewRegisteredCounter("gateway.lost_with_target", r),
+		notices:        metrics.NewRegisteredCounter("gateway.notices", r), unreadableNotices: metrics.NewRegisteredCounter("gateway.notices_unreadable", r),
 		refused: map[Reason]metrics.Counter{}, retried: map[Reason]metrics.Counter{},
-		firstEvent: histogram("gateway.first_event_ms", r), whole: histogram("gateway.answer_ms", r),
-		waited: histogram("gateway.wait_ms", r), forecastError: histogram("gateway.forecast_error_ms", r)}
+		firstEvent: histogram("gateway.first_event_ms", r), answerTime: histogram("gateway.answer_ms", r),
+		waitTime: histogram("gateway.wait_ms", r), forecastError: histogram("gateway.forecast_error_ms", r)}
 	for _, reason := range reasons {
 		s.refused[reason] = metrics.NewRegisteredCounter("gateway.failed."+string(reason), r)
 		s.retried[reason] = metrics.NewRegisteredCounter("gateway.retried."+string(reason), r)
@@ -47,6 +47,6 @@
 	return metrics.NewRegisteredHistogram(name, r, metrics.NewExpDecaySample(sampleSize, sampleAlpha))
 }
 
-func (s *Stats) failed(r Reason)                   { s.refused[r].Inc(1) }
-func (s *Stats) triedAgain(r Reason)               { s.retried[r].Inc(1) }
+func (s *Stats) recordFailure(r Reason)            { s.refused[r].Inc(1) }
+func (s *Stats) recordRetry(r Reason)              { s.retried[r].Inc(1) }
 func observe(h metrics.Histogram, d time.Duration) { h.Update(d.Milliseconds()) }
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -12,41 +12,41 @@
 	"gotest.tools/v3/assert"
 )
 
-// A machine was suspended with requests of callers in its hands. Their time was over when
-// it woke; they were sent to targets all the same, with time that nobody had left, and
-// held for as long as the suspension beyond their route's timeout. The time of a version
-// that had been named before went on for as much longer.
+// Guards against clocks that stop while the machine is suspended with requests in flight.
+// After the resume, requests whose time had expired were sent to targets with remaining
+// time that they no longer had, and were held beyond their route's timeout by the length
+// of the suspension. The timeout of a version announced before was extended by as much.
 func TestSuspension(t *testing.T) {
 	for _, d := range []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second} {
 		machine := clocktest.New(t)
 		first := newTarget(t, func(w http.ResponseWriter, r *http.Request) {
 			machine.Suspend(d)
-			notRunAnswer(w, r)
+			notRunHandler(w, r)
 		})
-		second := newTarget(t, ok)
-		a := newFront(t, first, second).call(http.MethodPost, "/safe/x", "b", "Left-Ms", "2500")
-		assert.Check(t, second.count() == 0, "%v: sent with time that is over", d)
+		second := newTarget(t, okHandler)
+		a := newTestGateway(t, first, second).call(http.MethodPost, "/safe/x", "b", "Left-Ms", "2500")
+		assert.Check(t, second.count() == 0, "%v: sent after its deadline", d)
 		assert.Check(t, a.status == http.StatusServiceUnavailable || a.status == http.StatusGatewayTimeout, "%v: status %d", d, a.status)
 
-		hangs := make(chan struct{})
+		release := make(chan struct{})
 		held := newTarget(t, func(_ http.ResponseWriter, r *http.Request) {
 			machine.Suspend(d)
 			select {
-			case <-hangs:
+			case <-release:
 			case <-r.Context().Done():
 			}
 		})
-		giveUp := time.AfterFunc(2*time.Second, func() { close(hangs) })
-		a = newFront(t, held).call(http.MethodPost, "/unsafe/x", "b", "Left-Ms", "2900")
-		assert.Check(t, giveUp.Stop(), "%v: held beyond its time", d)
+		giveUp := time.AfterFunc(2*time.Second, func() { close(release) })
+		a = newTestGateway(t, held).call(http.MethodPost, "/unsafe/x", "b", "Left-Ms", "2900")
+		assert.Check(t, giveUp.Stop(), "%v: held beyond its deadline", d)
 		assert.Check(t, a.status == http.StatusGatewayTimeout, "%v: status %d", d, a.status)
 
-		named := &assignment{model: &fleet.EngineModel{Model: "m"}, version: 2, since: clock.Now(), assigned: true,
+		announced := &assignment{model: &fleet.EngineModel{Model: "m"}, version: 2, since: clock.Now(), explicit: true,
 			order: []string{agentOf("s").Engine}}
-		c := &Control{assignments: map[string]*assignment{"s": named}, cfg: ControlConfig{VersionTimeout: time.Hour}}
+		c := &Control{assignments: map[string]*assignment{"s": announced}, cfg: ControlConfig{VersionTimeout: time.Hour}}
 		machine.Suspend(d)
-		told, _ := c.Assignment(agentOf("s"))
-		assert.Check(t, told.AgeMs >= d.Milliseconds(), "%v: version said to be named %d ms ago", d, told.AgeMs)
+		got, _ := c.Assignment(agentOf("s"))
+		assert.Check(t, got.AgeMs >= d.Milliseconds(), "%v: version reported as announced %d ms ago", d, got.AgeMs)
 	}
 }
 
