--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -106,9 +106,9 @@
 	return max(time.Duration(b.cfg.Admit*float64(objective))-service, 0)
 }
 
-// Arrived notes a new request for a service before a target is chosen. It returns
+// RecordArrival notes a new request for a service before a target is chosen. It returns
 // the tightest objective that the service's callers have.
-func (b *Book) Arrived(now time.Time, service string, d Demand) time.Duration {
+func (b *Book) RecordArrival(now time.Time, service string, d Demand) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.demandsOf(now, service)
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -30,9 +30,9 @@
 func TestAllKindsAcceptTheSameWait(t *testing.T) {
 	b := book(engineModel(), Config{}, engine(1, 1))
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 18}})
-	b.Arrived(start, testService, asked(loose, Fresh))
+	b.RecordArrival(start, testService, asked(loose, Fresh))
 	assert.Equal(t, verdict(b, asked(loose, Fresh)), Chosen, "alone it may wait for longer")
-	b.Arrived(start, testService, asked(tight, Fresh))
+	b.RecordArrival(start, testService, asked(tight, Fresh))
 	assert.Equal(t, verdict(b, asked(tight, Fresh)), Saturated)
 	assert.Equal(t, verdict(b, asked(loose, Fresh)), Saturated, "it would keep the tight ones out")
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 15}})
@@ -42,10 +42,10 @@
 
 func TestAllKindsWaitEquallyLongAtTheEntry(t *testing.T) {
 	b := book(engineModel(), Config{}, engine(1, 1))
-	assert.Equal(t, b.Arrived(start, testService, asked(loose, Fresh)), loose)
-	assert.Equal(t, b.Arrived(start, testService, asked(tight, Fresh)), tight)
-	assert.Equal(t, b.Arrived(start, testService, asked(loose, Fresh)), tight)
-	assert.Equal(t, b.Arrived(start, "other", asked(loose, Overdue)), loose)
+	assert.Equal(t, b.RecordArrival(start, testService, asked(loose, Fresh)), loose)
+	assert.Equal(t, b.RecordArrival(start, testService, asked(tight, Fresh)), tight)
+	assert.Equal(t, b.RecordArrival(start, testService, asked(loose, Fresh)), tight)
+	assert.Equal(t, b.RecordArrival(start, "other", asked(loose, Overdue)), loose)
 }
 
 func TestLargePromptsAcceptTheSameWait(t *testing.T) {
@@ -53,7 +53,7 @@
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 15}})
 	large := demand()
 	large.Prompt = 3500
-	b.Arrived(start, testService, demand())
+	b.RecordArrival(start, testService, demand())
 	assert.Equal(t, verdict(b, large), Chosen)
 }
 
@@ -83,7 +83,7 @@
 
 func TestOverdueCallersGetWhatFreshOnesLeave(t *testing.T) {
 	b := book(engineModel(), Config{}, engine(1, 1))
-	b.Arrived(start, testService, demand())
+	b.RecordArrival(start, testService, demand())
 	d := demand()
 	d.Standing = Overdue
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 17}})
@@ -111,25 +111,25 @@
 	d := demand()
 	d.Objective = time.Millisecond
 	b := book(engineModel(), Config{}, engine(1, 1))
-	b.Arrived(start, testService, d)
+	b.RecordArrival(start, testService, d)
 	assert.Equal(t, verdict(b, d), Chosen)
 	p := book(nil, Config{}, plain(1))
-	p.Arrived(start, testService, d)
+	p.RecordArrival(start, testService, d)
 	assert.Equal(t, verdict(p, d), Chosen)
 }
 
 func TestObjectivesOfTheLastSecondsCount(t *testing.T) {
 	b := book(engineModel(), Config{}, engine(1, 1))
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 18}})
-	b.Arrived(start, testService, asked(tight, Fresh))
+	b.RecordArrival(start, testService, asked(tight, Fresh))
 	for range 10 {
-		b.Arrived(start, testService, asked(loose, Fresh))
+		b.RecordArrival(start, testService, asked(loose, Fresh))
 	}
 	assert.Equal(t, verdict(b, asked(loose, Fresh)), Saturated)
 	for range 10 {
-		b.Arrived(start.Add(6*demandHalfLife), testService, asked(loose, Fresh))
+		b.RecordArrival(start.Add(6*demandHalfLife), testService, asked(loose, Fresh))
 	}
 	assert.Equal(t, verdict(b, asked(loose, Fresh)), Chosen, "the tight route is not used any more")
-	b.Arrived(start.Add(time.Hour), testService, asked(loose, Fresh))
+	b.RecordArrival(start.Add(time.Hour), testService, asked(loose, Fresh))
 	assert.Equal(t, len(b.demands[testService].seen), 1)
 }
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -135,7 +135,7 @@
 			j.demand.Standing = Overdue
 		}
 	}
-	s.book.Arrived(s.now, testService, j.demand)
+	s.book.RecordArrival(s.now, testService, j.demand)
 	c, v := s.book.Pick(s.now, testService, j.demand, nil)
 	if v == Chosen {
 		j.target, j.unread = c.Target, j.demand.Prompt
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -16,7 +16,7 @@
 	began := clock.Now()
 	defer func() { x.waited += clock.Since(began) }()
 	if x.sends == 0 {
-		x.tightest = x.g.book.Arrived(began, x.service, d)
+		x.tightest = x.g.book.RecordArrival(began, x.service, d)
 	}
 	patience := x.patience()
 	until := began.Add(patience)
