--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -121,9 +121,9 @@
 	return s.tightest(d.Objective)
 }
 
-// Refused notes that a request was turned away because no target could serve it
+// RecordRefusal notes that a request was turned away because no target could serve it
 // in time.
-func (b *Book) Refused(now time.Time, service string, d Demand) {
+func (b *Book) RecordRefusal(now time.Time, service string, d Demand) {
 	if d.Standing != Fresh {
 		return
 	}
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -88,7 +88,7 @@
 	d.Standing = Overdue
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 17}})
 	assert.Equal(t, verdict(b, d), Chosen, "no fresh request was refused")
-	b.Refused(start, testService, demand())
+	b.RecordRefusal(start, testService, demand())
 	assert.Equal(t, verdict(b, demand()), Chosen)
 	assert.Equal(t, verdict(b, d), Saturated)
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 14}})
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -144,7 +144,7 @@
 		s.pass(e)
 		return
 	}
-	s.book.Refused(s.now, testService, j.demand)
+	s.book.RecordRefusal(s.now, testService, j.demand)
 	if j.returns < s.retries {
 		j.returns++
 		j.demand.Standing = Overdue
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -83,11 +83,11 @@
 	x.logUnplaced(v, c, d)
 	switch v {
 	case dispatch.Saturated:
-		x.g.book.Refused(clock.Now(), x.service, d)
+		x.g.book.RecordRefusal(clock.Now(), x.service, d)
 		return ReasonSaturated
 	case dispatch.Paced:
 		x.freeFrom = c.FreeAt
-		x.g.book.Refused(clock.Now(), x.service, d)
+		x.g.book.RecordRefusal(clock.Now(), x.service, d)
 		return ReasonPaced
 	}
 	return ReasonNoTarget
