--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -260,10 +260,10 @@
 func TestHeardTargets(t *testing.T) {
 	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := b.Pick(start, testService, demand(), nil)
-	assert.Equal(t, len(b.HeardTargets(start)), 0)
+	assert.Equal(t, len(b.ResponsiveTargets(start)), 0)
 	b.Heard(start, c.Target, 1000)
-	assert.Assert(t, b.HeardTargets(start.Add(heardFor - 1))[c.Target.ID])
-	assert.Equal(t, len(b.HeardTargets(start.Add(heardFor))), 0)
+	assert.Assert(t, b.ResponsiveTargets(start.Add(heardFor - 1))[c.Target.ID])
+	assert.Equal(t, len(b.ResponsiveTargets(start.Add(heardFor))), 0)
 }
 
 // A target that was silent has no load and would draw more requests than all
--- a/dispatch/loads.go
+++ b/dispatch/loads.go
@@ -71,9 +71,9 @@
 	return out
 }
 
-// HeardTargets returns the targets with work of this entry that sent something
+// ResponsiveTargets returns the targets with work of this entry that sent something
 // lately.
-func (b *Book) HeardTargets(now time.Time) map[string]bool {
+func (b *Book) ResponsiveTargets(now time.Time) map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]bool{}
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -109,7 +109,7 @@
 // OwnLoads returns what this entry has in flight, for the other entries.
 func (c *Control) OwnLoads() []peer.TargetLoad {
 	own := c.book.OwnLoads()
-	silent, heard := c.book.SilentTargets(clock.Now()), c.book.HeardTargets(clock.Now())
+	silent, heard := c.book.SilentTargets(clock.Now()), c.book.ResponsiveTargets(clock.Now())
 	out := make([]peer.TargetLoad, 0, len(own)+len(silent))
 	for id, l := range own {
 		_, found := slices.BinarySearch(silent, id)
