--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -247,7 +247,7 @@
 	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := b.Pick(start, testService, demand(), []string{"i-2"})
 	b.SetLoads("x", map[string]Load{"i-1": {Requests: 1}, "i-2": {Requests: 8, Unread: 2000}})
-	b.SetHeard("x", "i-1", true)
+	b.SetResponsive("x", "i-1", true)
 	later := start.Add(700 * time.Millisecond)
 	assert.Equal(t, len(b.SilentTargets(later)), 0)
 	b.Finish(later, c.Target, Result{Unread: 1000, Failed: true, Silent: true})
--- a/dispatch/loads.go
+++ b/dispatch/loads.go
@@ -85,9 +85,9 @@
 	return out
 }
 
-// SetHeard notes whether another entry hears a target. A single answer that got
+// SetResponsive notes whether another entry hears a target. A single answer that got
 // lost makes a target silent for one entry only.
-func (b *Book) SetHeard(from, instance string, heard bool) {
+func (b *Book) SetResponsive(from, instance string, heard bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.byID[instance]
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -28,7 +28,7 @@
 	silence := !c.cfg.Off.Has(mechanism.SharedSilence)
 	for _, t := range l.Targets {
 		loads[t.Instance] = dispatch.Load{Requests: t.Requests, Unread: t.Unread}
-		c.book.SetHeard(from, t.Instance, t.Heard && silence)
+		c.book.SetResponsive(from, t.Instance, t.Heard && silence)
 		if silence && t.Silent && c.book.Suspect(clock.Now(), t.Instance) {
 			c.log.WithFields(logrus.Fields{"target": t.Instance, "peer": from}).Info("Target silent for another entry.")
 		}
