--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -154,9 +154,9 @@
 	return t.health.silent(now, t.silenceLimit())
 }
 
-// Heard notes that a target sent something. first is the prompt whose first
+// RecordActivity notes that a target sent something. first is the prompt whose first
 // event came, or zero.
-func (b *Book) Heard(now time.Time, t *Target, first int) {
+func (b *Book) RecordActivity(now time.Time, t *Target, first int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t.health.heard(now)
--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -189,7 +189,7 @@
 	later := start.Add(silentAfter + time.Millisecond)
 	assert.Assert(t, b.Silent(later, c.Target))
 	assert.Equal(t, picked(b, later), "i-2")
-	b.Heard(later, c.Target, 1000)
+	b.RecordActivity(later, c.Target, 1000)
 	assert.Assert(t, !b.Silent(later, c.Target))
 }
 
@@ -221,7 +221,7 @@
 	later := start.Add(silentAfter + time.Millisecond)
 	b.Finish(later, first.Target, Result{Failed: true, Silent: true, Unread: 1000})
 	assert.Assert(t, b.Silent(later, first.Target))
-	b.Heard(later, first.Target, 1000)
+	b.RecordActivity(later, first.Target, 1000)
 	assert.Assert(t, !b.Silent(later, first.Target))
 }
 
@@ -261,7 +261,7 @@
 	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, len(b.ResponsiveTargets(start)), 0)
-	b.Heard(start, c.Target, 1000)
+	b.RecordActivity(start, c.Target, 1000)
 	assert.Assert(t, b.ResponsiveTargets(start.Add(heardFor - 1))[c.Target.ID])
 	assert.Equal(t, len(b.ResponsiveTargets(start.Add(heardFor))), 0)
 }
@@ -276,7 +276,7 @@
 	c, _ := b.Pick(now, testService, demand(), nil)
 	assert.Equal(t, c.Target.ID, "i-1")
 	assert.Equal(t, picked(b, now), "i-2", "one is enough")
-	b.Heard(now.Add(50*time.Millisecond), c.Target, 1000)
+	b.RecordActivity(now.Add(50*time.Millisecond), c.Target, 1000)
 	assert.Equal(t, picked(b, now.Add(60*time.Millisecond)), "i-1")
 }
 
@@ -286,7 +286,7 @@
 	c, _ := b.Pick(start, testService, demand(), []string{"i-2"})
 	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, Unread: 2000}})
 	b.Suspect(start, "i-1")
-	b.Heard(start.Add(10*time.Millisecond), c.Target, 1000)
+	b.RecordActivity(start.Add(10*time.Millisecond), c.Target, 1000)
 	assert.Equal(t, picked(b, start.Add(20*time.Millisecond)), "i-1")
 }
 
--- a/dispatch/oracle_test.go
+++ b/dispatch/oracle_test.go
@@ -35,7 +35,7 @@
 					t.Skip()
 				}
 				f := &flights[rapid.IntRange(0, len(flights)-1).Draw(t, "flight")]
-				b.Heard(start, f.target, f.unread)
+				b.RecordActivity(start, f.target, f.unread)
 				f.unread = 0
 			},
 			"end": func(t *rapid.T) {
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -181,7 +181,7 @@
 	running := e.running[:0]
 	for _, j := range e.running {
 		if j.unread > 0 {
-			s.book.Heard(s.now, j.target, j.unread)
+			s.book.RecordActivity(s.now, j.target, j.unread)
 			j.unread = 0
 			if s.now.Sub(j.arrived) <= j.demand.Objective {
 				s.tally(j).inTime++
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -132,6 +132,6 @@
 	}
 	a.lastAt = now
 	a.events++
-	x.g.book.Heard(now, a.choice.Target, a.unread)
+	x.g.book.RecordActivity(now, a.choice.Target, a.unread)
 	a.unread = 0
 }
