--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -118,8 +118,8 @@
 	b.wake()
 }
 
-// ForgetState drops what an agent said, because it is not heard any more.
-func (b *Book) ForgetState(addr string) {
+// DeleteState drops what an agent said, because it is not heard any more.
+func (b *Book) DeleteState(addr string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.states, addr)
--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -84,7 +84,7 @@
 	assert.Equal(t, picked(b, start), "no_target")
 	b.SetState(empty.Addr, EngineState{Version: 1})
 	assert.Equal(t, picked(b, start), "i-1")
-	b.ForgetState(empty.Addr)
+	b.DeleteState(empty.Addr)
 	assert.Equal(t, picked(b, start), "no_target")
 }
 
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -73,7 +73,7 @@
 func (c *Control) EngineState(agent peer.Presence, s *peer.EngineState) {
 	if s == nil {
 		c.log.WithField("addr", agent.Engine).Info("Agent not heard any more.")
-		c.book.ForgetState(agent.Engine)
+		c.book.DeleteState(agent.Engine)
 		c.setHolder(agent, peer.EngineState{})
 		return
 	}
