--- a/dispatch/loads.go
+++ b/dispatch/loads.go
@@ -18,8 +18,8 @@
 	b.wake()
 }
 
-// ChangeLoads replaces what another entry has in flight at some targets.
-func (b *Book) ChangeLoads(from string, loads map[string]Load) {
+// UpdateLoads replaces what another entry has in flight at some targets.
+func (b *Book) UpdateLoads(from string, loads map[string]Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, l := range loads {
--- a/dispatch/oracle_test.go
+++ b/dispatch/oracle_test.go
@@ -60,7 +60,7 @@
 			"change": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"i-0", "i-1", "i-2"}).Draw(t, "id")
 				l := Load{rapid.IntRange(0, 2).Draw(t, "requests"), 0}
-				b.ChangeLoads("y", map[string]Load{id: l, "unknown": l})
+				b.UpdateLoads("y", map[string]Load{id: l, "unknown": l})
 				if others["y"] == nil {
 					others["y"] = map[string]Load{}
 				}
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -39,7 +39,7 @@
 	if l.Full {
 		c.book.SetLoads(from, loads)
 	} else {
-		c.book.ChangeLoads(from, loads)
+		c.book.UpdateLoads(from, loads)
 	}
 }
 
