--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -11,7 +11,7 @@
 
 // sayLeaving lets an entry hear that a target leaves.
 func sayLeaving(b *Book, i *fleet.Instance) {
-	b.HearNotice(start, *i, notice.Statement{Leaving: true}, start)
+	b.RecordStatement(start, *i, notice.Statement{Leaving: true}, start)
 }
 
 // The list took 12 s to say what the target had said itself, and went on naming it as
--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -7,9 +7,9 @@
 	"github.com/springgate/springgate/notice"
 )
 
-// HearNotice takes what an answer to a request that was sent at a time says of the target
+// RecordStatement takes what an answer to a request that was sent at a time says of the target
 // that gave it.
-func (b *Book) HearNotice(now time.Time, i fleet.Instance, s notice.Statement, sent time.Time) notice.Change {
+func (b *Book) RecordStatement(now time.Time, i fleet.Instance, s notice.Statement, sent time.Time) notice.Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := notice.LifeOf(&i)
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -48,7 +48,7 @@
 		}
 	}
 	f.sent = append(f.sent, now)
-	b.HearNotice(now.Add(5*time.Millisecond), c.Instance, says, now)
+	b.RecordStatement(now.Add(5*time.Millisecond), c.Instance, says, now)
 	b.Finish(now, c.Target, Result{Latency: time.Millisecond})
 }
 
@@ -117,7 +117,7 @@
 
 func TestPacedTargetIsLeftForOthers(t *testing.T) {
 	b := book(nil, Config{}, plain(1), plain(2))
-	b.HearNotice(start, *plain(1), limit(1), start)
+	b.RecordStatement(start, *plain(1), limit(1), start)
 	for range 20 {
 		assert.Equal(t, picked(b, start), "p-2")
 	}
@@ -131,7 +131,7 @@
 // A choice that was taken back leaves its place to the next.
 func TestCancelGivesThePlaceBack(t *testing.T) {
 	b := book(nil, Config{}, plain(1))
-	b.HearNotice(start, *plain(1), limit(1), start)
+	b.RecordStatement(start, *plain(1), limit(1), start)
 	now := start.Add(time.Second)
 	c, _ := b.Pick(now, testService, demand(), nil)
 	b.Cancel(c.Target, demand())
@@ -141,7 +141,7 @@
 func TestLimitOutlastsALapseOfTheList(t *testing.T) {
 	b := book(nil, Config{}, plain(1))
 	services := map[string]*fleet.Service{testService: {Name: testService}}
-	b.HearNotice(start, *plain(1), limit(1), start)
+	b.RecordStatement(start, *plain(1), limit(1), start)
 	b.Apply(nil, services)
 	b.UpdateNotices(start.Add(5 * time.Second))
 	b.Apply([]*fleet.Instance{plain(1)}, services)
@@ -155,7 +155,7 @@
 	first, second := plain(1), plain(1)
 	first.Born, second.Born = 1000, 2000
 	b := book(nil, Config{}, first)
-	b.HearNotice(start, *first, limit(1), start)
+	b.RecordStatement(start, *first, limit(1), start)
 	b.Apply([]*fleet.Instance{second}, map[string]*fleet.Service{testService: {Name: testService}})
 	for range 5 {
 		assert.Equal(t, picked(b, start), "p-1")
--- a/dispatch/rest_test.go
+++ b/dispatch/rest_test.go
@@ -11,7 +11,7 @@
 
 // askRest lets an entry hear that a target turned a request away and asked for rest.
 func askRest(b *Book, now time.Time, i *fleet.Instance, d time.Duration) {
-	b.HearNotice(now, *i, notice.Statement{Rest: d}, now)
+	b.RecordStatement(now, *i, notice.Statement{Rest: d}, now)
 }
 
 // A target that turned all requests away had no load, and so got most of them.
@@ -39,7 +39,7 @@
 	c, v := b.Pick(now, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
 	assert.Equal(t, picked(b, now), "paced")
-	b.HearNotice(now.Add(10*time.Millisecond), c.Instance, notice.Statement{}, now)
+	b.RecordStatement(now.Add(10*time.Millisecond), c.Instance, notice.Statement{}, now)
 	assert.Equal(t, picked(b, now.Add(11*time.Millisecond)), "p-1")
 	assert.Equal(t, picked(b, now.Add(11*time.Millisecond)), "p-1")
 }
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -15,7 +15,7 @@
 	if s.Unreadable() {
 		g.stats.unreadable.Inc(1)
 	}
-	changed := g.book.HearNotice(clock.Now(), t, s, a.began)
+	changed := g.book.RecordStatement(clock.Now(), t, s, a.began)
 	f := logrus.Fields{"target": t.ID, "request": a.x.call.ID}
 	if changed.Unreadable {
 		g.log.WithFields(f).Warn("Target says of itself what is not readable.")
