--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -24,8 +24,8 @@
 	return changed
 }
 
-// Learn takes what another entry believes of a target.
-func (b *Book) Learn(now time.Time, o notice.Told) notice.Change {
+// MergeReport takes what another entry believes of a target.
+func (b *Book) MergeReport(now time.Time, o notice.Told) notice.Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byID[o.Target] == nil {
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -37,10 +37,10 @@
 		return
 	}
 	if entry > 0 {
-		home.Learn(now, b.NoticeOf(c.Target.ID))
+		home.MergeReport(now, b.NoticeOf(c.Target.ID))
 		p := home.Reserve(now, "x", c.Target.ID, 0, Admission{MaxWait: time.Hour})
 		home.SetLoads("x", nil)
-		b.Learn(now, p.Told)
+		b.MergeReport(now, p.Told)
 		if !p.Granted {
 			b.Cancel(c.Target, demand())
 			b.Hold(now, c.Target.ID, p.Wait)
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -50,7 +50,7 @@
 		if !ok {
 			continue
 		}
-		if c.book.Learn(clock.Now(), told) != (notice.Change{}) {
+		if c.book.MergeReport(clock.Now(), told) != (notice.Change{}) {
 			c.log.WithFields(logrus.Fields{"target": n.Instance, "peer": from, "limited": n.Limited, "limit": n.PerS, "leaving": n.Leaving}).Info("Target's words learned.")
 		}
 	}
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -104,7 +104,7 @@
 		}
 		for _, x := range l.Notices {
 			if told, ok := x.Decode(); ok {
-				n.book.Learn(clock.Now(), told)
+				n.book.MergeReport(clock.Now(), told)
 			}
 		}
 	})
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -49,7 +49,7 @@
 		return r.unsure(c)
 	}
 	if told, ok := reply.Notice.Decode(); ok {
-		r.book.Learn(clock.Now(), told)
+		r.book.MergeReport(clock.Now(), told)
 	}
 	switch {
 	case reply.Granted && !reply.Known:
@@ -96,7 +96,7 @@
 // Serve answers another entry.
 func (r *Reserver) Serve(ctx context.Context, s *peer.Stream, q *peer.Reserve) {
 	if told, ok := q.Notice.Decode(); ok {
-		r.book.Learn(clock.Now(), told)
+		r.book.MergeReport(clock.Now(), told)
 	}
 	p := r.book.Reserve(clock.Now(), q.From, q.Instance, q.Prompt, dispatch.Admission{
 		MaxWait: time.Duration(q.MaxWaitMs) * time.Millisecond, MaxGap: time.Duration(q.MaxGapMs) * time.Millisecond,
