--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -55,8 +55,8 @@
 	return b.notices.All()
 }
 
-// NoticeOf returns what is believed of the life of a target that is listed.
-func (b *Book) NoticeOf(instance string) notice.Told {
+// ReportOf returns what is believed of the life of a target that is listed.
+func (b *Book) ReportOf(instance string) notice.Told {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.byID[instance]
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -37,7 +37,7 @@
 		return
 	}
 	if entry > 0 {
-		home.MergeReport(now, b.NoticeOf(c.Target.ID))
+		home.MergeReport(now, b.ReportOf(c.Target.ID))
 		p := home.Reserve(now, "x", c.Target.ID, 0, Admission{MaxWait: time.Hour})
 		home.SetLoads("x", nil)
 		b.MergeReport(now, p.Told)
@@ -145,7 +145,7 @@
 	b.Apply(nil, services)
 	b.UpdateNotices(start.Add(5 * time.Second))
 	b.Apply([]*fleet.Instance{plain(1)}, services)
-	assert.Equal(t, b.NoticeOf("p-1").Limit.PerS, 1.0)
+	assert.Equal(t, b.ReportOf("p-1").Limit.PerS, 1.0)
 	assert.Equal(t, picked(b, start.Add(10*time.Second)), "p-1")
 	assert.Equal(t, picked(b, start.Add(10*time.Second)), "paced")
 }
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -279,7 +279,7 @@
 			continue
 		}
 		lost := c.book.LostAt(d.instance.ID)
-		leaving := d.instance.Draining || c.book.NoticeOf(d.instance.ID).Leaving
+		leaving := d.instance.Draining || c.book.ReportOf(d.instance.ID).Leaving
 		if lost > 0 && !leaving {
 			c.endedAtWork.Inc(1)
 		}
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -41,7 +41,7 @@
 	} {
 		f := newFront(t, newTarget(t, limited(c.h)))
 		f.call(http.MethodPost, c.path, "")
-		assert.Equal(t, f.gateway.book.NoticeOf("i-0").Limit.PerS, c.want, name)
+		assert.Equal(t, f.gateway.book.ReportOf("i-0").Limit.PerS, c.want, name)
 	}
 }
 
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -85,7 +85,7 @@
 	defer cancel()
 	msg, err := r.mesh.pool.Call(ctx, home, peer.Traffic, &peer.Reserve{From: r.mesh.self.Addr, Instance: c.Instance.ID,
 		Prompt: prompt, MaxWaitMs: c.Admission.MaxWait.Milliseconds(), MaxGapMs: c.Admission.MaxGap.Milliseconds(),
-		MaxLoad: c.Admission.MaxLoad, Notice: peer.EncodeNotice(r.book.NoticeOf(c.Instance.ID))})
+		MaxLoad: c.Admission.MaxLoad, Notice: peer.EncodeNotice(r.book.ReportOf(c.Instance.ID))})
 	if err != nil {
 		return nil, false
 	}
--- a/mesh/reserve_test.go
+++ b/mesh/reserve_test.go
@@ -49,7 +49,7 @@
 	home, asker, target := homeAndAsker(t)
 	nameLimit(asker, target, 1)
 	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(target), 10), dispatch.PlaceHeld)
-	assert.Equal(t, home.book.NoticeOf(target.ID).Limit.PerS, 1.0)
+	assert.Equal(t, home.book.ReportOf(target.ID).Limit.PerS, 1.0)
 }
 
 func TestAskerLearnsALimitFromTheHome(t *testing.T) {
@@ -58,7 +58,7 @@
 	choice := paced(target)
 	choice.Paced = false
 	assert.Equal(t, asker.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceHeld)
-	assert.Equal(t, asker.book.NoticeOf(target.ID).Limit.PerS, 1.0)
+	assert.Equal(t, asker.book.ReportOf(target.ID).Limit.PerS, 1.0)
 }
 
 // An entry that could not ask the home took a place as granted, also at a target whose
@@ -79,5 +79,5 @@
 func TestFullAccountsTellOfLimits(t *testing.T) {
 	home, asker, target := homeAndAsker(t)
 	nameLimit(asker, target, 2)
-	home.until(t, "the limit", func() bool { return home.book.NoticeOf(target.ID).Limit.PerS == 2 })
+	home.until(t, "the limit", func() bool { return home.book.ReportOf(target.ID).Limit.PerS == 2 })
 }
