--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -48,8 +48,8 @@
 	b.wake()
 }
 
-// Notices returns what is believed of targets by what they say, for other entries.
-func (b *Book) Notices() []notice.Told {
+// Reports returns what is believed of targets by what they say, for other entries.
+func (b *Book) Reports() []notice.Told {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.notices.All()
--- a/dispatch/rest_test.go
+++ b/dispatch/rest_test.go
@@ -61,6 +61,6 @@
 func TestRestIsNotTold(t *testing.T) {
 	b := book(nil, Config{}, plain(1))
 	askRest(b, start, plain(1), time.Second)
-	assert.Equal(t, len(b.Notices()), 0)
+	assert.Equal(t, len(b.Reports()), 0)
 	assert.Assert(t, b.Reserve(start, "x", "p-1", 1, Admission{MaxWait: time.Hour}).Granted)
 }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -59,7 +59,7 @@
 // Notices implements mesh.Listener.
 func (c *Control) Notices() []peer.TargetNotice {
 	var out []peer.TargetNotice
-	for _, told := range c.book.Notices() {
+	for _, told := range c.book.Reports() {
 		out = append(out, peer.EncodeNotice(told))
 	}
 	slices.SortFunc(out, func(a, b peer.TargetNotice) int { return cmp.Compare(a.Instance, b.Instance) })
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -124,7 +124,7 @@
 
 func (n *node) Notices() []peer.TargetNotice {
 	var out []peer.TargetNotice
-	for _, told := range n.book.Notices() {
+	for _, told := range n.book.Reports() {
 		out = append(out, peer.EncodeNotice(told))
 	}
 	return out
