--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -216,9 +216,9 @@
 	return b.addrs[addr]
 }
 
-// LostAt returns how many requests of this entry lost their connection at a target. With
+// ConnectionsLost returns how many requests of this entry lost their connection at a target. With
 // the end of the target they were lost because it ended, else the connection alone broke.
-func (b *Book) LostAt(instance string) int {
+func (b *Book) ConnectionsLost(instance string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.byID[instance]
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -278,7 +278,7 @@
 		if _, ok := next[key]; ok || d.instance == nil {
 			continue
 		}
-		lost := c.book.LostAt(d.instance.ID)
+		lost := c.book.ConnectionsLost(d.instance.ID)
 		leaving := d.instance.Draining || c.book.ReportOf(d.instance.ID).Leaving
 		if lost > 0 && !leaving {
 			c.endedAtWork.Inc(1)
