--- a/command/gateway.go
+++ b/command/gateway.go
@@ -143,7 +143,7 @@
 		select {
 		case <-ticker.C:
 			e.gateway.SetEntries(len(e.mesh.Entries()) + 1)
-			e.conns.Sweep(e.book.Knows)
+			e.conns.Sweep(e.book.HasAddr)
 		case <-ctx.Done():
 			return
 		}
--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -209,8 +209,8 @@
 	b.wake()
 }
 
-// Knows reports whether a target has the address.
-func (b *Book) Knows(addr string) bool {
+// HasAddr reports whether a target has the address.
+func (b *Book) HasAddr(addr string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.addrs[addr]
--- a/dispatch/oracle_test.go
+++ b/dispatch/oracle_test.go
@@ -103,5 +103,5 @@
 	b.Apply([]*fleet.Instance{engine(1, 2), engine(2, 1)}, services)
 	assert.Equal(t, b.byID["i-1"].load.Requests, 4)
 	assert.Equal(t, b.byID["i-2"].load, Load{})
-	assert.Assert(t, b.Knows("10.0.0.2:80") && !b.Knows("10.0.0.9:80"))
+	assert.Assert(t, b.HasAddr("10.0.0.2:80") && !b.HasAddr("10.0.0.9:80"))
 }
