--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// HoldUnanswered leaves a target with a bounded rate alone, because its home did not
+// BackOffUnanswered leaves a target with a bounded rate alone, because its home did not
 // answer: what others send there is not known.
-func (b *Book) HoldUnanswered(now time.Time, instance string) {
+func (b *Book) BackOffUnanswered(now time.Time, instance string) {
 	b.Hold(now, instance, holdUnanswered)
 }
 
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -75,7 +75,7 @@
 	if !c.Paced {
 		return dispatch.PlaceGranted
 	}
-	r.book.HoldUnanswered(clock.Now(), c.Instance.ID)
+	r.book.BackOffUnanswered(clock.Now(), c.Instance.ID)
 	return dispatch.PlaceHeld
 }
 
