--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -43,7 +43,7 @@
 		b.MergeReport(now, p.Told)
 		if !p.Granted {
 			b.Cancel(c.Target, demand())
-			b.Hold(now, c.Target.ID, p.Wait)
+			b.BackOff(now, c.Target.ID, p.Wait)
 			return
 		}
 	}
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -51,8 +51,8 @@
 	return p
 }
 
-// Hold leaves a target alone for a time, because its home grants no place before.
-func (b *Book) Hold(now time.Time, instance string, wait time.Duration) {
+// BackOff leaves a target alone for a time, because its home grants no place before.
+func (b *Book) BackOff(now time.Time, instance string, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if t := b.byID[instance]; t != nil {
@@ -63,7 +63,7 @@
 // BackOffUnanswered leaves a target with a bounded rate alone, because its home did not
 // answer: what others send there is not known.
 func (b *Book) BackOffUnanswered(now time.Time, instance string) {
-	b.Hold(now, instance, holdUnanswered)
+	b.BackOff(now, instance, holdUnanswered)
 }
 
 // Cancel takes a choice back that was not followed.
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -63,7 +63,7 @@
 	case reply.Notice.Leaving:
 		return dispatch.PlaceHeld
 	case reply.WaitMs > 0:
-		r.book.Hold(clock.Now(), t.ID, time.Duration(reply.WaitMs)*time.Millisecond)
+		r.book.BackOff(clock.Now(), t.ID, time.Duration(reply.WaitMs)*time.Millisecond)
 		return dispatch.PlaceHeld
 	}
 	return dispatch.PlaceDenied
