--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -169,7 +169,7 @@
 	Unread  int           // prompt tokens, if no first event came
 	Failed  bool          // the target failed it
 	Down    bool          // no connection could be made
-	Gone    bool          // another instance has the address
+	Replaced    bool          // another instance has the address
 	Silent  bool          // the target sent nothing at the end
 	Lost    bool          // the connection broke before the answer was whole
 	Latency time.Duration // of a whole answer; zero if there was none
@@ -194,7 +194,7 @@
 		t.lost++
 	}
 	switch {
-	case r.Gone:
+	case r.Replaced:
 		t.gone = true
 	case r.Down:
 		t.health.eject(now)
--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -99,7 +99,7 @@
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5, Unread: 3000}})
 	c, v := b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
-	b.Finish(start, c.Target, Result{Gone: true})
+	b.Finish(start, c.Target, Result{Replaced: true})
 	services := map[string]*fleet.Service{testService: {Name: testService, Engine: engineModel()}}
 	b.Apply([]*fleet.Instance{second}, services)
 	assert.Equal(t, picked(b, start), "no_target", "it holds nothing yet, whatever its agent said before")
@@ -303,7 +303,7 @@
 func TestAnotherInstanceAtTheAddressEndsTheTarget(t *testing.T) {
 	b := book(nil, Config{}, plain(1))
 	c, _ := b.Pick(start, testService, demand(), nil)
-	b.Finish(start, c.Target, Result{Gone: true})
+	b.Finish(start, c.Target, Result{Replaced: true})
 	assert.Equal(t, picked(b, start), "no_target")
 }
 
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -154,7 +154,7 @@
 	case ReasonTargetRefused:
 		r.Latency = 0
 	case ReasonOtherInstance:
-		r.Gone = true
+		r.Replaced = true
 	case ReasonDialFailed:
 		r.Down = true
 	default:
