--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -168,7 +168,7 @@
 type Result struct {
 	Unread  int           // prompt tokens, if no first event came
 	Failed  bool          // the target failed it
-	Down    bool          // no connection could be made
+	ConnectFailed    bool          // no connection could be made
 	Replaced    bool          // another instance has the address
 	Silent  bool          // the target sent nothing at the end
 	Lost    bool          // the connection broke before the answer was whole
@@ -196,7 +196,7 @@
 	switch {
 	case r.Replaced:
 		t.gone = true
-	case r.Down:
+	case r.ConnectFailed:
 		t.health.eject(now)
 	case r.Failed && r.Silent && len(t.heard) == 0:
 		t.health.leftSilent(now)
--- a/dispatch/residency_test.go
+++ b/dispatch/residency_test.go
@@ -51,7 +51,7 @@
 		// The home alone is down or avoided: no other domain takes its place.
 		assert.DeepEqual(t, domainsOf(t, b, d, "i-2", "i-5"), map[string]bool{"no_target": true})
 		// The last resort is at home too.
-		b.Finish(start, b.byID["i-2"], Result{Down: true})
+		b.Finish(start, b.byID["i-2"], Result{ConnectFailed: true})
 		assert.DeepEqual(t, domainsOf(t, b, d, "i-5"), map[string]bool{"c": true})
 		d.Homes.Team = []string{"A"}
 		assert.DeepEqual(t, domainsOf(t, b, d), map[string]bool{"no_domain": true})
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -156,7 +156,7 @@
 	case ReasonOtherInstance:
 		r.Replaced = true
 	case ReasonDialFailed:
-		r.Down = true
+		r.ConnectFailed = true
 	default:
 		r.Failed = true
 	}
