--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -171,7 +171,7 @@
 	ConnectFailed    bool          // no connection could be made
 	Replaced    bool          // another instance has the address
 	Silent  bool          // the target sent nothing at the end
-	Lost    bool          // the connection broke before the answer was whole
+	ConnectionLost    bool          // the connection broke before the answer was whole
 	Latency time.Duration // of a whole answer; zero if there was none
 }
 
@@ -190,7 +190,7 @@
 	if r.Latency > 0 {
 		t.health.heardAt = now
 	}
-	if r.Lost {
+	if r.ConnectionLost {
 		t.lost++
 	}
 	switch {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -164,6 +164,6 @@
 		r.Latency = 0
 	}
 	r.Silent = res.silent
-	r.Lost = res.reason == ReasonConnLost || res.reason == ReasonBrokenStream
+	r.ConnectionLost = res.reason == ReasonConnLost || res.reason == ReasonBrokenStream
 	a.x.g.book.Finish(clock.Now(), a.choice.Target, r)
 }
