--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -166,7 +166,7 @@
 
 // Result is how a request ended at a target.
 type Result struct {
-	Unread  int           // prompt tokens, if no first event came
+	PendingPrefill  int           // prompt tokens, if no first event came
 	Failed  bool          // the target failed it
 	ConnectFailed    bool          // no connection could be made
 	Replaced    bool          // another instance has the address
@@ -179,7 +179,7 @@
 func (b *Book) Finish(now time.Time, t *Target, r Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := Load{Requests: -1, Unread: -r.Unread}
+	l := Load{Requests: -1, Unread: -r.PendingPrefill}
 	t.own, t.load = t.own.add(l), t.load.add(l)
 	switch {
 	case t.own.Requests == 0:
--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -219,7 +219,7 @@
 	_, v := b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
 	later := start.Add(silentAfter + time.Millisecond)
-	b.Finish(later, first.Target, Result{Failed: true, Silent: true, Unread: 1000})
+	b.Finish(later, first.Target, Result{Failed: true, Silent: true, PendingPrefill: 1000})
 	assert.Assert(t, b.Silent(later, first.Target))
 	b.RecordActivity(later, first.Target, 1000)
 	assert.Assert(t, !b.Silent(later, first.Target))
@@ -231,7 +231,7 @@
 	c, _ := a.Pick(start, testService, demand(), []string{"i-2"})
 	left := start.Add(700 * time.Millisecond)
 	assert.DeepEqual(t, a.SilentTargets(left), []string{"i-1"})
-	a.Finish(left, c.Target, Result{Unread: 1000, Failed: true, Silent: true})
+	a.Finish(left, c.Target, Result{PendingPrefill: 1000, Failed: true, Silent: true})
 	assert.DeepEqual(t, a.SilentTargets(left.Add(100*time.Millisecond)), []string{"i-1"}) // told for a while after it was left
 	assert.Equal(t, len(a.SilentTargets(left.Add(silentSaid))), 0)
 
@@ -250,7 +250,7 @@
 	b.SetResponsive("x", "i-1", true)
 	later := start.Add(700 * time.Millisecond)
 	assert.Equal(t, len(b.SilentTargets(later)), 0)
-	b.Finish(later, c.Target, Result{Unread: 1000, Failed: true, Silent: true})
+	b.Finish(later, c.Target, Result{PendingPrefill: 1000, Failed: true, Silent: true})
 	b.Suspect(later, "i-1")
 	assert.Equal(t, picked(b, later), "i-1")
 	b.SetLoads("x", nil)
--- a/dispatch/oracle_test.go
+++ b/dispatch/oracle_test.go
@@ -43,7 +43,7 @@
 					t.Skip()
 				}
 				i := rapid.IntRange(0, len(flights)-1).Draw(t, "flight")
-				b.Finish(start, flights[i].target, Result{Unread: flights[i].unread})
+				b.Finish(start, flights[i].target, Result{PendingPrefill: flights[i].unread})
 				flights = append(flights[:i], flights[i+1:]...)
 			},
 			"account": func(t *rapid.T) {
--- a/dispatch/residency_test.go
+++ b/dispatch/residency_test.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		got[c.Instance.Domain] = true
-		b.Finish(start, c.Target, Result{Unread: d.Prompt})
+		b.Finish(start, c.Target, Result{PendingPrefill: d.Prompt})
 	}
 	return got
 }
@@ -116,7 +116,7 @@
 		c, v := b.Pick(now, testService, demand(), nil)
 		if v == Chosen {
 			sent = append(sent, now)
-			b.Finish(now, c.Target, Result{Unread: 1000})
+			b.Finish(now, c.Target, Result{PendingPrefill: 1000})
 		} else {
 			assert.Equal(t, v, Paced)
 		}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -148,7 +148,7 @@
 
 // finish tells the book how the attempt ended.
 func (a *attempt) finish(res result) {
-	r := dispatch.Result{Unread: a.unread, Latency: clock.Since(a.began)}
+	r := dispatch.Result{PendingPrefill: a.unread, Latency: clock.Since(a.began)}
 	switch res.reason {
 	case ReasonNone, ReasonTimeout, ReasonCallerGone, ReasonVersionOver:
 	case ReasonTargetRefused:
