--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -41,7 +41,7 @@
 	if a.MaxLoad > 0 && l.Requests >= a.MaxLoad {
 		return false
 	}
-	if a.MaxGap > 0 && f.Gap > a.MaxGap && l.Unread > 0 {
+	if a.MaxGap > 0 && f.Gap > a.MaxGap && l.PendingPrefill > 0 {
 		return false // alone, a prompt must be read at some time
 	}
 	return f.Wait <= max(a.MaxWait, f.Turn)
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -65,7 +65,7 @@
 	b := book(m, Config{}, engine(1, 1))
 	d := asked(4*time.Second, Fresh)
 	assert.Equal(t, verdict(b, d), Chosen)
-	b.SetLoads("other", map[string]Load{"i-1": {Requests: 3, Unread: 500}})
+	b.SetLoads("other", map[string]Load{"i-1": {Requests: 3, PendingPrefill: 500}})
 	assert.Equal(t, verdict(b, d), Saturated)
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 3}})
 	assert.Equal(t, verdict(b, d), Chosen)
--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -138,7 +138,7 @@
 }
 
 func (b *Book) start(now time.Time, t *Target, d Demand) {
-	l := Load{Requests: 1, Unread: d.Prompt}
+	l := Load{Requests: 1, PendingPrefill: d.Prompt}
 	t.own, t.load = t.own.add(l), t.load.add(l)
 	t.pace.count(now, t.rate(now, b.said(t).Limit))
 	b.notices.Sent(now, notice.LifeOf(&t.Instance))
@@ -160,7 +160,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t.health.heard(now)
-	l := Load{Unread: -first}
+	l := Load{PendingPrefill: -first}
 	t.own, t.load = t.own.add(l), t.load.add(l)
 }
 
@@ -179,7 +179,7 @@
 func (b *Book) Finish(now time.Time, t *Target, r Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := Load{Requests: -1, Unread: -r.PendingPrefill}
+	l := Load{Requests: -1, PendingPrefill: -r.PendingPrefill}
 	t.own, t.load = t.own.add(l), t.load.add(l)
 	switch {
 	case t.own.Requests == 0:
--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -53,7 +53,7 @@
 	idle := forecastEngine(m, Load{}, demand())
 	busy := forecastEngine(m, Load{Requests: 15}, demand())
 	full := forecastEngine(m, Load{Requests: 16}, demand())
-	reading := forecastEngine(m, Load{Requests: 8, Unread: 4000}, demand())
+	reading := forecastEngine(m, Load{Requests: 8, PendingPrefill: 4000}, demand())
 	assert.Assert(t, idle.FirstEvent < busy.FirstEvent)
 	assert.Assert(t, busy.FirstEvent < full.FirstEvent, "a full engine makes it wait for a slot")
 	assert.Assert(t, reading.Gap > 200*time.Millisecond, "4,000 tokens are read between two events of others")
@@ -61,7 +61,7 @@
 
 func TestPickTakesTheLeastLoaded(t *testing.T) {
 	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
-	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5, Unread: 3000}})
+	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5, PendingPrefill: 3000}})
 	assert.Equal(t, picked(b, start), "i-2")
 }
 
@@ -96,7 +96,7 @@
 	first.Born, second.Born = 1000, 2000
 	b := book(engineModel(), Config{}, first)
 	b.SetState(first.Addr, EngineState{Version: 1, Born: 1000})
-	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5, Unread: 3000}})
+	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5, PendingPrefill: 3000}})
 	c, v := b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
 	b.Finish(start, c.Target, Result{Replaced: true})
@@ -236,7 +236,7 @@
 	assert.Equal(t, len(a.SilentTargets(left.Add(silentSaid))), 0)
 
 	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
-	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, Unread: 2000}})
+	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, PendingPrefill: 2000}})
 	assert.Assert(t, b.Suspect(left, "i-1"))
 	assert.Assert(t, !b.Suspect(left, "i-1"), "no news")
 	assert.Equal(t, picked(b, left), "i-2", "though it has more load")
@@ -246,7 +246,7 @@
 func TestTargetThatOthersHearIsNotSilent(t *testing.T) {
 	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := b.Pick(start, testService, demand(), []string{"i-2"})
-	b.SetLoads("x", map[string]Load{"i-1": {Requests: 1}, "i-2": {Requests: 8, Unread: 2000}})
+	b.SetLoads("x", map[string]Load{"i-1": {Requests: 1}, "i-2": {Requests: 8, PendingPrefill: 2000}})
 	b.SetResponsive("x", "i-1", true)
 	later := start.Add(700 * time.Millisecond)
 	assert.Equal(t, len(b.SilentTargets(later)), 0)
@@ -270,7 +270,7 @@
 // others: one tries it.
 func TestSilentTargetIsTriedByOneRequest(t *testing.T) {
 	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
-	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, Unread: 2000}})
+	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, PendingPrefill: 2000}})
 	b.Suspect(start, "i-1")
 	now := start.Add(suspectFor)
 	c, _ := b.Pick(now, testService, demand(), nil)
@@ -284,7 +284,7 @@
 func TestOwnEvidenceGoesBeforeSuspicion(t *testing.T) {
 	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := b.Pick(start, testService, demand(), []string{"i-2"})
-	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, Unread: 2000}})
+	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, PendingPrefill: 2000}})
 	b.Suspect(start, "i-1")
 	b.RecordActivity(start.Add(10*time.Millisecond), c.Target, 1000)
 	assert.Equal(t, picked(b, start.Add(20*time.Millisecond)), "i-1")
--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -13,10 +13,10 @@
 // Load is what is in flight at a target.
 type Load struct {
 	Requests int // sent and not answered in full
-	Unread   int // prompt tokens of requests without a first event
+	PendingPrefill   int // prompt tokens of requests without a first event
 }
 
-func (l Load) add(o Load) Load { return Load{l.Requests + o.Requests, l.Unread + o.Unread} }
+func (l Load) add(o Load) Load { return Load{l.Requests + o.Requests, l.PendingPrefill + o.PendingPrefill} }
 
 // Demand is what a request asks of a target.
 type Demand struct {
@@ -58,12 +58,12 @@
 // first pass. With all slots taken it first waits until one is free.
 func forecastEngine(m *fleet.EngineModel, l Load, d Demand) Forecast {
 	pass := passTime(m, l.Requests+1)
-	f := Forecast{Wait: pass/2 + readTime(m, l.Unread), Turn: pass / 2}
+	f := Forecast{Wait: pass/2 + readTime(m, l.PendingPrefill), Turn: pass / 2}
 	if over := l.Requests + 1 - m.Slots; over > 0 {
 		f.Wait += time.Duration(over) * slotInterval(m, pass)
 	}
 	f.FirstEvent = f.Wait + readTime(m, d.Prompt) + pass
-	f.Gap = pass + readTime(m, l.Unread+d.Prompt)
+	f.Gap = pass + readTime(m, l.PendingPrefill+d.Prompt)
 	return f
 }
 
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -109,7 +109,7 @@
 func (t *Target) silenceLimit() time.Duration {
 	expected := t.health.latency
 	if t.model != nil {
-		expected = passTime(t.model, t.model.Slots) + readTime(t.model, t.load.Unread)
+		expected = passTime(t.model, t.model.Slots) + readTime(t.model, t.load.PendingPrefill)
 	}
 	return max(silentAfter, silentFactor*expected)
 }
--- a/dispatch/loads.go
+++ b/dispatch/loads.go
@@ -40,7 +40,7 @@
 	} else {
 		t.others[from] = l
 	}
-	t.load = Load{t.load.Requests + l.Requests - old.Requests, t.load.Unread + l.Unread - old.Unread}
+	t.load = Load{t.load.Requests + l.Requests - old.Requests, t.load.PendingPrefill + l.PendingPrefill - old.PendingPrefill}
 }
 
 // OwnLoads returns what this entry has in flight.
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -45,7 +45,7 @@
 	}
 	p.Granted = true
 	t.pace.count(now, r)
-	l := Load{Requests: 1, Unread: prompt}
+	l := Load{Requests: 1, PendingPrefill: prompt}
 	t.others[from] = t.others[from].add(l)
 	t.load = t.load.add(l)
 	return p
@@ -70,7 +70,7 @@
 func (b *Book) Cancel(t *Target, d Demand) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := Load{Requests: -1, Unread: -d.Prompt}
+	l := Load{Requests: -1, PendingPrefill: -d.Prompt}
 	t.own, t.load = t.own.add(l), t.load.add(l)
 	t.pace.takeBack()
 	b.notices.NotSent(notice.LifeOf(&t.Instance))
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -27,7 +27,7 @@
 	loads := make(map[string]dispatch.Load, len(l.Targets))
 	silence := !c.cfg.Off.Has(mechanism.SharedSilence)
 	for _, t := range l.Targets {
-		loads[t.Instance] = dispatch.Load{Requests: t.Requests, Unread: t.Unread}
+		loads[t.Instance] = dispatch.Load{Requests: t.Requests, PendingPrefill: t.Unread}
 		c.book.SetResponsive(from, t.Instance, t.Heard && silence)
 		if silence && t.Silent && c.book.Suspect(clock.Now(), t.Instance) {
 			c.log.WithFields(logrus.Fields{"target": t.Instance, "peer": from}).Info("Target silent for another entry.")
@@ -113,7 +113,7 @@
 	out := make([]peer.TargetLoad, 0, len(own)+len(silent))
 	for id, l := range own {
 		_, found := slices.BinarySearch(silent, id)
-		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, Unread: l.Unread, Silent: found, Heard: heard[id]})
+		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, Unread: l.PendingPrefill, Silent: found, Heard: heard[id]})
 	}
 	for _, id := range silent {
 		if _, listed := own[id]; !listed {
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -119,7 +119,7 @@
 	f := logrus.Fields{"request": x.call.ID, "service": x.service, "verdict": v.String(), "avoid": len(x.avoid),
 		"standing": d.Standing.String()}
 	if c.Target != nil {
-		f["target"], f["load"], f["unread"] = c.Instance.ID, c.Load.Requests, c.Load.Unread
+		f["target"], f["load"], f["unread"] = c.Instance.ID, c.Load.Requests, c.Load.PendingPrefill
 		f["forecast_ms"], f["forecast_wait_ms"] = c.Forecast.FirstEvent.Milliseconds(), c.Forecast.Wait.Milliseconds()
 		f["max_wait_ms"], f["max_load"] = c.Admission.MaxWait.Milliseconds(), c.Admission.MaxLoad
 	}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -192,7 +192,7 @@
 		f["team"] = x.team.Name
 	}
 	if x.target != "" {
-		f["target"], f["load"], f["unread"] = x.target, x.choice.Load.Requests, x.choice.Load.Unread
+		f["target"], f["load"], f["unread"] = x.target, x.choice.Load.Requests, x.choice.Load.PendingPrefill
 		f["forecast_ms"] = x.choice.Forecast.FirstEvent.Milliseconds()
 	}
 	if x.sends > 0 || x.finding != nil {
