--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -44,7 +44,7 @@
 	if a.MaxGap > 0 && f.Gap > a.MaxGap && l.PendingPrefill > 0 {
 		return false // alone, a prompt must be read at some time
 	}
-	return f.Wait <= max(a.MaxWait, f.Turn)
+	return f.Wait <= max(a.MaxWait, f.IdleWait)
 }
 
 // overdueReserve is one slot in so many that overdue requests leave free, and
--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -31,7 +31,7 @@
 // Forecast is what is expected of a request at a target.
 type Forecast struct {
 	Wait       time.Duration // until the target begins with it
-	Turn       time.Duration // the part of Wait that an idle target takes too
+	IdleWait       time.Duration // the part of Wait that an idle target takes too
 	FirstEvent time.Duration // until its first event or its answer
 	Gap        time.Duration // longest pause it causes between events of others
 }
@@ -58,7 +58,7 @@
 // first pass. With all slots taken it first waits until one is free.
 func forecastEngine(m *fleet.EngineModel, l Load, d Demand) Forecast {
 	pass := passTime(m, l.Requests+1)
-	f := Forecast{Wait: pass/2 + readTime(m, l.PendingPrefill), Turn: pass / 2}
+	f := Forecast{Wait: pass/2 + readTime(m, l.PendingPrefill), IdleWait: pass / 2}
 	if over := l.Requests + 1 - m.Slots; over > 0 {
 		f.Wait += time.Duration(over) * slotInterval(m, pass)
 	}
