--- a/gateway/run.go
+++ b/gateway/run.go
@@ -155,7 +155,7 @@
 	listed := x.g.cfg.Copy()
 	f := logrus.Fields{"request": x.call.ID, "target": c.Instance.ID, "addr": c.Instance.Addr, "load": c.Load.Requests,
 		"unread": c.Load.PendingPrefill, "forecast_ms": c.Forecast.FirstEvent.Milliseconds(), "wait_ms": x.waited.Milliseconds(),
-		"send": x.sends + 1, "content": x.content.String(), "entry": c.Entry, "copy": listed.Revision, "copy_age_ms": listed.Age.Milliseconds()}
+		"send": x.sends + 1, "content": x.content.String(), "entry": c.EntryRevision, "copy": listed.Revision, "copy_age_ms": listed.Age.Milliseconds()}
 	if c.Doubtful {
 		f["doubtful"] = true
 	}
