--- a/dispatch/pick.go
+++ b/dispatch/pick.go
@@ -34,7 +34,7 @@
 	// the list.
 	Instance fleet.Instance
 	EntryRevision    int64 // revision of the target's entry in the list, as the choice knew it
-	Doubtful bool  // its entry had vanished from the list
+	Unlisted bool  // its entry had vanished from the list
 	// Until is when the request must have begun at the target, because the time of the
 	// version that it serves is over; zero if it may begin at any time.
 	Until     time.Time
@@ -75,7 +75,7 @@
 			freeAt = earliest(freeAt, at)
 			continue
 		}
-		c := candidate{Choice: Choice{Target: t, Instance: t.Instance, EntryRevision: t.Revision, Doubtful: t.Doubtful, Forecast: b.forecast(t, d), Load: t.load,
+		c := candidate{Choice: Choice{Target: t, Instance: t.Instance, EntryRevision: t.Revision, Unlisted: t.Doubtful, Forecast: b.forecast(t, d), Load: t.load,
 			Limit: said.Limit, Paced: r.bounded}}
 		c.cost = c.Forecast.FirstEvent
 		if t.Domain != d.Domain && !b.cfg.Off.Has(mechanism.RemoteCost) {
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -156,7 +156,7 @@
 	f := logrus.Fields{"request": x.call.ID, "target": c.Instance.ID, "addr": c.Instance.Addr, "load": c.Load.Requests,
 		"unread": c.Load.PendingPrefill, "forecast_ms": c.Forecast.FirstEvent.Milliseconds(), "wait_ms": x.waited.Milliseconds(),
 		"send": x.sends + 1, "content": x.content.String(), "entry": c.EntryRevision, "copy": listed.Revision, "copy_age_ms": listed.Age.Milliseconds()}
-	if c.Doubtful {
+	if c.Unlisted {
 		f["doubtful"] = true
 	}
 	if c.Limit.Named {
