--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -143,7 +143,7 @@
 	until := func(avoid ...string) time.Time {
 		c, v := b.Pick(start.Add(3*time.Second), testService, demand(), avoid)
 		assert.Equal(t, v, Chosen)
-		return c.Until
+		return c.StartBy
 	}
 	assert.Assert(t, until("i-2", "i-3").IsZero(), "no newer version is named")
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, start)
--- a/dispatch/pick.go
+++ b/dispatch/pick.go
@@ -35,9 +35,9 @@
 	Instance fleet.Instance
 	EntryRevision    int64 // revision of the target's entry in the list, as the choice knew it
 	Unlisted bool  // its entry had vanished from the list
-	// Until is when the request must have begun at the target, because the time of the
+	// StartBy is when the request must have begun at the target, because the time of the
 	// version that it serves is over; zero if it may begin at any time.
-	Until     time.Time
+	StartBy     time.Time
 	Forecast  Forecast
 	Admission Admission
 	Load      Load         // at the target before the request
@@ -105,7 +105,7 @@
 		best = c
 		if c.Admission.admits(c.Load, c.Forecast) {
 			b.start(now, c.Target, d)
-			c.Until = b.servesUntil(c.Target)
+			c.StartBy = b.servesUntil(c.Target)
 			return c.Choice, Chosen
 		}
 	}
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -69,10 +69,10 @@
 // the target is not known when it is sent. Only a request that another target may run
 // is taken back.
 func (a *attempt) expireWithVersion() {
-	if a.choice.Until.IsZero() || !a.x.route.Idempotent() {
+	if a.choice.StartBy.IsZero() || !a.x.route.Idempotent() {
 		return
 	}
-	left := clock.Until(a.choice.Until) - a.x.g.cfg.TakeBack
+	left := clock.Until(a.choice.StartBy) - a.x.g.cfg.TakeBack
 	a.expiry = clock.AfterFunc(left, func() { a.cancel(errVersionOver) })
 }
 
