--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -61,7 +61,7 @@
 	sayLeaving(b, plain(1))
 	for _, id := range []string{"p-1", "p-2"} {
 		p := b.Reserve(start, "x", id, 1, Admission{MaxWait: time.Hour})
-		assert.Assert(t, !p.Granted && p.Told.Leaving, id)
+		assert.Assert(t, !p.Granted && p.Report.Leaving, id)
 	}
 }
 
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -40,7 +40,7 @@
 		home.MergeReport(now, b.ReportOf(c.Target.ID))
 		p := home.Reserve(now, "x", c.Target.ID, 0, Admission{MaxWait: time.Hour})
 		home.SetLoads("x", nil)
-		b.MergeReport(now, p.Told)
+		b.MergeReport(now, p.Report)
 		if !p.Granted {
 			b.Cancel(c.Target, demand())
 			b.BackOff(now, c.Target.ID, p.Wait)
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -21,7 +21,7 @@
 	Granted bool
 	Known   bool          // the home knows the target
 	Wait    time.Duration // until the target takes one more; zero if that is not why
-	Told    notice.Told   // what the home believes of the target
+	Report    notice.Told   // what the home believes of the target
 }
 
 // Reserve decides for another entry whether one more request with so long a
@@ -36,11 +36,11 @@
 	if t == nil {
 		return Place{Granted: true}
 	}
-	p := Place{Known: true, Told: notice.Told{Life: notice.LifeOf(&t.Instance), Belief: b.said(t)}}
-	p.Told.Leaving = b.leaving(t)
-	r := t.rate(now, p.Told.Limit)
+	p := Place{Known: true, Report: notice.Told{Life: notice.LifeOf(&t.Instance), Belief: b.said(t)}}
+	p.Report.Leaving = b.leaving(t)
+	r := t.rate(now, p.Report.Limit)
 	p.Wait = max(t.pace.next(now, r).Sub(now), 0)
-	if p.Wait > 0 || p.Told.Leaving || b.policy.Evacuated(t.Domain) || !a.admits(t.load, b.forecast(t, Demand{Prompt: prompt})) {
+	if p.Wait > 0 || p.Report.Leaving || b.policy.Evacuated(t.Domain) || !a.admits(t.load, b.forecast(t, Demand{Prompt: prompt})) {
 		return p
 	}
 	p.Granted = true
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -102,7 +102,7 @@
 		MaxWait: time.Duration(q.MaxWaitMs) * time.Millisecond, MaxGap: time.Duration(q.MaxGapMs) * time.Millisecond,
 		MaxLoad: q.MaxLoad})
 	// The asker does not wait long for an answer.
-	_ = s.SendLast(ctx, &peer.ReserveReply{Granted: p.Granted, Known: p.Known, WaitMs: milliseconds(p.Wait), Notice: peer.EncodeNotice(p.Told)})
+	_ = s.SendLast(ctx, &peer.ReserveReply{Granted: p.Granted, Known: p.Known, WaitMs: milliseconds(p.Wait), Notice: peer.EncodeNotice(p.Report)})
 }
 
 // home returns the entry that decides who may use a target.
