--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -16,8 +16,8 @@
 	PlaceHeld                // the target takes no more, or not yet, and is left alone meanwhile
 )
 
-// Place is a home's answer to an entry that wants to send a request to a target.
-type Place struct {
+// ReserveResult is a home's answer to an entry that wants to send a request to a target.
+type ReserveResult struct {
 	Granted bool
 	Known   bool          // the home knows the target
 	Wait    time.Duration // until the target takes one more; zero if that is not why
@@ -29,14 +29,14 @@
 // as that entry's load until its next account. A target that is not known here is
 // granted: the asker may know better. In a failure domain that is evacuated by now none
 // is granted.
-func (b *Book) Reserve(now time.Time, from, instance string, prompt int, a Admission) Place {
+func (b *Book) Reserve(now time.Time, from, instance string, prompt int, a Admission) ReserveResult {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.byID[instance]
 	if t == nil {
-		return Place{Granted: true}
+		return ReserveResult{Granted: true}
 	}
-	p := Place{Known: true, Report: notice.Told{Life: notice.LifeOf(&t.Instance), Belief: b.said(t)}}
+	p := ReserveResult{Known: true, Report: notice.Told{Life: notice.LifeOf(&t.Instance), Belief: b.said(t)}}
 	p.Report.Leaving = b.leaving(t)
 	r := t.rate(now, p.Report.Limit)
 	p.Wait = max(t.pace.next(now, r).Sub(now), 0)
