--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -11,7 +11,7 @@
 
 // Reservations.
 const (
-	PlaceGranted Reservation = iota
+	ReservationGranted Reservation = iota
 	PlaceDenied              // the target is too loaded by now
 	PlaceHeld                // the target takes no more, or not yet, and is left alone meanwhile
 )
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -55,7 +55,7 @@
 type granted struct{}
 
 func (granted) Reserve(context.Context, dispatch.Choice, int) dispatch.Reservation {
-	return dispatch.PlaceGranted
+	return dispatch.ReservationGranted
 }
 
 // target is a fake target that notes what reached it.
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -66,7 +66,7 @@
 			return choice, verdict
 		}
 		reservation := x.g.homes.Reserve(ctx, choice, d.Prompt)
-		if reservation == dispatch.PlaceGranted {
+		if reservation == dispatch.ReservationGranted {
 			return choice, dispatch.Chosen
 		}
 		x.g.book.Cancel(choice.Target, d)
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -41,7 +41,7 @@
 	t := c.Instance
 	home := r.mesh.home(t.ID, t.Domain)
 	if r.off || home == r.mesh.self.Addr {
-		return dispatch.PlaceGranted // the own book has decided
+		return dispatch.ReservationGranted // the own book has decided
 	}
 	reply, ok := r.ask(ctx, home, c, prompt)
 	if !ok {
@@ -56,7 +56,7 @@
 		return r.unsure(c)
 	case reply.Granted:
 		r.granted.Inc(1)
-		return dispatch.PlaceGranted
+		return dispatch.ReservationGranted
 	}
 	r.denied.Inc(1)
 	switch {
@@ -73,7 +73,7 @@
 // takes a bounded rate must be known.
 func (r *Reserver) unsure(c dispatch.Choice) dispatch.Reservation {
 	if !c.Paced {
-		return dispatch.PlaceGranted
+		return dispatch.ReservationGranted
 	}
 	r.book.BackOffUnanswered(clock.Now(), c.Instance.ID)
 	return dispatch.PlaceHeld
--- a/mesh/reserve_test.go
+++ b/mesh/reserve_test.go
@@ -72,7 +72,7 @@
 	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(target), 10), dispatch.PlaceHeld, "nobody to ask")
 	choice := paced(target)
 	choice.Paced = false
-	assert.Equal(t, asker.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted)
+	assert.Equal(t, asker.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationGranted)
 }
 
 // Entries tell each other of limits in their accounts.
