--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -12,7 +12,7 @@
 // Reservations.
 const (
 	ReservationGranted Reservation = iota
-	PlaceDenied              // the target is too loaded by now
+	ReservationDenied              // the target is too loaded by now
 	PlaceHeld                // the target takes no more, or not yet, and is left alone meanwhile
 )
 
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -206,7 +206,7 @@
 	b.homes.timeout = time.Minute
 	choice := dispatch.Choice{Instance: *instance, Admission: dispatch.Admission{MaxWait: 100 * time.Millisecond}}
 	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationGranted)
-	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceDenied, "the home has granted its only place")
+	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationDenied, "the home has granted its only place")
 	a.server.Close()
 	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationGranted, "nobody to ask")
 }
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -66,7 +66,7 @@
 		r.book.BackOff(clock.Now(), t.ID, time.Duration(reply.WaitMs)*time.Millisecond)
 		return dispatch.PlaceHeld
 	}
-	return dispatch.PlaceDenied
+	return dispatch.ReservationDenied
 }
 
 // unsure decides on a target whose home says nothing of it. What others send to one that
