--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -13,7 +13,7 @@
 const (
 	ReservationGranted Reservation = iota
 	ReservationDenied              // the target is too loaded by now
-	PlaceHeld                // the target takes no more, or not yet, and is left alone meanwhile
+	ReservationDeferred                // the target takes no more, or not yet, and is left alone meanwhile
 )
 
 // ReserveResult is a home's answer to an entry that wants to send a request to a target.
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -71,7 +71,7 @@
 		}
 		x.g.book.Cancel(choice.Target, d)
 		x.denied++
-		goOn := reservation == dispatch.PlaceHeld && (held < maxHeld || clock.Now().Before(until))
+		goOn := reservation == dispatch.ReservationDeferred && (held < maxHeld || clock.Now().Before(until))
 		if !goOn || ctx.Err() != nil {
 			return choice, dispatch.Saturated
 		}
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -61,10 +61,10 @@
 	r.denied.Inc(1)
 	switch {
 	case reply.Notice.Leaving:
-		return dispatch.PlaceHeld
+		return dispatch.ReservationDeferred
 	case reply.WaitMs > 0:
 		r.book.BackOff(clock.Now(), t.ID, time.Duration(reply.WaitMs)*time.Millisecond)
-		return dispatch.PlaceHeld
+		return dispatch.ReservationDeferred
 	}
 	return dispatch.ReservationDenied
 }
@@ -76,7 +76,7 @@
 		return dispatch.ReservationGranted
 	}
 	r.book.BackOffUnanswered(clock.Now(), c.Instance.ID)
-	return dispatch.PlaceHeld
+	return dispatch.ReservationDeferred
 }
 
 // ask asks a home for a place; ok is false if it does not answer in time.
--- a/mesh/reserve_test.go
+++ b/mesh/reserve_test.go
@@ -48,7 +48,7 @@
 func TestHomeLearnsALimitFromTheAsker(t *testing.T) {
 	home, asker, target := homeAndAsker(t)
 	nameLimit(asker, target, 1)
-	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(target), 10), dispatch.PlaceHeld)
+	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(target), 10), dispatch.ReservationDeferred)
 	assert.Equal(t, home.book.ReportOf(target.ID).Limit.PerS, 1.0)
 }
 
@@ -57,7 +57,7 @@
 	nameLimit(home, target, 1)
 	choice := paced(target)
 	choice.Paced = false
-	assert.Equal(t, asker.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceHeld)
+	assert.Equal(t, asker.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationDeferred)
 	assert.Equal(t, asker.book.ReportOf(target.ID).Limit.PerS, 1.0)
 }
 
@@ -67,9 +67,9 @@
 	home, asker, target := homeAndAsker(t)
 	unknown := *target
 	unknown.ID = homedAt(asker, home, "unknown")
-	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(&unknown), 10), dispatch.PlaceHeld, "a home that does not know it")
+	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(&unknown), 10), dispatch.ReservationDeferred, "a home that does not know it")
 	home.server.Close()
-	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(target), 10), dispatch.PlaceHeld, "nobody to ask")
+	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(target), 10), dispatch.ReservationDeferred, "nobody to ask")
 	choice := paced(target)
 	choice.Paced = false
 	assert.Equal(t, asker.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationGranted)
