--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -17,7 +17,7 @@
 type EngineState struct {
 	Version int // served whole; 0 is none
 	Loading bool
-	Born    int64 // of the engine that it is about; 0 if not known
+	StartMs    int64 // of the engine that it is about; 0 if not known
 }
 
 // Target is one instance with what an entry knows of it. Its fields are
--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -95,7 +95,7 @@
 	first, second, other := engine(1, 1), engine(1, 0), engine(2, 1)
 	first.Born, second.Born = 1000, 2000
 	b := book(engineModel(), Config{}, first)
-	b.SetState(first.Addr, EngineState{Version: 1, Born: 1000})
+	b.SetState(first.Addr, EngineState{Version: 1, StartMs: 1000})
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5, PendingPrefill: 3000}})
 	c, v := b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
@@ -103,11 +103,11 @@
 	services := map[string]*fleet.Service{testService: {Name: testService, Engine: engineModel()}}
 	b.Apply([]*fleet.Instance{second}, services)
 	assert.Equal(t, picked(b, start), "no_target", "it holds nothing yet, whatever its agent said before")
-	b.SetState(second.Addr, EngineState{Version: 1, Born: 2000})
+	b.SetState(second.Addr, EngineState{Version: 1, StartMs: 2000})
 	c, v = b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
 	assert.Equal(t, c.Load, Load{}, "no load of before")
-	b.SetState(second.Addr, EngineState{Version: 0, Born: 3000})
+	b.SetState(second.Addr, EngineState{Version: 0, StartMs: 3000})
 	b.Apply([]*fleet.Instance{second, other}, services)
 	assert.Equal(t, picked(b, start), "i-2", "the agent knows of a later life than the list")
 }
--- a/dispatch/pick.go
+++ b/dispatch/pick.go
@@ -176,7 +176,7 @@
 // serving returns the version that an engine serves whole, and whether it loads one, by
 // its agent or else by the list.
 func (b *Book) serving(t *Target) (version int, loading bool) {
-	if s, said := b.states[t.Addr]; said && (s.Born >= t.Born || s.Born == 0) { // else of an earlier life
+	if s, said := b.states[t.Addr]; said && (s.StartMs >= t.Born || s.StartMs == 0) { // else of an earlier life
 		return s.Version, s.Loading
 	}
 	return t.Holds(t.model), false
