--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -60,7 +60,7 @@
 // size: if each tested its own objective, the load would settle where the
 // loosest just fits, and shut out the others.
 func (b *Book) admission(now time.Time, t *Target, demands *demands, d Demand) Admission {
-	a := Admission{MaxWait: b.commonWait(t, demands, d), MaxGap: time.Duration(b.cfg.AdmitGap * float64(d.MaxGap))}
+	a := Admission{MaxWait: b.commonWait(t, demands, d), MaxGap: time.Duration(b.cfg.AdmitGapFraction * float64(d.MaxGap))}
 	switch d.Standing {
 	case Overdue:
 		if demands.overloaded(now) {
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -17,9 +17,9 @@
 	// forecast of a mean request may take. The rest covers the way to the
 	// caller and what the forecast does not see. Default 0.75.
 	Admit float64
-	// AdmitGap is the part of the longest pause that the forecast may take.
+	// AdmitGapFraction is the part of the longest pause that the forecast may take.
 	// Default 0.8.
-	AdmitGap float64
+	AdmitGapFraction float64
 	// RemoteCost is added to the forecast at targets of other failure
 	// domains: the longer way, and bytes that are paid for. Default 15 ms.
 	RemoteCost time.Duration
@@ -37,7 +37,7 @@
 
 func (c Config) applyDefaults() Config {
 	c.Admit = cmp.Or(c.Admit, 0.75)
-	c.AdmitGap = cmp.Or(c.AdmitGap, 0.8)
+	c.AdmitGapFraction = cmp.Or(c.AdmitGapFraction, 0.8)
 	c.RemoteCost = cmp.Or(c.RemoteCost, 15*time.Millisecond)
 	c.Sample = cmp.Or(c.Sample, 64)
 	c.VersionMargin = cmp.Or(c.VersionMargin, time.Second)
