--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -103,7 +103,7 @@
 	if t.model != nil {
 		service = passTime(t.model, t.model.Slots) + readTime(t.model, prompt)
 	}
-	return max(time.Duration(b.cfg.Admit*float64(objective))-service, 0)
+	return max(time.Duration(b.cfg.AdmitFraction*float64(objective))-service, 0)
 }
 
 // RecordArrival notes a new request for a service before a target is chosen. It returns
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -13,10 +13,10 @@
 	Off mechanism.Off
 	// Regions are the regions of the failure domains.
 	Regions map[string]string
-	// Admit is the part of the tightest objective of a service that the
+	// AdmitFraction is the part of the tightest objective of a service that the
 	// forecast of a mean request may take. The rest covers the way to the
 	// caller and what the forecast does not see. Default 0.75.
-	Admit float64
+	AdmitFraction float64
 	// AdmitGapFraction is the part of the longest pause that the forecast may take.
 	// Default 0.8.
 	AdmitGapFraction float64
@@ -36,7 +36,7 @@
 }
 
 func (c Config) applyDefaults() Config {
-	c.Admit = cmp.Or(c.Admit, 0.75)
+	c.AdmitFraction = cmp.Or(c.AdmitFraction, 0.75)
 	c.AdmitGapFraction = cmp.Or(c.AdmitGapFraction, 0.8)
 	c.RemoteCost = cmp.Or(c.RemoteCost, 15*time.Millisecond)
 	c.Sample = cmp.Or(c.Sample, 64)
--- a/dispatch/oracle_test.go
+++ b/dispatch/oracle_test.go
@@ -20,7 +20,7 @@
 // sums.
 func TestLoadOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := book(engineModel(), Config{Admit: 100, AdmitGapFraction: 100}, engine(0, 1), engine(1, 1), engine(2, 1))
+		b := book(engineModel(), Config{AdmitFraction: 100, AdmitGapFraction: 100}, engine(0, 1), engine(1, 1), engine(2, 1))
 		var flights []flight
 		others := map[string]map[string]Load{}
 		t.Repeat(map[string]func(*rapid.T){
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -170,7 +170,7 @@
 	for range entries {
 		e := engine(1, 1)
 		e.ColdFor, e.ColdUntil = coldFor, start.Add(coldFor)
-		b := book(engineModel(), Config{Admit: 100, AdmitGapFraction: 100})
+		b := book(engineModel(), Config{AdmitFraction: 100, AdmitGapFraction: 100})
 		b.Apply([]*fleet.Instance{e}, map[string]*fleet.Service{testService: {Name: testService, Engine: engineModel(), ColdRate: perS}})
 		books = append(books, b)
 	}
