--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -23,8 +23,8 @@
 	// RemoteCost is added to the forecast at targets of other failure
 	// domains: the longer way, and bytes that are paid for. Default 15 ms.
 	RemoteCost time.Duration
-	// Sample is how many targets are looked at for one choice. Default 64.
-	Sample int
+	// SampleSize is how many targets are looked at for one choice. Default 64.
+	SampleSize int
 	// VersionTimeout is the time in which a new version must be served
 	// everywhere; zero is no limit. VersionMargin is how much sooner engines
 	// with an older one get no more requests, since those may wait there
@@ -39,7 +39,7 @@
 	c.AdmitFraction = cmp.Or(c.AdmitFraction, 0.75)
 	c.AdmitGapFraction = cmp.Or(c.AdmitGapFraction, 0.8)
 	c.RemoteCost = cmp.Or(c.RemoteCost, 15*time.Millisecond)
-	c.Sample = cmp.Or(c.Sample, 64)
+	c.SampleSize = cmp.Or(c.SampleSize, 64)
 	c.VersionMargin = cmp.Or(c.VersionMargin, time.Second)
 	c.PlainLatency = cmp.Or(c.PlainLatency, 50*time.Millisecond)
 	return c
--- a/dispatch/pick.go
+++ b/dispatch/pick.go
@@ -60,7 +60,7 @@
 	start := b.rng.IntN(n)
 	allowed := 0
 	var freeAt time.Time
-	for k := 0; k < n && allowed < b.cfg.Sample; k++ {
+	for k := 0; k < n && allowed < b.cfg.SampleSize; k++ {
 		t := targets[(start+k)%n]
 		if !b.policy.Allows(t.Domain, d.Homes) {
 			continue
--- a/dispatch/residency_test.go
+++ b/dispatch/residency_test.go
@@ -89,7 +89,7 @@
 	}
 	home := engine(99, 1)
 	home.Domain = "c"
-	b := book(engineModel(), Config{Sample: 2, Regions: regions()}, append(list, home)...)
+	b := book(engineModel(), Config{SampleSize: 2, Regions: regions()}, append(list, home)...)
 	d := demand()
 	d.Homes.Route = []string{"C"}
 	assert.DeepEqual(t, domainsOf(t, b, d), map[string]bool{"c": true})
