--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -25,7 +25,7 @@
 	MaxGap    time.Duration // longest pause between events; zero for none
 	Domain    string        // failure domain of the entry
 	Standing  Standing
-	Homes     residency.Homes
+	HomeRegions     residency.Homes
 }
 
 // Forecast is what is expected of a request at a target.
--- a/dispatch/pick.go
+++ b/dispatch/pick.go
@@ -62,7 +62,7 @@
 	var freeAt time.Time
 	for k := 0; k < n && allowed < b.cfg.SampleSize; k++ {
 		t := targets[(start+k)%n]
-		if !b.policy.Allows(t.Domain, d.Homes) {
+		if !b.policy.Allows(t.Domain, d.HomeRegions) {
 			continue
 		}
 		allowed++
--- a/dispatch/residency_test.go
+++ b/dispatch/residency_test.go
@@ -45,7 +45,7 @@
 func TestRequestStaysInItsHomes(t *testing.T) {
 	for _, standing := range []Standing{Fresh, Overdue, Resumed} {
 		d := demand()
-		d.Standing, d.Homes = standing, residency.Homes{Route: []string{"B", "C"}, Team: []string{"C", "A"}}
+		d.Standing, d.HomeRegions = standing, residency.Homes{Route: []string{"B", "C"}, Team: []string{"C", "A"}}
 		b := spread(t)
 		assert.DeepEqual(t, domainsOf(t, b, d), map[string]bool{"c": true})
 		// The home alone is down or avoided: no other domain takes its place.
@@ -53,7 +53,7 @@
 		// The last resort is at home too.
 		b.Finish(start, b.byID["i-2"], Result{ConnectFailed: true})
 		assert.DeepEqual(t, domainsOf(t, b, d, "i-5"), map[string]bool{"c": true})
-		d.Homes.Team = []string{"A"}
+		d.HomeRegions.Team = []string{"A"}
 		assert.DeepEqual(t, domainsOf(t, b, d), map[string]bool{"no_domain": true})
 	}
 }
@@ -91,7 +91,7 @@
 	home.Domain = "c"
 	b := book(engineModel(), Config{SampleSize: 2, Regions: regions()}, append(list, home)...)
 	d := demand()
-	d.Homes.Route = []string{"C"}
+	d.HomeRegions.Route = []string{"C"}
 	assert.DeepEqual(t, domainsOf(t, b, d), map[string]bool{"c": true})
 }
 
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -96,7 +96,7 @@
 // demand is what the request asks of a target now.
 func (x *exchange) demand() dispatch.Demand {
 	d := dispatch.Demand{Prompt: x.call.Prompt, Objective: x.route.Objective, MaxGap: x.route.MaxGap, Domain: x.g.cfg.Domain,
-		Homes: x.homes()}
+		HomeRegions: x.homes()}
 	switch {
 	case x.started:
 		d.Standing = dispatch.Resumed
