--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -131,7 +131,7 @@
 func (s *fleetSim) offer(j *job) {
 	if s.guess != nil {
 		j.demand.Standing = Fresh
-		if s.guess.Returning(testService, j.until.Sub(s.now)) {
+		if s.guess.IsRetry(testService, j.until.Sub(s.now)) {
 			j.demand.Standing = Overdue
 		}
 	}
--- a/dispatch/returns.go
+++ b/dispatch/returns.go
@@ -58,8 +58,8 @@
 	t.usual = sorted[usualRank]
 }
 
-// Returning reports whether a request with so much time left is a repetition.
-func (r *Returns) Returning(route string, left time.Duration) bool {
+// IsRetry reports whether a request with so much time left is a repetition.
+func (r *Returns) IsRetry(route string, left time.Duration) bool {
 	if left <= 0 {
 		return false
 	}
--- a/dispatch/returns_test.go
+++ b/dispatch/returns_test.go
@@ -35,7 +35,7 @@
 		var first, mistaken, back, known int
 		for i := range callers {
 			left := firstTry(rng)
-			was := r.Returning("a", left)
+			was := r.IsRetry("a", left)
 			if i < returnSample {
 				continue
 			}
@@ -47,7 +47,7 @@
 				continue
 			}
 			back++
-			if r.Returning("a", left-RetryAfter(left, 0, part, spread, rng.Float64())) {
+			if r.IsRetry("a", left-RetryAfter(left, 0, part, spread, rng.Float64())) {
 				known++
 			}
 		}
@@ -58,11 +58,11 @@
 
 func TestReturningCallers(t *testing.T) {
 	r := NewReturns(1.0/3, 0.2)
-	assert.Assert(t, !r.Returning("a", 6*time.Second))
-	assert.Assert(t, !r.Returning("a", 5990*time.Millisecond))
-	assert.Assert(t, r.Returning("a", 4500*time.Millisecond))
-	assert.Assert(t, !r.Returning("b", 3*time.Second), "routes differ")
-	assert.Assert(t, !r.Returning("a", 0), "not said")
+	assert.Assert(t, !r.IsRetry("a", 6*time.Second))
+	assert.Assert(t, !r.IsRetry("a", 5990*time.Millisecond))
+	assert.Assert(t, r.IsRetry("a", 4500*time.Millisecond))
+	assert.Assert(t, !r.IsRetry("b", 3*time.Second), "routes differ")
+	assert.Assert(t, !r.IsRetry("a", 0), "not said")
 }
 
 // A few callers that wait longer than the others do not make these overdue.
@@ -74,21 +74,21 @@
 		if i%25 == 3 {
 			left = 12 * time.Second
 		}
-		if i >= returnSample && r.Returning("a", left) {
+		if i >= returnSample && r.IsRetry("a", left) {
 			overdue++
 		} else if i < returnSample {
-			r.Returning("a", left)
+			r.IsRetry("a", left)
 		}
 	}
 	assert.Equal(t, overdue, 0)
-	assert.Assert(t, r.Returning("a", 4*time.Second))
+	assert.Assert(t, r.IsRetry("a", 4*time.Second))
 }
 
 func BenchmarkReturning(b *testing.B) {
 	r := NewReturns(1.0/3, 0.2)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Returning("a", 6*time.Second)
+		r.IsRetry("a", 6*time.Second)
 	}
 }
 
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -92,7 +92,7 @@
 		left = x.call.Remaining
 	}
 	x.deadline = x.start.Add(left)
-	x.returning = x.g.returns.Returning(x.route.Name, x.call.Remaining)
+	x.returning = x.g.returns.IsRetry(x.route.Name, x.call.Remaining)
 	x.service = x.route.Shares[pickShare(x.route.Shares)].Service
 	return x.readBody()
 }
