--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -47,7 +47,7 @@
 	// times draws the time that a caller gives; nil: refused callers come back after 1 to
 	// 2 s. guess tells who comes back; nil: it is known.
 	times func(*rand.Rand) time.Duration
-	guess *Returns
+	guess *RetryDetector
 	burst func(now time.Time) float64 // factor of the arrivals
 
 	now     time.Time
@@ -265,7 +265,7 @@
 // under 0.6 of the share of all.
 func TestGuessedReturnsServeAsKnownOnes(t *testing.T) {
 	kinds := []callerKind{{400 * time.Millisecond, 1000, 90, 48}, {300 * time.Millisecond, 600, 60, 48}}
-	play := func(seed uint64, guess *Returns) (byKind []float64, all float64) {
+	play := func(seed uint64, guess *RetryDetector) (byKind []float64, all float64) {
 		s := newFleetSim(seed, 6, kinds)
 		s.times, s.guess = firstTry, guess
 		s.window = func(at time.Time) int { return min(int(at.Sub(start)/(4*time.Second)), 1) }
--- a/dispatch/returns.go
+++ b/dispatch/returns.go
@@ -19,12 +19,12 @@
 	usualRank = 28
 )
 
-// Returns tells callers that come back after a refusal from new ones by the time that
+// RetryDetector tells callers that come back after a refusal from new ones by the time that
 // they have left. Callers of a route may each start with a time of their own; one that
 // heeded Retry-After has lost a known part of it. A caller that comes back sooner is taken
 // for a new one, and a new one that gives far less time than the others for one that comes
 // back. Its methods may be called concurrently.
-type Returns struct {
+type RetryDetector struct {
 	// share is the part of a caller's time that it has left at most when it comes back.
 	share float64
 
@@ -34,8 +34,8 @@
 
 // NewReturns returns a guess for callers that are told to come back after a part of the
 // time that they have left, less up to spread of that.
-func NewReturns(part, spread float64) *Returns {
-	return &Returns{share: 1 - part*(1-spread), routes: map[string]*timesLeft{}}
+func NewReturns(part, spread float64) *RetryDetector {
+	return &RetryDetector{share: 1 - part*(1-spread), routes: map[string]*timesLeft{}}
 }
 
 // timesLeft are the times that a route's last callers had left.
@@ -59,7 +59,7 @@
 }
 
 // IsRetry reports whether a request with so much time left is a repetition.
-func (r *Returns) IsRetry(route string, left time.Duration) bool {
+func (r *RetryDetector) IsRetry(route string, left time.Duration) bool {
 	if left <= 0 {
 		return false
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -165,7 +165,7 @@
 	draining atomic.Bool
 	inflight atomic.Int64
 
-	returns *dispatch.Returns
+	returns *dispatch.RetryDetector
 	endings *endings
 
 	mu      sync.Mutex
