--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -274,7 +274,7 @@
 	}
 	for seed := range uint64(4) {
 		_, known := play(seed, nil)
-		kinds, guessed := play(seed, NewReturns(heededPart, heededSpread))
+		kinds, guessed := play(seed, NewRetryDetector(heededPart, heededSpread))
 		assert.Assert(t, known < 0.9, "no overload: %.3f in time", known)
 		assert.Assert(t, guessed >= 0.95*known, "seed %d: %.3f in time, %.3f if it is known who comes back", seed, guessed, known)
 		for i, share := range kinds {
--- a/dispatch/returns.go
+++ b/dispatch/returns.go
@@ -32,9 +32,9 @@
 	routes map[string]*timesLeft
 }
 
-// NewReturns returns a guess for callers that are told to come back after a part of the
+// NewRetryDetector returns a guess for callers that are told to come back after a part of the
 // time that they have left, less up to spread of that.
-func NewReturns(part, spread float64) *RetryDetector {
+func NewRetryDetector(part, spread float64) *RetryDetector {
 	return &RetryDetector{share: 1 - part*(1-spread), routes: map[string]*timesLeft{}}
 }
 
--- a/dispatch/returns_test.go
+++ b/dispatch/returns_test.go
@@ -31,7 +31,7 @@
 	const part, spread, callers = 1.0 / 3, 0.2, 20000
 	for _, refused := range []float64{0, 0.1, 0.3} {
 		rng := rand.New(rand.NewPCG(7, 1))
-		r := NewReturns(part, spread)
+		r := NewRetryDetector(part, spread)
 		var first, mistaken, back, known int
 		for i := range callers {
 			left := firstTry(rng)
@@ -57,7 +57,7 @@
 }
 
 func TestReturningCallers(t *testing.T) {
-	r := NewReturns(1.0/3, 0.2)
+	r := NewRetryDetector(1.0/3, 0.2)
 	assert.Assert(t, !r.IsRetry("a", 6*time.Second))
 	assert.Assert(t, !r.IsRetry("a", 5990*time.Millisecond))
 	assert.Assert(t, r.IsRetry("a", 4500*time.Millisecond))
@@ -67,7 +67,7 @@
 
 // A few callers that wait longer than the others do not make these overdue.
 func TestPatientCallersAreNotTheRule(t *testing.T) {
-	r := NewReturns(1.0/3, 0.2)
+	r := NewRetryDetector(1.0/3, 0.2)
 	overdue := 0
 	for i := range 500 {
 		left := 6 * time.Second
@@ -85,7 +85,7 @@
 }
 
 func BenchmarkReturning(b *testing.B) {
-	r := NewReturns(1.0/3, 0.2)
+	r := NewRetryDetector(1.0/3, 0.2)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.IsRetry("a", 6*time.Second)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -177,7 +177,7 @@
 func New(cfg Config, d Dialect, book *dispatch.Book, pool *targetconn.Pool, homes Reserver, stats *Stats, log logrus.FieldLogger) *Gateway {
 	cfg = cfg.applyDefaults()
 	return &Gateway{cfg: cfg, dialect: d, book: book, pool: pool, homes: homes, stats: stats, log: log,
-		returns: dispatch.NewReturns(cfg.RetryAfter, cfg.RetrySpread), endings: newEndings(cfg.Crashes, cfg.Host, log), budgets: map[string]*routing.Budget{}, entries: 1}
+		returns: dispatch.NewRetryDetector(cfg.RetryAfter, cfg.RetrySpread), endings: newEndings(cfg.Crashes, cfg.Host, log), budgets: map[string]*routing.Budget{}, entries: 1}
 }
 
 // SetConfig puts a configuration in force. Older versions are ignored.
