--- a/command/gateway.go
+++ b/command/gateway.go
@@ -43,7 +43,7 @@
 type entryProcess struct {
 	*onPlatform
 	gateway  *gateway.Gateway
-	book     *dispatch.Book
+	book     *dispatch.Balancer
 	conns    *targetconn.Pool
 	control  *gateway.Control
 	mesh     *mesh.Mesh
--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -59,7 +59,7 @@
 // service that can be in time accept the same wait, whatever their objective and
 // size: if each tested its own objective, the load would settle where the
 // loosest just fits, and shut out the others.
-func (b *Book) admission(now time.Time, t *Target, demands *demands, d Demand) Admission {
+func (b *Balancer) admission(now time.Time, t *Target, demands *demands, d Demand) Admission {
 	a := Admission{MaxWait: b.commonWait(t, demands, d), MaxGap: time.Duration(b.cfg.AdmitGapFraction * float64(d.MaxGap))}
 	switch d.Standing {
 	case Overdue:
@@ -84,7 +84,7 @@
 
 // commonWait is the longest wait at t with which a mean request of each objective
 // that the service's callers have is in time.
-func (b *Book) commonWait(t *Target, demands *demands, d Demand) time.Duration {
+func (b *Balancer) commonWait(t *Target, demands *demands, d Demand) time.Duration {
 	if b.cfg.Off.Has(mechanism.CommonWait) || demands == nil || len(demands.seen) == 0 {
 		return b.slack(t, d.Objective, d.Prompt)
 	}
@@ -98,7 +98,7 @@
 }
 
 // slack is how long a request may wait at t before it is served.
-func (b *Book) slack(t *Target, objective time.Duration, prompt int) time.Duration {
+func (b *Balancer) slack(t *Target, objective time.Duration, prompt int) time.Duration {
 	service := b.plainLatency(t)
 	if t.model != nil {
 		service = passTime(t.model, t.model.Slots) + readTime(t.model, prompt)
@@ -108,7 +108,7 @@
 
 // RecordArrival notes a new request for a service before a target is chosen. It returns
 // the tightest objective that the service's callers have.
-func (b *Book) RecordArrival(now time.Time, service string, d Demand) time.Duration {
+func (b *Balancer) RecordArrival(now time.Time, service string, d Demand) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.demandsOf(now, service)
@@ -123,7 +123,7 @@
 
 // RecordRefusal notes that a request was turned away because no target could serve it
 // in time.
-func (b *Book) RecordRefusal(now time.Time, service string, d Demand) {
+func (b *Balancer) RecordRefusal(now time.Time, service string, d Demand) {
 	if d.Standing != Fresh {
 		return
 	}
@@ -132,7 +132,7 @@
 	b.demandsOf(now, service).refusedAt = now
 }
 
-func (b *Book) demandsOf(now time.Time, service string) *demands {
+func (b *Balancer) demandsOf(now time.Time, service string) *demands {
 	s := b.demands[service]
 	if s == nil {
 		s = &demands{at: now}
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -19,7 +19,7 @@
 }
 
 // verdict is what a request is told, without being counted.
-func verdict(b *Book, d Demand) Verdict {
+func verdict(b *Balancer, d Demand) Verdict {
 	c, v := b.Pick(start, testService, d, nil)
 	if v == Chosen {
 		b.Cancel(c.Target, d)
--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -37,9 +37,9 @@
 	coldPerS float64
 }
 
-// Book holds the targets of all services. Its methods may be called
+// Balancer holds the targets of all services. Its methods may be called
 // concurrently.
-type Book struct {
+type Balancer struct {
 	cfg Config
 
 	mu       sync.Mutex
@@ -56,15 +56,15 @@
 }
 
 // NewBook returns an empty book.
-func NewBook(cfg Config, rng *rand.Rand) *Book {
-	return &Book{cfg: cfg.applyDefaults(), policy: residency.New(cfg.Regions, nil), services: map[string][]*Target{}, byID: map[string]*Target{},
+func NewBook(cfg Config, rng *rand.Rand) *Balancer {
+	return &Balancer{cfg: cfg.applyDefaults(), policy: residency.New(cfg.Regions, nil), services: map[string][]*Target{}, byID: map[string]*Target{},
 		demands: map[string]*demands{}, states: map[string]EngineState{}, versions: map[string]wantedVersions{}, notices: notice.NewTable(), rng: rng, changed: make(chan struct{})}
 }
 
 // Apply takes the list of instances and the services' cost models. Loads and
 // health of instances that remain are kept, but not from one life of a target to the
 // next under the same ID.
-func (b *Book) Apply(instances []*fleet.Instance, services map[string]*fleet.Service) {
+func (b *Balancer) Apply(instances []*fleet.Instance, services map[string]*fleet.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	byID := make(map[string]*Target, len(instances))
@@ -97,7 +97,7 @@
 
 // SetEvacuated replaces the failure domains that are evacuated. It returns how many of
 // them are in no region that is known.
-func (b *Book) SetEvacuated(domains []string) (unknown int) {
+func (b *Balancer) SetEvacuated(domains []string) (unknown int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.policy = residency.New(b.cfg.Regions, domains)
@@ -111,7 +111,7 @@
 }
 
 // SetState takes what the agent beside an engine says.
-func (b *Book) SetState(addr string, s EngineState) {
+func (b *Balancer) SetState(addr string, s EngineState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.states[addr] = s
@@ -119,25 +119,25 @@
 }
 
 // DeleteState drops what an agent said, because it is not heard any more.
-func (b *Book) DeleteState(addr string) {
+func (b *Balancer) DeleteState(addr string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.states, addr)
 }
 
 // Changed returns a channel that is closed when a target may have become free.
-func (b *Book) Changed() <-chan struct{} {
+func (b *Balancer) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
-func (b *Book) wake() {
+func (b *Balancer) wake() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-func (b *Book) start(now time.Time, t *Target, d Demand) {
+func (b *Balancer) start(now time.Time, t *Target, d Demand) {
 	l := Load{Requests: 1, PendingPrefill: d.Prompt}
 	t.own, t.load = t.own.add(l), t.load.add(l)
 	t.pace.count(now, t.rate(now, b.said(t).Limit))
@@ -148,7 +148,7 @@
 }
 
 // Silent reports whether a target with work has sent nothing for too long.
-func (b *Book) Silent(now time.Time, t *Target) bool {
+func (b *Balancer) Silent(now time.Time, t *Target) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return t.health.silent(now, t.silenceLimit())
@@ -156,7 +156,7 @@
 
 // RecordActivity notes that a target sent something. first is the prompt whose first
 // event came, or zero.
-func (b *Book) RecordActivity(now time.Time, t *Target, first int) {
+func (b *Balancer) RecordActivity(now time.Time, t *Target, first int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t.health.heard(now)
@@ -176,7 +176,7 @@
 }
 
 // Finish counts the end of a request.
-func (b *Book) Finish(now time.Time, t *Target, r Result) {
+func (b *Balancer) Finish(now time.Time, t *Target, r Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := Load{Requests: -1, PendingPrefill: -r.PendingPrefill}
@@ -210,7 +210,7 @@
 }
 
 // HasAddr reports whether a target has the address.
-func (b *Book) HasAddr(addr string) bool {
+func (b *Balancer) HasAddr(addr string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.addrs[addr]
@@ -218,7 +218,7 @@
 
 // ConnectionsLost returns how many requests of this entry lost their connection at a target. With
 // the end of the target they were lost because it ended, else the connection alone broke.
-func (b *Book) ConnectionsLost(instance string) int {
+func (b *Balancer) ConnectionsLost(instance string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.byID[instance]
@@ -230,7 +230,7 @@
 
 // Serving reports whether a target is listed and not leaving: one that leaves, or has
 // vanished from the list, ends by plan.
-func (b *Book) Serving(t *Target) bool {
+func (b *Balancer) Serving(t *Target) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.byID[t.ID] == t && !b.leaving(t) && !t.Doubtful
--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -29,7 +29,7 @@
 	return &fleet.Instance{ID: fmt.Sprintf("p-%d", i), Service: testService, Addr: fmt.Sprintf("10.0.1.%d:80", i), Domain: "a", Slots: 6}
 }
 
-func book(m *fleet.EngineModel, cfg Config, instances ...*fleet.Instance) *Book {
+func book(m *fleet.EngineModel, cfg Config, instances ...*fleet.Instance) *Balancer {
 	b := NewBook(cfg, rand.New(rand.NewPCG(1, 2)))
 	b.Apply(instances, map[string]*fleet.Service{testService: {Name: testService, Engine: m}})
 	return b
@@ -40,7 +40,7 @@
 }
 
 // picked returns the id of the choice, or the verdict.
-func picked(b *Book, now time.Time, avoid ...string) string {
+func picked(b *Balancer, now time.Time, avoid ...string) string {
 	c, v := b.Pick(now, testService, demand(), avoid)
 	if v != Chosen {
 		return v.String()
--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -10,7 +10,7 @@
 )
 
 // sayLeaving lets an entry hear that a target leaves.
-func sayLeaving(b *Book, i *fleet.Instance) {
+func sayLeaving(b *Balancer, i *fleet.Instance) {
 	b.RecordStatement(start, *i, notice.Statement{Leaving: true}, start)
 }
 
--- a/dispatch/loads.go
+++ b/dispatch/loads.go
@@ -6,7 +6,7 @@
 )
 
 // SetLoads replaces what another entry has in flight. An empty map forgets it.
-func (b *Book) SetLoads(from string, loads map[string]Load) {
+func (b *Balancer) SetLoads(from string, loads map[string]Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, t := range b.byID {
@@ -19,7 +19,7 @@
 }
 
 // UpdateLoads replaces what another entry has in flight at some targets.
-func (b *Book) UpdateLoads(from string, loads map[string]Load) {
+func (b *Balancer) UpdateLoads(from string, loads map[string]Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, l := range loads {
@@ -44,7 +44,7 @@
 }
 
 // OwnLoads returns what this entry has in flight.
-func (b *Book) OwnLoads() map[string]Load {
+func (b *Balancer) OwnLoads() map[string]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]Load{}
@@ -58,7 +58,7 @@
 
 // SilentTargets returns the targets whose silence other entries are to be told
 // of, in order.
-func (b *Book) SilentTargets(now time.Time) []string {
+func (b *Balancer) SilentTargets(now time.Time) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
@@ -73,7 +73,7 @@
 
 // ResponsiveTargets returns the targets with work of this entry that sent something
 // lately.
-func (b *Book) ResponsiveTargets(now time.Time) map[string]bool {
+func (b *Balancer) ResponsiveTargets(now time.Time) map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]bool{}
@@ -87,7 +87,7 @@
 
 // SetResponsive notes whether another entry hears a target. A single answer that got
 // lost makes a target silent for one entry only.
-func (b *Book) SetResponsive(from, instance string, heard bool) {
+func (b *Balancer) SetResponsive(from, instance string, heard bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.byID[instance]
@@ -102,7 +102,7 @@
 
 // Suspect notes that another entry finds a target silent. It reports whether
 // that is news.
-func (b *Book) Suspect(now time.Time, instance string) bool {
+func (b *Balancer) Suspect(now time.Time, instance string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.byID[instance]
--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -9,7 +9,7 @@
 
 // RecordStatement takes what an answer to a request that was sent at a time says of the target
 // that gave it.
-func (b *Book) RecordStatement(now time.Time, i fleet.Instance, s notice.Statement, sent time.Time) notice.Change {
+func (b *Balancer) RecordStatement(now time.Time, i fleet.Instance, s notice.Statement, sent time.Time) notice.Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := notice.LifeOf(&i)
@@ -25,7 +25,7 @@
 }
 
 // MergeReport takes what another entry believes of a target.
-func (b *Book) MergeReport(now time.Time, o notice.Told) notice.Change {
+func (b *Balancer) MergeReport(now time.Time, o notice.Told) notice.Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byID[o.Target] == nil {
@@ -40,7 +40,7 @@
 }
 
 // limitChanged takes up another limit of a target; the lock is held.
-func (b *Book) limitChanged(now time.Time, l notice.Life, before notice.Limit) {
+func (b *Balancer) limitChanged(now time.Time, l notice.Life, before notice.Limit) {
 	t := b.byID[l.Target]
 	if t != nil && fleet.SameLife(t.Born, l.Born) && !before.Named {
 		t.pace.spend(now, t.rate(now, b.said(t).Limit), 0)
@@ -49,14 +49,14 @@
 }
 
 // Reports returns what is believed of targets by what they say, for other entries.
-func (b *Book) Reports() []notice.Told {
+func (b *Balancer) Reports() []notice.Told {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.notices.All()
 }
 
 // ReportOf returns what is believed of the life of a target that is listed.
-func (b *Book) ReportOf(instance string) notice.Told {
+func (b *Balancer) ReportOf(instance string) notice.Told {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.byID[instance]
@@ -68,7 +68,7 @@
 
 // UpdateNotices takes which targets the list says to be leaving, and forgets what targets
 // said that have not been listed for long.
-func (b *Book) UpdateNotices(now time.Time) {
+func (b *Balancer) UpdateNotices(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, t := range b.byID {
@@ -80,13 +80,13 @@
 }
 
 // said is what a target is believed to have said of itself; the lock is held.
-func (b *Book) said(t *Target) notice.Belief { return b.notices.Of(notice.LifeOf(&t.Instance)) }
+func (b *Balancer) said(t *Target) notice.Belief { return b.notices.Of(notice.LifeOf(&t.Instance)) }
 
 // rest is what a target has asked of this entry; the lock is held.
-func (b *Book) rest(t *Target) notice.Rest { return b.notices.RestOf(notice.LifeOf(&t.Instance)) }
+func (b *Balancer) rest(t *Target) notice.Rest { return b.notices.RestOf(notice.LifeOf(&t.Instance)) }
 
 // leaving reports whether a target leaves, by the list or its own word; the lock is held.
-func (b *Book) leaving(t *Target) bool { return t.Draining || b.said(t).Leaving }
+func (b *Balancer) leaving(t *Target) bool { return t.Draining || b.said(t).Leaving }
 
 // found begins the pace of a target that is new to this entry, if it is cold.
 func (t *Target) found() {
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -39,7 +39,7 @@
 // engine reads all new prompts of a pass and then decodes Stride tokens of each
 // running request. Refused callers come back after 1 to 2 s.
 type fleetSim struct {
-	book    *Book
+	book    *Balancer
 	model   *fleet.EngineModel
 	rng     *rand.Rand
 	kinds   []callerKind
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -17,7 +17,7 @@
 
 // fleetOfBooks are entries of which the first is the home of the only target.
 type fleetOfBooks struct {
-	books []*Book
+	books []*Balancer
 	sent  []time.Time
 }
 
@@ -166,7 +166,7 @@
 // first engine that served, and granted all that it bears while it was cold.
 func TestEntriesThatStartTogetherDoNotOverfillAColdTarget(t *testing.T) {
 	const entries, perS, coldFor = 15, 26, 5 * time.Second
-	var books []*Book
+	var books []*Balancer
 	for range entries {
 		e := engine(1, 1)
 		e.ColdFor, e.ColdUntil = coldFor, start.Add(coldFor)
--- a/dispatch/pick.go
+++ b/dispatch/pick.go
@@ -48,7 +48,7 @@
 
 // Pick chooses a target of service and counts the request there; Finish must
 // follow. Instances in avoid are left out.
-func (b *Book) Pick(now time.Time, service string, d Demand, avoid []string) (Choice, Verdict) {
+func (b *Balancer) Pick(now time.Time, service string, d Demand, avoid []string) (Choice, Verdict) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	targets := b.services[service]
@@ -155,7 +155,7 @@
 
 // usable reports whether a target may get requests: an engine must hold all
 // layers of a version whose time is not over.
-func (b *Book) usable(now time.Time, t *Target) bool {
+func (b *Balancer) usable(now time.Time, t *Target) bool {
 	if t.Draining || t.gone {
 		return false
 	}
@@ -175,7 +175,7 @@
 
 // serving returns the version that an engine serves whole, and whether it loads one, by
 // its agent or else by the list.
-func (b *Book) serving(t *Target) (version int, loading bool) {
+func (b *Balancer) serving(t *Target) (version int, loading bool) {
 	if s, said := b.states[t.Addr]; said && (s.StartMs >= t.Born || s.StartMs == 0) { // else of an earlier life
 		return s.Version, s.Loading
 	}
@@ -184,7 +184,7 @@
 
 // servesUntil returns when the time of the version that a target serves is over; zero
 // if no newer one is named.
-func (b *Book) servesUntil(t *Target) time.Time {
+func (b *Balancer) servesUntil(t *Target) time.Time {
 	if t.model == nil || b.cfg.VersionTimeout == 0 {
 		return time.Time{}
 	}
@@ -192,13 +192,13 @@
 	return b.versions[t.model.Model].overAt(version, b.cfg.VersionTimeout)
 }
 
-func (b *Book) forecast(t *Target, d Demand) Forecast {
+func (b *Balancer) forecast(t *Target, d Demand) Forecast {
 	if t.model != nil {
 		return forecastEngine(t.model, t.load, d)
 	}
 	return forecastPlain(t.Slots, b.plainLatency(t), t.load)
 }
 
-func (b *Book) plainLatency(t *Target) time.Duration {
+func (b *Balancer) plainLatency(t *Target) time.Duration {
 	return cmp.Or(t.health.latency, b.cfg.PlainLatency)
 }
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -29,7 +29,7 @@
 // as that entry's load until its next account. A target that is not known here is
 // granted: the asker may know better. In a failure domain that is evacuated by now none
 // is granted.
-func (b *Book) Reserve(now time.Time, from, instance string, prompt int, a Admission) ReserveResult {
+func (b *Balancer) Reserve(now time.Time, from, instance string, prompt int, a Admission) ReserveResult {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.byID[instance]
@@ -52,7 +52,7 @@
 }
 
 // BackOff leaves a target alone for a time, because its home grants no place before.
-func (b *Book) BackOff(now time.Time, instance string, wait time.Duration) {
+func (b *Balancer) BackOff(now time.Time, instance string, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if t := b.byID[instance]; t != nil {
@@ -62,12 +62,12 @@
 
 // BackOffUnanswered leaves a target with a bounded rate alone, because its home did not
 // answer: what others send there is not known.
-func (b *Book) BackOffUnanswered(now time.Time, instance string) {
+func (b *Balancer) BackOffUnanswered(now time.Time, instance string) {
 	b.BackOff(now, instance, holdUnanswered)
 }
 
 // Cancel takes a choice back that was not followed.
-func (b *Book) Cancel(t *Target, d Demand) {
+func (b *Balancer) Cancel(t *Target, d Demand) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := Load{Requests: -1, PendingPrefill: -d.Prompt}
--- a/dispatch/residency_test.go
+++ b/dispatch/residency_test.go
@@ -11,7 +11,7 @@
 
 // spread returns a book with two engines in each of the failure domains a, b and c, which
 // are regions of their own.
-func spread(t *testing.T, evacuated ...string) *Book {
+func spread(t *testing.T, evacuated ...string) *Balancer {
 	t.Helper()
 	var list []*fleet.Instance
 	for i := range 6 {
@@ -27,7 +27,7 @@
 func regions() map[string]string { return map[string]string{"a": "A", "b": "B", "c": "C"} }
 
 // domainsOf returns the failure domains that 30 requests are sent to, one after the other.
-func domainsOf(t *testing.T, b *Book, d Demand, avoid ...string) map[string]bool {
+func domainsOf(t *testing.T, b *Balancer, d Demand, avoid ...string) map[string]bool {
 	t.Helper()
 	got := map[string]bool{}
 	for range 30 {
--- a/dispatch/rest_test.go
+++ b/dispatch/rest_test.go
@@ -10,7 +10,7 @@
 )
 
 // askRest lets an entry hear that a target turned a request away and asked for rest.
-func askRest(b *Book, now time.Time, i *fleet.Instance, d time.Duration) {
+func askRest(b *Balancer, now time.Time, i *fleet.Instance, d time.Duration) {
 	b.RecordStatement(now, *i, notice.Statement{Rest: d}, now)
 }
 
--- a/dispatch/versions.go
+++ b/dispatch/versions.go
@@ -45,7 +45,7 @@
 
 // SetVersion names the version of a model that is wanted since a time. That may be
 // corrected later, and a version may be learned of after a newer one.
-func (b *Book) SetVersion(v fleet.VersionTarget, since time.Time) {
+func (b *Balancer) SetVersion(v fleet.VersionTarget, since time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	w := b.versions[v.Model]
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -54,7 +54,7 @@
 	cfg     ControlConfig
 	addr    string // of this entry, for its peers
 	gateway *Gateway
-	book    *dispatch.Book
+	book    *dispatch.Balancer
 	decoder Decoder
 	table   *mirror.Table
 	outage  func() (down bool, ended time.Time)
@@ -93,7 +93,7 @@
 	Config  ControlConfig
 	Addr    string
 	Gateway *Gateway
-	Book    *dispatch.Book
+	Book    *dispatch.Balancer
 	Decoder Decoder
 	Table   *mirror.Table
 	Outage  func() (down bool, ended time.Time)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -155,7 +155,7 @@
 type Gateway struct {
 	cfg     Config
 	dialect Dialect
-	book    *dispatch.Book
+	book    *dispatch.Balancer
 	pool    *targetconn.Pool
 	homes   Reserver
 	stats   *Stats
@@ -174,7 +174,7 @@
 }
 
 // New returns a gateway that refuses all until it has a configuration.
-func New(cfg Config, d Dialect, book *dispatch.Book, pool *targetconn.Pool, homes Reserver, stats *Stats, log logrus.FieldLogger) *Gateway {
+func New(cfg Config, d Dialect, book *dispatch.Balancer, pool *targetconn.Pool, homes Reserver, stats *Stats, log logrus.FieldLogger) *Gateway {
 	cfg = cfg.applyDefaults()
 	return &Gateway{cfg: cfg, dialect: d, book: book, pool: pool, homes: homes, stats: stats, log: log,
 		returns: dispatch.NewRetryDetector(cfg.RetryAfter, cfg.RetrySpread), endings: newEndings(cfg.Crashes, cfg.Host, log), budgets: map[string]*routing.Budget{}, entries: 1}
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -22,7 +22,7 @@
 type node struct {
 	mesh   *Mesh
 	table  *mirror.Table
-	book   *dispatch.Book
+	book   *dispatch.Balancer
 	homes  *Reserver
 	server *peer.Server
 
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -17,7 +17,7 @@
 // gateway.Reserver.
 type Reserver struct {
 	mesh *Mesh
-	book *dispatch.Book
+	book *dispatch.Balancer
 	// timeout bounds the question. The way to another region and back takes
 	// 6 ms; a home that is slower is not waited for.
 	timeout time.Duration
@@ -30,7 +30,7 @@
 const reserveTimeout = 25 * time.Millisecond
 
 // NewReserver returns a reserver that answers for this entry's book.
-func NewReserver(m *Mesh, b *dispatch.Book, off mechanism.Off) *Reserver {
+func NewReserver(m *Mesh, b *dispatch.Balancer, off mechanism.Off) *Reserver {
 	counter := func(name string) metrics.Counter { return metrics.NewRegisteredCounter("mesh.places_"+name, m.metrics) }
 	return &Reserver{mesh: m, book: b, timeout: reserveTimeout, off: off.Has(mechanism.Homes),
 		granted: counter("granted"), denied: counter("denied"), unanswered: counter("unanswered")}
