--- a/command/gateway.go
+++ b/command/gateway.go
@@ -87,7 +87,7 @@
 	e := &entryProcess{onPlatform: p}
 	p.pool = peer.NewPool(p.hello(), e.servePeer, p.meter)
 	table := mirror.NewTable(platform.PrefixAll)
-	e.book = dispatch.NewBook(dispatch.Config{Off: off, Regions: s.Regions, VersionTimeout: s.VersionTimeout()}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	e.book = dispatch.NewBalancer(dispatch.Config{Off: off, Regions: s.Regions, VersionTimeout: s.VersionTimeout()}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	e.conns = targetconn.NewPool(targetconn.Config{})
 	crashes := quarantine.NewTable()
 	e.mesh = mesh.New(mesh.Options{Self: p.self, Seeds: s.Seeds, Pool: p.pool, Listener: e, Crashes: crashes,
--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -55,8 +55,8 @@
 	changed  chan struct{} // closed when a target may have become free
 }
 
-// NewBook returns an empty book.
-func NewBook(cfg Config, rng *rand.Rand) *Balancer {
+// NewBalancer returns an empty book.
+func NewBalancer(cfg Config, rng *rand.Rand) *Balancer {
 	return &Balancer{cfg: cfg.applyDefaults(), policy: residency.New(cfg.Regions, nil), services: map[string][]*Target{}, byID: map[string]*Target{},
 		demands: map[string]*demands{}, states: map[string]EngineState{}, versions: map[string]wantedVersions{}, notices: notice.NewTable(), rng: rng, changed: make(chan struct{})}
 }
--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -30,7 +30,7 @@
 }
 
 func book(m *fleet.EngineModel, cfg Config, instances ...*fleet.Instance) *Balancer {
-	b := NewBook(cfg, rand.New(rand.NewPCG(1, 2)))
+	b := NewBalancer(cfg, rand.New(rand.NewPCG(1, 2)))
 	b.Apply(instances, map[string]*fleet.Service{testService: {Name: testService, Engine: m}})
 	return b
 }
--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -68,7 +68,7 @@
 		engine := *assignModel
 		engine.Slots, engine.Stride, engine.PrefillRate = 8, 1, 1000
 		services := map[string]*fleet.Service{"svc": {Name: "svc", Engine: &engine}}
-		c.book = dispatch.NewBook(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
+		c.book = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 		c.book.Apply(c.list, services)
 		saw := time.Now()
 		time.Sleep(4600 * time.Millisecond)
@@ -102,7 +102,7 @@
 func TestGuessedAgeIsCorrectedByAnEntryThatSawIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := assigning(&fakeRelay{})
-		c.book = dispatch.NewBook(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
+		c.book = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 		c.want("svc", assignModel, 2, time.Now().Add(-8*time.Second), false)
 		assert.Equal(t, len(c.Announced(time.Now())), 0, "a guess is not told")
 		c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.SeenVersion{{Model: "m", Version: 2, AgeMs: 1500}}})
@@ -190,7 +190,7 @@
 		engine := *assignModel
 		engine.Slots, engine.Stride, engine.PrefillRate = 8, 1, 1000
 		services := map[string]*fleet.Service{"svc": {Name: "svc", Engine: &engine}}
-		c.book = dispatch.NewBook(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
+		c.book = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 		c.book.Apply(c.list, services)
 		c.setAssignment("svc", &assignment{model: assignModel, version: 1, since: time.Now()})
 		second := time.Now()
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -27,7 +27,7 @@
 // counted and harms nothing.
 func TestEvacuationsFollowTheCopy(t *testing.T) {
 	log, lines := test.NewNullLogger()
-	book := dispatch.NewBook(dispatch.Config{Regions: map[string]string{"a": "north", "b": "south"}}, rand.New(rand.NewPCG(1, 2)))
+	book := dispatch.NewBalancer(dispatch.Config{Regions: map[string]string{"a": "north", "b": "south"}}, rand.New(rand.NewPCG(1, 2)))
 	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), granted{}, NewStats(metrics.NewRegistry()), log)
 	c := NewControl(ControlOptions{Gateway: g, Book: book, Decoder: evacuationDecoder{}, Log: log})
 	book.Apply([]*fleet.Instance{{ID: "i-a", Service: "s", Domain: "a", Slots: 1}, {ID: "i-b", Service: "s", Domain: "b", Slots: 1}},
--- a/gateway/expiry_test.go
+++ b/gateway/expiry_test.go
@@ -24,7 +24,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	const timeout = time.Hour
-	book := dispatch.NewBook(dispatch.Config{VersionTimeout: timeout, VersionMargin: time.Nanosecond}, rand.New(rand.NewPCG(1, 2)))
+	book := dispatch.NewBalancer(dispatch.Config{VersionTimeout: timeout, VersionMargin: time.Nanosecond}, rand.New(rand.NewPCG(1, 2)))
 	model := &fleet.EngineModel{Model: "m", Slots: 16, Step: time.Millisecond, PrefillRate: 1e6, Stride: 1, MeanPrompt: 100, MeanAnswer: 20, Layers: 1}
 	var list []*fleet.Instance
 	for i, x := range engines {
--- a/gateway/foreign_test.go
+++ b/gateway/foreign_test.go
@@ -37,7 +37,7 @@
 	log.SetLevel(logrus.InfoLevel)
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
-	book := dispatch.NewBook(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
+	book := dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
 	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), granted{}, NewStats(metrics.NewRegistry()), quiet)
 	g.SetConfig(fleet.NewConfig(1, routes(), []*fleet.Service{{Name: "s"}}, nil, fleet.Limits{}))
 	c := NewControl(ControlOptions{Gateway: g, Book: book, Decoder: textDecoder{}, Log: log,
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -153,7 +153,7 @@
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	book := dispatch.NewBook(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
+	book := dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
 	var list []*fleet.Instance
 	for i, x := range targets {
 		// Targets after the first stand elsewhere, which costs a little.
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -38,7 +38,7 @@
 	t.Helper()
 	n := &node{table: mirror.NewTable(""), loads: map[string]int{}, engines: map[string]*peer.EngineState{},
 		assignments: make(chan peer.Assignment, 16), changed: make(chan struct{}),
-		book: dispatch.NewBook(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))}
+		book: dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))}
 	hello, meter := peer.Hello{Host: name}, &peer.Meter{}
 	self := peer.Presence{Host: name, Domain: "a", Incarnation: incarnation}
 	if agent {
