--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -7,64 +7,64 @@
 	"github.com/springgate/springgate/mechanism"
 )
 
-// Standing says what a request can still become, which decides who goes first
-// where not all can be served.
+// Standing classifies a request by what serving it can still achieve. It decides which requests
+// take precedence when capacity is short.
 type Standing uint8
 
 // Standings of a request.
 const (
 	// Fresh requests can be answered within their objective.
 	Fresh Standing = iota
-	// Overdue requests belong to callers that were refused before and can only
-	// be answered late. They get what fresh ones leave.
+	// Overdue requests are retries of refused callers and can only be answered after their
+	// objective. They get the capacity that fresh requests leave.
 	Overdue
-	// Resumed requests are streams of which the caller has a part. Ending one
-	// wastes what was done for it.
+	// Resumed requests are streams that have been partly delivered. Ending one wastes the work
+	// done for it.
 	Resumed
 )
 
 // String returns the name of the standing.
 func (s Standing) String() string { return [...]string{"fresh", "overdue", "resumed"}[s] }
 
-// Admission is the decision of a service on one request: what it accepts at a
-// target. An asker states it to the target's home, so that both decide alike.
+// Admission holds the limits under which a request is accepted at a target. An entry sends them
+// with its reservation request to the target's home, so that both apply the same limits.
 type Admission struct {
-	MaxWait time.Duration // until the target begins with it
-	MaxGap  time.Duration // longest pause of others; zero for no bound
-	MaxLoad int           // requests there before it; zero for no bound
+	MaxWait time.Duration // until the target starts on the request
+	MaxGap  time.Duration // longest gap between events of other streams; zero for no limit
+	MaxLoad int           // requests already at the target; zero for no limit
 }
 
-// admits reports whether a target with such a load and forecast may take the
-// request. One that would begin at once may take any fresh one: refusing it helps
-// nobody.
+// admits reports whether a target with the given load and forecast may take the request. A
+// target that would start on it immediately may always take it: refusing would not help any
+// other request.
 func (a Admission) admits(l Load, f Forecast) bool {
 	if a.MaxLoad > 0 && l.Requests >= a.MaxLoad {
 		return false
 	}
 	if a.MaxGap > 0 && f.Gap > a.MaxGap && l.PendingPrefill > 0 {
-		return false // alone, a prompt must be read at some time
+		return false // with no other prompt pending, a long one has to be accepted at some point
 	}
 	return f.Wait <= max(a.MaxWait, f.IdleWait)
 }
 
-// overdueReserve is one slot in so many that overdue requests leave free, and
-// overdueWait the part of the common wait that they accept. They answer sustained
-// overload: a slot that holds a late answer is missing for fresh requests.
+// Under sustained overload, overdue requests leave one in overdueReserve slots free and accept
+// only overdueWaitFraction of the common wait: a slot that is busy with a late response is not
+// available to fresh requests.
 const (
-	overdueReserve = 8
-	overdueWait    = 0.5
+	overdueReserve      = 8
+	overdueWaitFraction = 0.5
 )
 
-// admission returns the decision for a request that t may get. All requests of a
-// service that can be in time accept the same wait, whatever their objective and
-// size: if each tested its own objective, the load would settle where the
-// loosest just fits, and shut out the others.
-func (b *Balancer) admission(now time.Time, t *Target, demands *demands, d Demand) Admission {
-	a := Admission{MaxWait: b.commonWait(t, demands, d), MaxGap: time.Duration(b.cfg.AdmitGapFraction * float64(d.MaxGap))}
+// admission returns the limits for a request that may be sent to t. All requests of a service
+// that can still be in time accept the same wait, whatever their objective and size. If each
+// were tested against its own objective, the load would rise until only the loosest objectives
+// were met, and requests with tighter ones would starve.
+func (b *Balancer) admission(now time.Time, t *Target, stats *objectiveStats, d Demand) Admission {
+	a := Admission{MaxWait: b.commonWait(t, stats, d), MaxGap: time.Duration(b.cfg.AdmitGapFraction * float64(d.MaxGap))}
 	switch d.Standing {
 	case Overdue:
-		if demands.overloaded(now) {
-			a.MaxWait = time.Duration(overdueWait * float64(a.MaxWait))
+		if stats.overloaded(now) {
+			a.MaxWait = time.Duration(overdueWaitFraction * float64(a.MaxWait))
 			slots := t.slots()
 			a.MaxLoad = max(slots-(slots+overdueReserve-1)/overdueReserve, 1)
 		}
@@ -74,7 +74,7 @@
 	return a
 }
 
-// slots is how many requests the target works on at once.
+// slots returns how many requests the target processes concurrently.
 func (t *Target) slots() int {
 	if t.model != nil {
 		return t.model.Slots
@@ -82,36 +82,36 @@
 	return max(t.Slots, 1)
 }
 
-// commonWait is the longest wait at t with which a mean request of each objective
-// that the service's callers have is in time.
-func (b *Balancer) commonWait(t *Target, demands *demands, d Demand) time.Duration {
-	if b.cfg.Off.Has(mechanism.CommonWait) || demands == nil || len(demands.seen) == 0 {
+// commonWait returns the longest wait at t with which a request of mean size meets every
+// objective in use by the service's callers.
+func (b *Balancer) commonWait(t *Target, stats *objectiveStats, d Demand) time.Duration {
+	if b.cfg.Off.Has(mechanism.CommonWait) || stats == nil || len(stats.shares) == 0 {
 		return b.slack(t, d.Objective, d.Prompt)
 	}
 	least := time.Duration(math.MaxInt64)
-	for _, o := range demands.seen {
-		if o.count >= demandShare*demands.total {
+	for _, o := range stats.shares {
+		if o.count >= minObjectiveShare*stats.total {
 			least = min(least, b.slack(t, o.objective, o.meanPrompt()))
 		}
 	}
 	return least
 }
 
-// slack is how long a request may wait at t before it is served.
+// slack returns how long a request may wait at t and still meet its objective.
 func (b *Balancer) slack(t *Target, objective time.Duration, prompt int) time.Duration {
 	service := b.plainLatency(t)
 	if t.model != nil {
-		service = passTime(t.model, t.model.Slots) + readTime(t.model, prompt)
+		service = passTime(t.model, t.model.Slots) + prefillTime(t.model, prompt)
 	}
 	return max(time.Duration(b.cfg.AdmitFraction*float64(objective))-service, 0)
 }
 
-// RecordArrival notes a new request for a service before a target is chosen. It returns
-// the tightest objective that the service's callers have.
+// RecordArrival records a new request for a service before a target is chosen. It returns the
+// tightest objective in use by the service's callers.
 func (b *Balancer) RecordArrival(now time.Time, service string, d Demand) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	s := b.demandsOf(now, service)
+	s := b.objectivesOf(now, service)
 	if d.Standing == Fresh {
 		s.observe(now, d.Objective, d.Prompt)
 	}
@@ -121,22 +121,21 @@
 	return s.tightest(d.Objective)
 }
 
-// RecordRefusal notes that a request was turned away because no target could serve it
-// in time.
+// RecordRefusal records that a request was refused because no target could serve it in time.
 func (b *Balancer) RecordRefusal(now time.Time, service string, d Demand) {
 	if d.Standing != Fresh {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.demandsOf(now, service).refusedAt = now
+	b.objectivesOf(now, service).refusedAt = now
 }
 
-func (b *Balancer) demandsOf(now time.Time, service string) *demands {
-	s := b.demands[service]
+func (b *Balancer) objectivesOf(now time.Time, service string) *objectiveStats {
+	s := b.objectives[service]
 	if s == nil {
-		s = &demands{at: now}
-		b.demands[service] = s
+		s = &objectiveStats{at: now}
+		b.objectives[service] = s
 	}
 	return s
 }
--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -13,57 +13,55 @@
 	"github.com/springgate/springgate/residency"
 )
 
-// EngineState is what the agent beside an engine says about it.
+// EngineState is the state of an engine as reported by its agent.
 type EngineState struct {
-	Version int // served whole; 0 is none
+	Version int // fully loaded version; 0 if none
 	Loading bool
-	StartMs    int64 // of the engine that it is about; 0 if not known
+	StartMs int64 // start time of the engine in Unix milliseconds; 0 if unknown
 }
 
-// Target is one instance with what an entry knows of it. Its fields are
-// guarded by the Book.
+// Target is an instance together with this entry's view of it. Its fields are guarded by the
+// Balancer.
 type Target struct {
 	fleet.Instance
-	model  *fleet.EngineModel
-	own    Load
-	others map[string]Load // by entry
-	heard  map[string]bool // entries that hear it now
-	load   Load            // own and others
-	health health
-	gone   bool
-	lost   int // requests of this entry whose connection broke there
-	pace   pace
-	// coldPerS is how many requests a second it bears while it is cold; 0 for any number.
-	coldPerS float64
-}
-
-// Balancer holds the targets of all services. Its methods may be called
-// concurrently.
+	model           *fleet.EngineModel
+	own             Load
+	entryLoads      map[string]Load // by entry
+	responsiveTo    map[string]bool // entries that currently receive data from it
+	load            Load            // own plus entryLoads
+	health          health
+	replaced        bool
+	connectionsLost int // requests of this entry whose connection to the target was lost
+	pace            pacer
+	// coldRate is the request rate per second that a cold target can sustain; 0 for no limit.
+	coldRate float64
+}
+
+// Balancer chooses among the targets of all services. Its methods may be called concurrently.
 type Balancer struct {
 	cfg Config
 
-	mu       sync.Mutex
-	policy   *residency.Policy
-	services map[string][]*Target
-	byID     map[string]*Target
-	addrs    map[string]bool           // of all targets
-	demands  map[string]*demands       // by service
-	states   map[string]EngineState    // by address, from agents
-	versions map[string]wantedVersions // by model
-	notices  *notice.Table
-	rng      *rand.Rand
-	changed  chan struct{} // closed when a target may have become free
+	mu         sync.Mutex
+	policy     *residency.Policy
+	services   map[string][]*Target
+	byID       map[string]*Target
+	addrs      map[string]bool            // of all targets
+	objectives map[string]*objectiveStats // by service
+	states     map[string]EngineState     // by address, as reported by agents
+	versions   map[string]wantedVersions  // by model
+	notices    *notice.Table
+	rng        *rand.Rand
+	changed    chan struct{} // closed when a target may have become available
 }
 
-// NewBalancer returns an empty book.
+// NewBalancer returns a Balancer without targets.
 func NewBalancer(cfg Config, rng *rand.Rand) *Balancer {
 	return &Balancer{cfg: cfg.applyDefaults(), policy: residency.New(cfg.Regions, nil), services: map[string][]*Target{}, byID: map[string]*Target{},
-		demands: map[string]*demands{}, states: map[string]EngineState{}, versions: map[string]wantedVersions{}, notices: notice.NewTable(), rng: rng, changed: make(chan struct{})}
+		objectives: map[string]*objectiveStats{}, states: map[string]EngineState{}, versions: map[string]wantedVersions{}, notices: notice.NewTable(), rng: rng, changed: make(chan struct{})}
 }
 
-// Apply takes the list of instances and the services' cost models. Loads and
-// health of instances that remain are kept, but not from one life of a target to the
-// next under the same ID.
+// Apply replaces the list of instances and the services' cost models. The load and health of an
+// instance are kept while it stays listed, but not across a restart under the same ID.
 func (b *Balancer) Apply(instances []*fleet.Instance, services map[string]*fleet.Service) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -74,15 +72,15 @@
 		t := b.byID[i.ID]
 		isNew := t == nil || !fleet.SameLife(t.Born, i.Born)
 		if isNew {
-			t = &Target{others: map[string]Load{}, heard: map[string]bool{}}
+			t = &Target{entryLoads: map[string]Load{}, responsiveTo: map[string]bool{}}
 		}
 		t.Instance = *i
 		if s := services[i.Service]; s != nil {
 			t.model = s.Engine
-			t.coldPerS = s.ColdRate
+			t.coldRate = s.ColdRate
 		}
 		if isNew {
-			t.found()
+			t.initPace()
 		}
 		byID[i.ID] = t
 		addrs[i.Addr] = true
@@ -92,16 +90,16 @@
 		slices.SortFunc(l, func(x, y *Target) int { return cmp.Compare(x.ID, y.ID) })
 	}
 	b.byID, b.services, b.addrs = byID, lists, addrs
-	b.wake()
+	b.notifyChanged()
 }
 
-// SetEvacuated replaces the failure domains that are evacuated. It returns how many of
-// them are in no region that is known.
+// SetEvacuated replaces the set of evacuated failure domains. It returns how many of them have
+// no known region.
 func (b *Balancer) SetEvacuated(domains []string) (unknown int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.policy = residency.New(b.cfg.Regions, domains)
-	b.wake()
+	b.notifyChanged()
 	for _, d := range domains {
 		if b.cfg.Regions[d] == "" {
 			unknown++
@@ -110,72 +108,73 @@
 	return unknown
 }
 
-// SetState takes what the agent beside an engine says.
+// SetState records the state of an engine as reported by its agent.
 func (b *Balancer) SetState(addr string, s EngineState) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.states[addr] = s
-	b.wake()
+	b.notifyChanged()
 }
 
-// DeleteState drops what an agent said, because it is not heard any more.
+// DeleteState removes an engine's state because its agent no longer reports it.
 func (b *Balancer) DeleteState(addr string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	delete(b.states, addr)
 }
 
-// Changed returns a channel that is closed when a target may have become free.
+// Changed returns a channel that is closed when a target may have become available.
 func (b *Balancer) Changed() <-chan struct{} {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.changed
 }
 
-func (b *Balancer) wake() {
+func (b *Balancer) notifyChanged() {
 	close(b.changed)
 	b.changed = make(chan struct{})
 }
 
-func (b *Balancer) start(now time.Time, t *Target, d Demand) {
+func (b *Balancer) recordSend(now time.Time, t *Target, d Demand) {
 	l := Load{Requests: 1, PendingPrefill: d.Prompt}
 	t.own, t.load = t.own.add(l), t.load.add(l)
-	t.pace.count(now, t.rate(now, b.said(t).Limit))
+	t.pace.count(now, t.rate(now, b.stateOf(t).Limit))
 	b.notices.Sent(now, notice.LifeOf(&t.Instance))
 	if t.health.waitingSince.IsZero() {
 		t.health.waitingSince = now
 	}
 }
 
-// Silent reports whether a target with work has sent nothing for too long.
+// Silent reports whether a target with requests in flight has sent nothing for longer than its
+// limit.
 func (b *Balancer) Silent(now time.Time, t *Target) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return t.health.silent(now, t.silenceLimit())
 }
 
-// RecordActivity notes that a target sent something. first is the prompt whose first
-// event came, or zero.
+// RecordActivity records that a target sent data. first is the number of prompt tokens of the
+// request whose first event arrived, or zero.
 func (b *Balancer) RecordActivity(now time.Time, t *Target, first int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t.health.heard(now)
+	t.health.recordActivity(now)
 	l := Load{PendingPrefill: -first}
 	t.own, t.load = t.own.add(l), t.load.add(l)
 }
 
-// Result is how a request ended at a target.
+// Result describes how a request ended at a target.
 type Result struct {
-	PendingPrefill  int           // prompt tokens, if no first event came
-	Failed  bool          // the target failed it
-	ConnectFailed    bool          // no connection could be made
-	Replaced    bool          // another instance has the address
-	Silent  bool          // the target sent nothing at the end
-	ConnectionLost    bool          // the connection broke before the answer was whole
-	Latency time.Duration // of a whole answer; zero if there was none
+	PendingPrefill int           // prompt tokens, if no first event arrived
+	Failed         bool          // the target failed the request
+	ConnectFailed  bool          // no connection could be established
+	Replaced       bool          // another instance uses the address
+	Silent         bool          // the target had stopped sending
+	ConnectionLost bool          // the connection broke before the response was complete
+	Latency        time.Duration // until the complete response; zero if there was none
 }
 
-// Finish counts the end of a request.
+// Finish records the end of a request.
 func (b *Balancer) Finish(now time.Time, t *Target, r Result) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -188,25 +187,25 @@
 		t.health.waitingSince = now
 	}
 	if r.Latency > 0 {
-		t.health.heardAt = now
+		t.health.activeAt = now
 	}
 	if r.ConnectionLost {
-		t.lost++
+		t.connectionsLost++
 	}
 	switch {
 	case r.Replaced:
-		t.gone = true
+		t.replaced = true
 	case r.ConnectFailed:
 		t.health.eject(now)
-	case r.Failed && r.Silent && len(t.heard) == 0:
-		t.health.leftSilent(now)
+	case r.Failed && r.Silent && len(t.responsiveTo) == 0:
+		t.health.recordSilence(now)
 	case !b.cfg.Off.Has(mechanism.Ejection):
 		t.health.observe(now, !r.Failed)
 	}
 	if r.Latency > 0 && t.model == nil {
-		t.health.measured(r.Latency)
+		t.health.recordLatency(r.Latency)
 	}
-	b.wake()
+	b.notifyChanged()
 }
 
 // HasAddr reports whether a target has the address.
@@ -216,8 +215,8 @@
 	return b.addrs[addr]
 }
 
-// ConnectionsLost returns how many requests of this entry lost their connection at a target. With
-// the end of the target they were lost because it ended, else the connection alone broke.
+// ConnectionsLost returns how many requests of this entry lost their connection to a target. If
+// the target's process has ended they were lost with it; otherwise only the connections broke.
 func (b *Balancer) ConnectionsLost(instance string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -225,11 +224,11 @@
 	if t == nil {
 		return 0
 	}
-	return t.lost
+	return t.connectionsLost
 }
 
-// Serving reports whether a target is listed and not leaving: one that leaves, or has
-// vanished from the list, ends by plan.
+// Serving reports whether a target is listed and not leaving. The end of a target that is
+// leaving or no longer listed is expected.
 func (b *Balancer) Serving(t *Target) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -14,7 +14,8 @@
 
 const testService = "svc"
 
-// engineModel is an engine of 16 slots that reads 19,100 tokens a second.
+// engineModel returns the model of an engine with 16 slots and a prefill rate of 19,100 tokens
+// per second.
 func engineModel() *fleet.EngineModel {
 	return &fleet.EngineModel{Model: "m", Slots: 16, Step: 8870 * time.Microsecond, StepPerSeq: 39 * time.Microsecond,
 		StepPerKilo: 23 * time.Microsecond, PrefillRate: 19100, Stride: 5, MeanPrompt: 977, MeanAnswer: 94, Layers: 16}
@@ -29,7 +30,7 @@
 	return &fleet.Instance{ID: fmt.Sprintf("p-%d", i), Service: testService, Addr: fmt.Sprintf("10.0.1.%d:80", i), Domain: "a", Slots: 6}
 }
 
-func book(m *fleet.EngineModel, cfg Config, instances ...*fleet.Instance) *Balancer {
+func newTestBalancer(m *fleet.EngineModel, cfg Config, instances ...*fleet.Instance) *Balancer {
 	b := NewBalancer(cfg, rand.New(rand.NewPCG(1, 2)))
 	b.Apply(instances, map[string]*fleet.Service{testService: {Name: testService, Engine: m}})
 	return b
@@ -39,7 +40,7 @@
 	return Demand{Prompt: 1000, Objective: 400 * time.Millisecond, MaxGap: 400 * time.Millisecond, Domain: "a"}
 }
 
-// picked returns the id of the choice, or the verdict.
+// picked returns the ID of the chosen target, or the verdict.
 func picked(b *Balancer, now time.Time, avoid ...string) string {
 	c, v := b.Pick(now, testService, demand(), avoid)
 	if v != Chosen {
@@ -60,16 +61,16 @@
 }
 
 func TestPickTakesTheLeastLoaded(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5, PendingPrefill: 3000}})
 	assert.Equal(t, picked(b, start), "i-2")
 }
 
-func TestPickLeavesOut(t *testing.T) {
+func TestPickSkipsUnusableTargets(t *testing.T) {
 	draining, empty := engine(1, 1), engine(2, 1)
 	draining.Draining = true
 	empty.Models = nil
-	b := book(engineModel(), Config{}, draining, empty, engine(3, 1), engine(4, 1))
+	b := newTestBalancer(engineModel(), Config{}, draining, empty, engine(3, 1), engine(4, 1))
 	b.SetState("10.0.0.3:80", EngineState{Version: 1, Loading: true})
 	for range 3 {
 		assert.Equal(t, picked(b, start), "i-4")
@@ -77,10 +78,10 @@
 	assert.Equal(t, picked(b, start, "i-4"), "no_target")
 }
 
-func TestAgentIsNewerThanTheList(t *testing.T) {
+func TestAgentStateOverridesTheList(t *testing.T) {
 	empty := engine(1, 1)
 	empty.Models = nil
-	b := book(engineModel(), Config{}, empty)
+	b := newTestBalancer(engineModel(), Config{}, empty)
 	assert.Equal(t, picked(b, start), "no_target")
 	b.SetState(empty.Addr, EngineState{Version: 1})
 	assert.Equal(t, picked(b, start), "i-1")
@@ -88,13 +89,12 @@
 	assert.Equal(t, picked(b, start), "no_target")
 }
 
-// A second version must not put the time of the first off.
-// An engine that started again under its ID knows nothing of before: neither what it
-// served, nor what was in flight or failed there, nor what its agent said until then.
-func TestNothingIsBelievedOfAnEarlierLife(t *testing.T) {
+// A restarted engine with the same ID has none of the earlier incarnation's state: neither its
+// versions, load and failures, nor what its agent reported before.
+func TestStateIsNotKeptAcrossIncarnations(t *testing.T) {
 	first, second, other := engine(1, 1), engine(1, 0), engine(2, 1)
 	first.Born, second.Born = 1000, 2000
-	b := book(engineModel(), Config{}, first)
+	b := newTestBalancer(engineModel(), Config{}, first)
 	b.SetState(first.Addr, EngineState{Version: 1, StartMs: 1000})
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5, PendingPrefill: 3000}})
 	c, v := b.Pick(start, testService, demand(), nil)
@@ -112,20 +112,21 @@
 	assert.Equal(t, picked(b, start), "i-2", "the agent knows of a later life than the list")
 }
 
-// Targets that do not tell when they were started are known by their IDs alone.
-func TestLifeThatIsNotToldIsTheSame(t *testing.T) {
+// Targets that do not report their start time are identified by their ID alone.
+func TestUnknownStartTimeMatchesAnyIncarnation(t *testing.T) {
 	first, second := engine(1, 1), engine(1, 1)
 	second.Born = 2000
-	b := book(engineModel(), Config{}, first)
+	b := newTestBalancer(engineModel(), Config{}, first)
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5}})
 	b.Apply([]*fleet.Instance{second}, map[string]*fleet.Service{testService: {Name: testService, Engine: engineModel()}})
 	c, _ := b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, c.Load.Requests, 5)
 }
 
-func TestEachVersionKeepsItsTime(t *testing.T) {
+// A second version must not postpone the deadline of the first.
+func TestEachVersionKeepsItsDeadline(t *testing.T) {
 	cfg := Config{VersionTimeout: 8 * time.Second, VersionMargin: time.Second}
-	b := book(engineModel(), cfg, engine(1, 1), engine(2, 2), engine(3, 3))
+	b := newTestBalancer(engineModel(), cfg, engine(1, 1), engine(2, 2), engine(3, 3))
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, start)
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 3}, start.Add(2*time.Second))
 	assert.Equal(t, picked(b, start.Add(6*time.Second), "i-2", "i-3"), "i-1")
@@ -135,11 +136,11 @@
 	assert.Equal(t, picked(b, start.Add(9*time.Second)), "i-3")
 }
 
-// A choice says until when the version that the target serves may be begun: the earliest
-// end that a newer version brings.
-func TestChoiceSaysUntilWhenItsVersionMayBeBegun(t *testing.T) {
+// A choice carries the time by which the request must have started on the target's version: the
+// earliest expiry that a newer version causes.
+func TestChoiceCarriesVersionExpiry(t *testing.T) {
 	cfg := Config{VersionTimeout: 8 * time.Second, VersionMargin: time.Second}
-	b := book(engineModel(), cfg, engine(1, 1), engine(2, 2), engine(3, 3))
+	b := newTestBalancer(engineModel(), cfg, engine(1, 1), engine(2, 2), engine(3, 3))
 	until := func(avoid ...string) time.Time {
 		c, v := b.Pick(start.Add(3*time.Second), testService, demand(), avoid)
 		assert.Equal(t, v, Chosen)
@@ -153,23 +154,23 @@
 	assert.Assert(t, until("i-1", "i-2").IsZero())
 }
 
-func TestVersionsNeverGoBack(t *testing.T) {
-	b := book(engineModel(), Config{VersionTimeout: time.Second, VersionMargin: time.Millisecond}, engine(1, 1), engine(2, 2))
+func TestOlderVersionNeverReplacesNewer(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{VersionTimeout: time.Second, VersionMargin: time.Millisecond}, engine(1, 1), engine(2, 2))
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, start)
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 1}, start.Add(time.Hour))
 	assert.Equal(t, picked(b, start.Add(2*time.Hour), "i-2"), "no_target")
 }
 
 func TestSaturatedWhenTheForecastIsTooLate(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1))
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1))
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 30}})
 	assert.Equal(t, picked(b, start), "saturated")
 	b.SetLoads("other", nil)
 	assert.Equal(t, picked(b, start), "i-1", "the other entry's load is forgotten")
 }
 
-func TestFailingTargetIsLeftAndTriedAgain(t *testing.T) {
-	b := book(nil, Config{}, plain(1), plain(2))
+func TestFailingTargetIsEjectedAndRetried(t *testing.T) {
+	b := newTestBalancer(nil, Config{}, plain(1), plain(2))
 	for range 6 {
 		c, v := b.Pick(start, testService, demand(), []string{"p-2"})
 		assert.Equal(t, v, Chosen)
@@ -183,27 +184,27 @@
 	assert.Assert(t, !b.byID["p-1"].health.ejected(later))
 }
 
-func TestSilentTargetIsLeftUntilItSpeaks(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+func TestSilentTargetIsSkippedUntilItResponds(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := b.Pick(start, testService, demand(), []string{"i-2"})
-	later := start.Add(silentAfter + time.Millisecond)
+	later := start.Add(minSilence + time.Millisecond)
 	assert.Assert(t, b.Silent(later, c.Target))
 	assert.Equal(t, picked(b, later), "i-2")
 	b.RecordActivity(later, c.Target, 1000)
 	assert.Assert(t, !b.Silent(later, c.Target))
 }
 
-// Requests that are given up at a dead target do not make it look alive.
-// An engine that reads slowly sends nothing for as long as it reads.
-func TestSlowTargetsAreNotSilentTooSoon(t *testing.T) {
+// An engine with slow prefill sends nothing while it processes prompts. A plain target with a
+// high latency sends nothing for that time.
+func TestSlowTargetsAreNotReportedSilentTooEarly(t *testing.T) {
 	m := engineModel()
 	m.PrefillRate /= 20
-	slow := book(m, Config{}, engine(1, 1))
+	slow := newTestBalancer(m, Config{}, engine(1, 1))
 	c, v := slow.Pick(start, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
 	assert.Assert(t, !slow.Silent(start.Add(1500*time.Millisecond), c.Target), "1,000 tokens are read in 1.05 s")
 	assert.Assert(t, slow.Silent(start.Add(4*time.Second), c.Target))
-	p := book(nil, Config{}, plain(1))
+	p := newTestBalancer(nil, Config{}, plain(1))
 	for range 2 {
 		c, _ = p.Pick(start, testService, demand(), nil)
 		p.Finish(start, c.Target, Result{Latency: 500 * time.Millisecond})
@@ -213,38 +214,40 @@
 	assert.Assert(t, p.Silent(start.Add(2*time.Second), c.Target))
 }
 
-func TestGivingUpDoesNotEndTheSilence(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1))
+// Giving up requests at a dead target must not make it look responsive.
+func TestAbandonedRequestDoesNotEndSilence(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1))
 	first, _ := b.Pick(start, testService, demand(), nil)
 	_, v := b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
-	later := start.Add(silentAfter + time.Millisecond)
+	later := start.Add(minSilence + time.Millisecond)
 	b.Finish(later, first.Target, Result{Failed: true, Silent: true, PendingPrefill: 1000})
 	assert.Assert(t, b.Silent(later, first.Target))
 	b.RecordActivity(later, first.Target, 1000)
 	assert.Assert(t, !b.Silent(later, first.Target))
 }
 
-// What one entry finds silent, the others need not find out by losing requests.
+// A target that one entry finds silent gets fewer requests from the others, without each of
+// them losing requests to it.
 func TestSilenceIsShared(t *testing.T) {
-	a := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+	a := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := a.Pick(start, testService, demand(), []string{"i-2"})
 	left := start.Add(700 * time.Millisecond)
 	assert.DeepEqual(t, a.SilentTargets(left), []string{"i-1"})
 	a.Finish(left, c.Target, Result{PendingPrefill: 1000, Failed: true, Silent: true})
-	assert.DeepEqual(t, a.SilentTargets(left.Add(100*time.Millisecond)), []string{"i-1"}) // told for a while after it was left
-	assert.Equal(t, len(a.SilentTargets(left.Add(silentSaid))), 0)
+	assert.DeepEqual(t, a.SilentTargets(left.Add(100*time.Millisecond)), []string{"i-1"}) // still reported for a while after it was given up
+	assert.Equal(t, len(a.SilentTargets(left.Add(silenceReportDuration))), 0)
 
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, PendingPrefill: 2000}})
 	assert.Assert(t, b.Suspect(left, "i-1"))
 	assert.Assert(t, !b.Suspect(left, "i-1"), "no news")
 	assert.Equal(t, picked(b, left), "i-2", "though it has more load")
 }
 
-// Answers that get lost one by one are no silence: others hear the target.
-func TestTargetThatOthersHearIsNotSilent(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+// Single lost responses do not make a target silent while other entries receive data from it.
+func TestTargetResponsiveToOthersIsNotSilent(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := b.Pick(start, testService, demand(), []string{"i-2"})
 	b.SetLoads("x", map[string]Load{"i-1": {Requests: 1}, "i-2": {Requests: 8, PendingPrefill: 2000}})
 	b.SetResponsive("x", "i-1", true)
@@ -254,25 +257,25 @@
 	b.Suspect(later, "i-1")
 	assert.Equal(t, picked(b, later), "i-1")
 	b.SetLoads("x", nil)
-	assert.Equal(t, len(b.byID["i-1"].heard), 0, "an entry that is gone vouches for nothing")
+	assert.Equal(t, len(b.byID["i-1"].responsiveTo), 0, "an entry that is gone vouches for nothing")
 }
 
-func TestHeardTargets(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+func TestResponsiveTargets(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, len(b.ResponsiveTargets(start)), 0)
 	b.RecordActivity(start, c.Target, 1000)
-	assert.Assert(t, b.ResponsiveTargets(start.Add(heardFor - 1))[c.Target.ID])
-	assert.Equal(t, len(b.ResponsiveTargets(start.Add(heardFor))), 0)
+	assert.Assert(t, b.ResponsiveTargets(start.Add(activityWindow - 1))[c.Target.ID])
+	assert.Equal(t, len(b.ResponsiveTargets(start.Add(activityWindow))), 0)
 }
 
-// A target that was silent has no load and would draw more requests than all
-// others: one tries it.
-func TestSilentTargetIsTriedByOneRequest(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+// A target that was silent has no load and would attract more requests than all others, so it
+// is probed with a single request.
+func TestSilentTargetIsProbedByOneRequest(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, PendingPrefill: 2000}})
 	b.Suspect(start, "i-1")
-	now := start.Add(suspectFor)
+	now := start.Add(suspectDuration)
 	c, _ := b.Pick(now, testService, demand(), nil)
 	assert.Equal(t, c.Target.ID, "i-1")
 	assert.Equal(t, picked(b, now), "i-2", "one is enough")
@@ -280,9 +283,10 @@
 	assert.Equal(t, picked(b, now.Add(60*time.Millisecond)), "i-1")
 }
 
-// An entry that hears a target believes its own ears.
-func TestOwnEvidenceGoesBeforeSuspicion(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+// Data that this entry receives from a target overrides another entry's report that it is
+// silent.
+func TestOwnActivityOverridesSuspicion(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := b.Pick(start, testService, demand(), []string{"i-2"})
 	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, PendingPrefill: 2000}})
 	b.Suspect(start, "i-1")
@@ -290,27 +294,27 @@
 	assert.Equal(t, picked(b, start.Add(20*time.Millisecond)), "i-1")
 }
 
-func TestDoubtfulTargetIsTheLastResort(t *testing.T) {
+func TestUnlistedTargetIsTheLastResort(t *testing.T) {
 	doubtful := plain(1)
 	doubtful.Doubtful = true
-	b := book(nil, Config{}, doubtful, plain(2))
+	b := newTestBalancer(nil, Config{}, doubtful, plain(2))
 	for range 5 {
 		assert.Equal(t, picked(b, start), "p-2")
 	}
 	assert.Equal(t, picked(b, start, "p-2"), "p-1")
 }
 
-func TestAnotherInstanceAtTheAddressEndsTheTarget(t *testing.T) {
-	b := book(nil, Config{}, plain(1))
+func TestReplacedTargetIsNotChosen(t *testing.T) {
+	b := newTestBalancer(nil, Config{}, plain(1))
 	c, _ := b.Pick(start, testService, demand(), nil)
 	b.Finish(start, c.Target, Result{Replaced: true})
 	assert.Equal(t, picked(b, start), "no_target")
 }
 
-// Entries that see the same free engine ask its home; the home counts each
-// grant at once, so that only as many are let in as it can serve.
+// Entries that see the same idle engine request reservations from its home. The home counts
+// each grant at once, so that it admits only as many requests as the engine can serve.
 func TestHomeGrantsOnlyWhatTheTargetCanServe(t *testing.T) {
-	home := book(engineModel(), Config{}, engine(1, 1))
+	home := newTestBalancer(engineModel(), Config{}, engine(1, 1))
 	usual := Admission{MaxWait: 200 * time.Millisecond, MaxGap: 320 * time.Millisecond}
 	granted := 0
 	for i := range 14 {
@@ -324,8 +328,8 @@
 	assert.Assert(t, home.Reserve(start, "entry-0", "unknown", demand().Prompt, usual).Granted)
 }
 
-func TestCancelTakesTheChoiceBack(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1))
+func TestCancelUndoesTheChoice(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1))
 	c, _ := b.Pick(start, testService, demand(), nil)
 	b.Cancel(c.Target, demand())
 	assert.Equal(t, len(b.OwnLoads()), 0)
@@ -338,7 +342,7 @@
 		for i := range n {
 			list = append(list, engine(i, 1))
 		}
-		bk := book(engineModel(), Config{}, list...)
+		bk := newTestBalancer(engineModel(), Config{}, list...)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -7,31 +7,30 @@
 	"github.com/springgate/springgate/mechanism"
 )
 
-// Config holds the constants of the choice.
+// Config configures a Balancer.
 type Config struct {
-	// Off are mechanisms that are switched off.
+	// Off is the set of disabled mechanisms.
 	Off mechanism.Off
-	// Regions are the regions of the failure domains.
+	// Regions maps failure domains to regions.
 	Regions map[string]string
-	// AdmitFraction is the part of the tightest objective of a service that the
-	// forecast of a mean request may take. The rest covers the way to the
-	// caller and what the forecast does not see. Default 0.75.
+	// AdmitFraction is the fraction of a service's tightest objective that the forecast for a
+	// request of mean size may use. The rest covers the path to the caller and delays that the
+	// forecast does not model. Default 0.75.
 	AdmitFraction float64
-	// AdmitGapFraction is the part of the longest pause that the forecast may take.
-	// Default 0.8.
+	// AdmitGapFraction is the fraction of the maximum gap between events that the forecast may
+	// use. Default 0.8.
 	AdmitGapFraction float64
-	// RemoteCost is added to the forecast at targets of other failure
-	// domains: the longer way, and bytes that are paid for. Default 15 ms.
+	// RemoteCost is added to the forecast for targets in other failure domains, for their
+	// longer network path and billed traffic. Default 15 ms.
 	RemoteCost time.Duration
-	// SampleSize is how many targets are looked at for one choice. Default 64.
+	// SampleSize is the number of targets considered for one request. Default 64.
 	SampleSize int
-	// VersionTimeout is the time in which a new version must be served
-	// everywhere; zero is no limit. VersionMargin is how much sooner engines
-	// with an older one get no more requests, since those may wait there
-	// before they begin. Default 1 s.
+	// VersionTimeout is the time within which a new version must be served everywhere; zero is
+	// no limit. Engines with an older version get no requests from VersionMargin before that
+	// time, since requests may queue at an engine before they start. Default margin 1 s.
 	VersionTimeout, VersionMargin time.Duration
-	// PlainLatency is assumed of a plain target that has not answered yet.
-	// Default 50 ms.
+	// PlainLatency is the assumed latency of a plain target that has not answered yet. Default
+	// 50 ms.
 	PlainLatency time.Duration
 }
 
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -2,49 +2,51 @@
 
 import "time"
 
-// Limits of a target's health.
+// Limits of health tracking.
 const (
-	// failureWeight is the weight of the newest answer in the failure rate; a
-	// target that fails everything is over the limit after three.
+	// failureWeight is the weight of the latest response in the failure rate. A target without
+	// earlier failures exceeds maxFailureRate after two consecutive failures.
 	failureWeight = 0.2
-	// maxFailureRate takes a target out. Load and retries make up for one
-	// failure in five; above a third a request is better off elsewhere.
+	// maxFailureRate is the failure rate above which a target is ejected. Load balancing and
+	// retries compensate for one failure in five; above one in three a request does better
+	// elsewhere.
 	maxFailureRate = 0.35
-	// ejectBase is how long the first ejection lasts; each further one within
-	// ejectMemory lasts twice as long, up to ejectMax.
+	// ejectBase is the duration of the first ejection. Each further one within ejectMemory
+	// lasts twice as long, up to ejectMax.
 	ejectBase   = 800 * time.Millisecond
 	ejectMax    = 6 * time.Second
 	ejectMemory = 15 * time.Second
-	// silentAfter is the least time after which a target with work that sends
-	// nothing counts as silent: time for a lost packet to be sent again.
-	silentAfter = 600 * time.Millisecond
-	// silentFactor is how many times longer than expected a target may send
-	// nothing: an engine a pass with all prompts that it has to read, a plain
-	// target its usual latency.
+	// minSilence is the shortest time without data after which a target with requests in flight
+	// counts as silent: long enough for a lost packet to be retransmitted.
+	minSilence = 600 * time.Millisecond
+	// silentFactor is the multiple of the expected time after which a target counts as silent.
+	// Expected is one pass with all pending prompts for an engine, the mean latency for a plain
+	// target.
 	silentFactor = 3
-	// silentSaid is how long an entry tells the others of a target that it left
-	// because it was silent: a few accounts of loads.
-	silentSaid = 500 * time.Millisecond
-	// heardFor is how long ago an entry must have heard a target to vouch for it.
-	// Streams send an event each 50 to 100 ms, and a pass takes up to 400 ms.
-	heardFor = 400 * time.Millisecond
-	// suspectFor is how long a target is left that was silent for another entry.
-	// Then one request at a time tries it until it has answered.
-	suspectFor = 1200 * time.Millisecond
-	// latencyWeight is the weight of the newest latency in its mean.
+	// silenceReportDuration is how long an entry reports a target as silent after it gave up on
+	// it, which spans several load reports.
+	silenceReportDuration = 500 * time.Millisecond
+	// activityWindow is how recently an entry must have received data from a target to report
+	// it as responsive. Streams send an event every 50 to 100 ms, and a pass takes up to 400
+	// ms.
+	activityWindow = 400 * time.Millisecond
+	// suspectDuration is how long a target gets no requests after another entry reported it
+	// silent. It then gets one request at a time until it has answered.
+	suspectDuration = 1200 * time.Millisecond
+	// latencyWeight is the weight of the latest latency in the mean.
 	latencyWeight = 0.1
 )
 
-// health is what the answers of a target showed.
+// health is the state of a target as observed from its responses.
 type health struct {
-	failures     float64 // rate, by exponentially weighted mean
+	failures     float64 // failure rate, exponentially weighted
 	ejections    int
 	ejectedUntil time.Time
 	ejectedAt    time.Time
-	waitingSince time.Time // since when it has work and has sent nothing; zero if idle
-	heardAt      time.Time // when it last sent something to this entry
-	silentAt     time.Time // when it was last left for its silence
-	suspectedAt  time.Time // when another entry last found it silent
+	waitingSince time.Time // when requests were last in flight without data received; zero if idle
+	activeAt     time.Time // when it last sent data to this entry
+	abandonedAt  time.Time // when this entry last gave up on it because it was silent
+	suspectedAt  time.Time // when another entry last reported it silent
 	latency      time.Duration
 }
 
@@ -59,7 +61,7 @@
 	}
 }
 
-// eject takes the target out for a time that doubles with each ejection.
+// eject takes the target out of rotation for a time that doubles with each ejection.
 func (h *health) eject(now time.Time) {
 	if now.Sub(h.ejectedAt) > ejectMemory {
 		h.ejections = 0
@@ -70,51 +72,52 @@
 	h.ejectedAt = now
 	h.ejectedUntil = now.Add(min(ejectBase<<min(h.ejections, 4), ejectMax))
 	h.ejections++
-	h.failures = maxFailureRate / 2 // one more failure or two after the return
+	h.failures = maxFailureRate / 2 // two more failures after the return eject it again
 }
 
 func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// heard notes that the target sent something.
-func (h *health) heard(now time.Time) { h.waitingSince, h.heardAt = now, now }
+// recordActivity records that the target sent data.
+func (h *health) recordActivity(now time.Time) { h.waitingSince, h.activeAt = now, now }
 
-// leftSilent notes that the target was left because it sent nothing. There is no
-// use in trying it until as many requests have been lost as for a failure rate.
-func (h *health) leftSilent(now time.Time) {
-	h.silentAt = now
+// recordSilence records that a request was given up because the target sent nothing. The target
+// is ejected at once: waiting for the failure rate to rise would lose further requests.
+func (h *health) recordSilence(now time.Time) {
+	h.abandonedAt = now
 	h.eject(now)
 }
 
-// saysSilent reports whether other entries are to be told of its silence.
-func (h *health) saysSilent(now time.Time, limit time.Duration) bool {
-	return h.silent(now, limit) || h.heardAt.Before(h.silentAt) && now.Sub(h.silentAt) < silentSaid
+// reportSilent reports whether other entries are to be notified that the target is silent.
+func (h *health) reportSilent(now time.Time, limit time.Duration) bool {
+	return h.silent(now, limit) || h.activeAt.Before(h.abandonedAt) && now.Sub(h.abandonedAt) < silenceReportDuration
 }
 
-// suspected reports whether the target was silent for another entry, and this
-// one has not heard it since.
+// suspected reports whether another entry found the target silent and this one has received
+// nothing from it since.
 func (h *health) suspected(now time.Time) bool {
-	return h.heardAt.Before(h.suspectedAt) && now.Sub(h.suspectedAt) < suspectFor
+	return h.activeAt.Before(h.suspectedAt) && now.Sub(h.suspectedAt) < suspectDuration
 }
 
-// unproven reports whether the target was silent and has not been heard since.
-func (h *health) unproven() bool {
-	return h.heardAt.Before(h.suspectedAt) || h.heardAt.Before(h.silentAt)
+// unconfirmed reports whether the target was silent and nothing has been received from it
+// since.
+func (h *health) unconfirmed() bool {
+	return h.activeAt.Before(h.suspectedAt) || h.activeAt.Before(h.abandonedAt)
 }
 
 func (h *health) silent(now time.Time, limit time.Duration) bool {
 	return !h.waitingSince.IsZero() && now.Sub(h.waitingSince) > limit
 }
 
-// silenceLimit is how long the target may send nothing while it has work.
+// silenceLimit returns how long the target may send nothing while it has requests in flight.
 func (t *Target) silenceLimit() time.Duration {
 	expected := t.health.latency
 	if t.model != nil {
-		expected = passTime(t.model, t.model.Slots) + readTime(t.model, t.load.PendingPrefill)
+		expected = passTime(t.model, t.model.Slots) + prefillTime(t.model, t.load.PendingPrefill)
 	}
-	return max(silentAfter, silentFactor*expected)
+	return max(minSilence, silentFactor*expected)
 }
 
-func (h *health) measured(latency time.Duration) {
+func (h *health) recordLatency(latency time.Duration) {
 	if h.latency == 0 {
 		h.latency = latency
 		return
--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -9,17 +9,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// sayLeaving lets an entry hear that a target leaves.
-func sayLeaving(b *Balancer, i *fleet.Instance) {
+// recordLeaving records a response in which a target states that it is leaving.
+func recordLeaving(b *Balancer, i *fleet.Instance) {
 	b.RecordStatement(start, *i, notice.Statement{Leaving: true}, start)
 }
 
-// The list took 12 s to say what the target had said itself, and went on naming it as
-// ready meanwhile.
-func TestListDoesNotBringATargetBackThatSaidItLeaves(t *testing.T) {
+// The list may still show a target as ready for 12 s after the target itself stated that it is
+// leaving.
+func TestListDoesNotOverrideLeavingStatement(t *testing.T) {
 	services := map[string]*fleet.Service{testService: {Name: testService}}
-	b := book(nil, Config{}, plain(1), plain(2))
-	sayLeaving(b, plain(1))
+	b := newTestBalancer(nil, Config{}, plain(1), plain(2))
+	recordLeaving(b, plain(1))
 	older, newer, doubtful := plain(1), plain(1), plain(1)
 	newer.Revision, doubtful.Doubtful = 99, true
 	for _, i := range []*fleet.Instance{older, newer, doubtful} {
@@ -34,42 +34,42 @@
 	assert.Equal(t, picked(b, start), "p-2")
 }
 
-func TestTargetThatTheListSaidToLeaveStaysSo(t *testing.T) {
+func TestDrainingInListIsPermanent(t *testing.T) {
 	services := map[string]*fleet.Service{testService: {Name: testService}}
 	draining := plain(1)
 	draining.Draining = true
-	b := book(nil, Config{}, draining)
+	b := newTestBalancer(nil, Config{}, draining)
 	b.UpdateNotices(start)
 	b.Apply([]*fleet.Instance{plain(1)}, services)
 	assert.Equal(t, picked(b, start), "no_target")
 }
 
-func TestNextLifeOfATargetThatLeftServes(t *testing.T) {
+func TestNextIncarnationOfLeavingTargetServes(t *testing.T) {
 	first, second := plain(1), plain(1)
 	first.Born, second.Born = 1000, 2000
-	b := book(nil, Config{}, first)
-	sayLeaving(b, first)
+	b := newTestBalancer(nil, Config{}, first)
+	recordLeaving(b, first)
 	b.Apply([]*fleet.Instance{second}, map[string]*fleet.Service{testService: {Name: testService}})
 	assert.Equal(t, picked(b, start), "p-1")
 }
 
-// A home that knows that a target leaves tells an entry that does not.
-func TestHomeGrantsNothingAtATargetThatLeaves(t *testing.T) {
+// A home that knows that a target is leaving reports so to an entry that does not.
+func TestHomeDeniesReservationAtLeavingTarget(t *testing.T) {
 	draining := plain(2)
 	draining.Draining = true
-	b := book(nil, Config{}, plain(1), draining)
-	sayLeaving(b, plain(1))
+	b := newTestBalancer(nil, Config{}, plain(1), draining)
+	recordLeaving(b, plain(1))
 	for _, id := range []string{"p-1", "p-2"} {
 		p := b.Reserve(start, "x", id, 1, Admission{MaxWait: time.Hour})
 		assert.Assert(t, !p.Granted && p.Report.Leaving, id)
 	}
 }
 
-// What breaks at a target that leaves does not break because of its requests.
-func TestTargetThatSaidItLeavesEndsByPlan(t *testing.T) {
-	b := book(nil, Config{}, plain(1))
+// Failures at a target that is leaving are not attributed to its requests.
+func TestLeavingTargetIsNotServing(t *testing.T) {
+	b := newTestBalancer(nil, Config{}, plain(1))
 	c, _ := b.Pick(start, testService, demand(), nil)
 	assert.Assert(t, b.Serving(c.Target))
-	sayLeaving(b, plain(1))
+	recordLeaving(b, plain(1))
 	assert.Assert(t, !b.Serving(c.Target))
 }
--- a/dispatch/loads.go
+++ b/dispatch/loads.go
@@ -5,45 +5,45 @@
 	"time"
 )
 
-// SetLoads replaces what another entry has in flight. An empty map forgets it.
+// SetLoads replaces the load that another entry has in flight. An empty map removes it.
 func (b *Balancer) SetLoads(from string, loads map[string]Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, t := range b.byID {
-		t.setOther(from, loads[id])
+		t.setEntryLoad(from, loads[id])
 		if loads[id].Requests == 0 {
-			delete(t.heard, from)
+			delete(t.responsiveTo, from)
 		}
 	}
-	b.wake()
+	b.notifyChanged()
 }
 
-// UpdateLoads replaces what another entry has in flight at some targets.
+// UpdateLoads replaces the load that another entry has in flight at the given targets.
 func (b *Balancer) UpdateLoads(from string, loads map[string]Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for id, l := range loads {
 		if t := b.byID[id]; t != nil {
-			t.setOther(from, l)
+			t.setEntryLoad(from, l)
 		}
 	}
-	b.wake()
+	b.notifyChanged()
 }
 
-func (t *Target) setOther(from string, l Load) {
-	old := t.others[from]
+func (t *Target) setEntryLoad(from string, l Load) {
+	old := t.entryLoads[from]
 	if l == old {
 		return
 	}
 	if l == (Load{}) {
-		delete(t.others, from)
+		delete(t.entryLoads, from)
 	} else {
-		t.others[from] = l
+		t.entryLoads[from] = l
 	}
 	t.load = Load{t.load.Requests + l.Requests - old.Requests, t.load.PendingPrefill + l.PendingPrefill - old.PendingPrefill}
 }
 
-// OwnLoads returns what this entry has in flight.
+// OwnLoads returns the load that this entry has in flight.
 func (b *Balancer) OwnLoads() map[string]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,14 +56,14 @@
 	return out
 }
 
-// SilentTargets returns the targets whose silence other entries are to be told
-// of, in order.
+// SilentTargets returns the sorted IDs of the targets that other entries are to be notified of
+// as silent.
 func (b *Balancer) SilentTargets(now time.Time) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
 	for id, t := range b.byID {
-		if len(t.heard) == 0 && t.health.saysSilent(now, t.silenceLimit()) {
+		if len(t.responsiveTo) == 0 && t.health.reportSilent(now, t.silenceLimit()) {
 			out = append(out, id)
 		}
 	}
@@ -71,37 +71,36 @@
 	return out
 }
 
-// ResponsiveTargets returns the targets with work of this entry that sent something
-// lately.
+// ResponsiveTargets returns the targets with requests of this entry that sent data recently.
 func (b *Balancer) ResponsiveTargets(now time.Time) map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	out := map[string]bool{}
 	for id, t := range b.byID {
-		if t.own.Requests > 0 && now.Sub(t.health.heardAt) < heardFor {
+		if t.own.Requests > 0 && now.Sub(t.health.activeAt) < activityWindow {
 			out[id] = true
 		}
 	}
 	return out
 }
 
-// SetResponsive notes whether another entry hears a target. A single answer that got
-// lost makes a target silent for one entry only.
-func (b *Balancer) SetResponsive(from, instance string, heard bool) {
+// SetResponsive records whether another entry receives data from a target. A target that lost a
+// single response is silent for one entry only.
+func (b *Balancer) SetResponsive(from, instance string, responsive bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.byID[instance]
 	switch {
 	case t == nil:
-	case heard:
-		t.heard[from] = true
+	case responsive:
+		t.responsiveTo[from] = true
 	default:
-		delete(t.heard, from)
+		delete(t.responsiveTo, from)
 	}
 }
 
-// Suspect notes that another entry finds a target silent. It reports whether
-// that is news.
+// Suspect records that another entry reported a target silent. It reports whether the target
+// was not suspected already.
 func (b *Balancer) Suspect(now time.Time, instance string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -109,7 +108,7 @@
 	if t == nil {
 		return false
 	}
-	news := !t.health.suspected(now)
+	isNew := !t.health.suspected(now)
 	t.health.suspectedAt = now
-	return news
+	return isNew
 }
--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -7,8 +7,8 @@
 	"github.com/springgate/springgate/notice"
 )
 
-// RecordStatement takes what an answer to a request that was sent at a time says of the target
-// that gave it.
+// RecordStatement records the statement in a response of a target to a request sent at the
+// given time.
 func (b *Balancer) RecordStatement(now time.Time, i fleet.Instance, s notice.Statement, sent time.Time) notice.Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -16,46 +16,46 @@
 	before := b.notices.Of(l).Limit
 	changed := b.notices.Hear(now, l, s, sent)
 	if changed.Limit {
-		b.limitChanged(now, l, before)
+		b.applyLimitChange(now, l, before)
 	}
 	if changed.Leaving || changed.Rest {
-		b.wake()
+		b.notifyChanged()
 	}
 	return changed
 }
 
-// MergeReport takes what another entry believes of a target.
+// MergeReport merges the state of a target that another entry reported.
 func (b *Balancer) MergeReport(now time.Time, o notice.Told) notice.Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byID[o.Target] == nil {
-		return notice.Change{} // it would not be forgotten when the target leaves the list
+		return notice.Change{} // the state of an unlisted target would never be removed
 	}
 	before := b.notices.Of(o.Life).Limit
 	changed := b.notices.Merge(now, o)
 	if changed.Limit {
-		b.limitChanged(now, o.Life, before)
+		b.applyLimitChange(now, o.Life, before)
 	}
 	return changed
 }
 
-// limitChanged takes up another limit of a target; the lock is held.
-func (b *Balancer) limitChanged(now time.Time, l notice.Life, before notice.Limit) {
+// applyLimitChange applies a changed limit of a target. The caller holds the lock.
+func (b *Balancer) applyLimitChange(now time.Time, l notice.Life, before notice.Limit) {
 	t := b.byID[l.Target]
 	if t != nil && fleet.SameLife(t.Born, l.Born) && !before.Named {
-		t.pace.spend(now, t.rate(now, b.said(t).Limit), 0)
+		t.pace.exhaust(now, t.rate(now, b.stateOf(t).Limit), 0)
 	}
-	b.wake()
+	b.notifyChanged()
 }
 
-// Reports returns what is believed of targets by what they say, for other entries.
+// Reports returns the states that targets have declared, for other entries.
 func (b *Balancer) Reports() []notice.Told {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.notices.All()
 }
 
-// ReportOf returns what is believed of the life of a target that is listed.
+// ReportOf returns the state that the current incarnation of a listed target has declared.
 func (b *Balancer) ReportOf(instance string) notice.Told {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -63,11 +63,11 @@
 	if t == nil {
 		return notice.Told{}
 	}
-	return notice.Told{Life: notice.LifeOf(&t.Instance), Belief: b.said(t)}
+	return notice.Told{Life: notice.LifeOf(&t.Instance), Belief: b.stateOf(t)}
 }
 
-// UpdateNotices takes which targets the list says to be leaving, and forgets what targets
-// said that have not been listed for long.
+// UpdateNotices marks targets that are draining in the list as leaving, and removes the state
+// of targets that have not been listed for long.
 func (b *Balancer) UpdateNotices(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -79,31 +79,35 @@
 	b.notices.Prune(now, func(target string) bool { return b.byID[target] != nil })
 }
 
-// said is what a target is believed to have said of itself; the lock is held.
-func (b *Balancer) said(t *Target) notice.Belief { return b.notices.Of(notice.LifeOf(&t.Instance)) }
+// stateOf returns the state that a target has declared. The caller holds the lock.
+func (b *Balancer) stateOf(t *Target) notice.Belief { return b.notices.Of(notice.LifeOf(&t.Instance)) }
 
-// rest is what a target has asked of this entry; the lock is held.
-func (b *Balancer) rest(t *Target) notice.Rest { return b.notices.RestOf(notice.LifeOf(&t.Instance)) }
+// backoffOf returns the back-off that a target has requested from this entry. The caller holds
+// the lock.
+func (b *Balancer) backoffOf(t *Target) notice.Rest {
+	return b.notices.RestOf(notice.LifeOf(&t.Instance))
+}
 
-// leaving reports whether a target leaves, by the list or its own word; the lock is held.
-func (b *Balancer) leaving(t *Target) bool { return t.Draining || b.said(t).Leaving }
+// leaving reports whether a target is leaving, by the list or its own statement. The caller
+// holds the lock.
+func (b *Balancer) leaving(t *Target) bool { return t.Draining || b.stateOf(t).Leaving }
 
-// found begins the pace of a target that is new to this entry, if it is cold.
-func (t *Target) found() {
+// initPace initializes the pacer of a target that is new to this entry, if it is cold.
+func (t *Target) initPace() {
 	at := t.ColdUntil.Add(-t.ColdFor)
 	if r := t.rate(at, notice.Limit{}); r.bounded {
-		t.pace.spend(at, r, firstSights)
+		t.pace.exhaust(at, r, initialColdQuota)
 	}
 }
 
-// rate is how many requests a second a target takes now that has named a limit.
+// rate returns the request rate that a target with the given declared limit accepts now.
 func (t *Target) rate(now time.Time, limit notice.Limit) rate {
 	var r rate
-	if t.coldPerS > 0 && now.Before(t.ColdUntil) {
-		r = r.lower(t.coldPerS)
+	if t.coldRate > 0 && now.Before(t.ColdUntil) {
+		r = r.lower(t.coldRate)
 	}
 	if limit.Named {
-		r = r.lower(max(limit.PerS, leastRate))
+		r = r.lower(max(limit.PerS, minRate))
 	}
 	return r
 }
--- a/dispatch/oracle_test.go
+++ b/dispatch/oracle_test.go
@@ -9,53 +9,52 @@
 	"pgregory.net/rapid"
 )
 
-// flight is one request of the oracle that has not ended.
-type flight struct {
-	target *Target
-	unread int
+// inFlight is a request of the oracle that has not ended.
+type inFlight struct {
+	target         *Target
+	pendingPrefill int
 }
 
-// TestLoadOracle runs random courses of picks, events, ends, accounts of other
-// entries and changes of the list, and holds the book's loads against plain
-// sums.
+// TestLoadOracle runs random sequences of picks, events, completions, load reports of other
+// entries and list changes, and compares the balancer's loads with plain sums.
 func TestLoadOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := book(engineModel(), Config{AdmitFraction: 100, AdmitGapFraction: 100}, engine(0, 1), engine(1, 1), engine(2, 1))
-		var flights []flight
+		b := newTestBalancer(engineModel(), Config{AdmitFraction: 100, AdmitGapFraction: 100}, engine(0, 1), engine(1, 1), engine(2, 1))
+		var active []inFlight
 		others := map[string]map[string]Load{}
 		t.Repeat(map[string]func(*rapid.T){
 			"pick": func(t *rapid.T) {
 				c, v := b.Pick(start, testService, demand(), nil)
 				if v == Chosen {
-					flights = append(flights, flight{c.Target, demand().Prompt})
+					active = append(active, inFlight{c.Target, demand().Prompt})
 				}
 			},
 			"event": func(t *rapid.T) {
-				if len(flights) == 0 {
+				if len(active) == 0 {
 					t.Skip()
 				}
-				f := &flights[rapid.IntRange(0, len(flights)-1).Draw(t, "flight")]
-				b.RecordActivity(start, f.target, f.unread)
-				f.unread = 0
+				f := &active[rapid.IntRange(0, len(active)-1).Draw(t, "flight")]
+				b.RecordActivity(start, f.target, f.pendingPrefill)
+				f.pendingPrefill = 0
 			},
 			"end": func(t *rapid.T) {
-				if len(flights) == 0 {
+				if len(active) == 0 {
 					t.Skip()
 				}
-				i := rapid.IntRange(0, len(flights)-1).Draw(t, "flight")
-				b.Finish(start, flights[i].target, Result{PendingPrefill: flights[i].unread})
-				flights = append(flights[:i], flights[i+1:]...)
+				i := rapid.IntRange(0, len(active)-1).Draw(t, "flight")
+				b.Finish(start, active[i].target, Result{PendingPrefill: active[i].pendingPrefill})
+				active = append(active[:i], active[i+1:]...)
 			},
 			"account": func(t *rapid.T) {
 				from := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "from")
-				account := map[string]Load{}
+				report := map[string]Load{}
 				for _, id := range []string{"i-0", "i-1", "i-2"} {
 					if rapid.Bool().Draw(t, id) {
-						account[id] = Load{rapid.IntRange(1, 9).Draw(t, "requests"), rapid.IntRange(0, 900).Draw(t, "unread")}
+						report[id] = Load{rapid.IntRange(1, 9).Draw(t, "requests"), rapid.IntRange(0, 900).Draw(t, "unread")}
 					}
 				}
-				others[from] = account
-				b.SetLoads(from, account)
+				others[from] = report
+				b.SetLoads(from, report)
 			},
 			"change": func(t *rapid.T) {
 				id := rapid.SampledFrom([]string{"i-0", "i-1", "i-2"}).Draw(t, "id")
@@ -78,14 +77,14 @@
 			"": func(t *rapid.T) {
 				for _, target := range b.byID {
 					want := Load{}
-					for _, f := range flights {
+					for _, f := range active {
 						if f.target == target {
-							want = want.add(Load{1, f.unread})
+							want = want.add(Load{1, f.pendingPrefill})
 						}
 					}
 					assert.Equal(t, target.own, want)
-					for _, account := range others {
-						want = want.add(account[target.ID])
+					for _, report := range others {
+						want = want.add(report[target.ID])
 					}
 					assert.Equal(t, target.load, want)
 				}
@@ -94,10 +93,9 @@
 	})
 }
 
-// A list that repeats an instance keeps its load; a new incarnation starts
-// without.
+// An instance that stays listed keeps its load; a new instance starts with none.
 func TestApplyKeepsLoadsOfTheSameIncarnation(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1))
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1))
 	b.SetLoads("x", map[string]Load{"i-1": {Requests: 4}})
 	services := map[string]*fleet.Service{testService: {Name: testService, Engine: engineModel()}}
 	b.Apply([]*fleet.Instance{engine(1, 2), engine(2, 1)}, services)
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// callerKind is a route's callers in a simulated fleet.
+// callerKind describes the callers of one route in a simulated fleet.
 type callerKind struct {
 	objective time.Duration
 	prompt    int // mean tokens
@@ -20,35 +20,35 @@
 
 // job is a request in a simulated fleet.
 type job struct {
-	kind    int
-	arrived time.Time // first try
-	demand  Demand
-	left    int // tokens of the answer
-	unread  int
-	returns int
-	target  *Target
-	until   time.Time // when the caller gives up
+	kind           int
+	arrived        time.Time // first attempt
+	demand         Demand
+	remaining      int // tokens of the response still to be decoded
+	pendingPrefill int
+	retried        int
+	target         *Target
+	until          time.Time // when the caller gives up
 }
 
-// tally counts the requests of a kind that arrived in a window.
-type tally struct{ asked, inTime int }
+// tally counts the requests of one kind that arrived in a window.
+type tally struct{ arrived, inTime int }
 
-func (t tally) share() float64 { return float64(t.inTime) / float64(max(t.asked, 1)) }
+func (t tally) share() float64 { return float64(t.inTime) / float64(max(t.arrived, 1)) }
 
-// fleetSim is a fleet of model engines before one entry, in virtual time. An
-// engine reads all new prompts of a pass and then decodes Stride tokens of each
-// running request. Refused callers come back after 1 to 2 s.
+// fleetSim simulates a fleet of model engines behind one entry in virtual time. In each pass an
+// engine prefills all new prompts and then decodes the tokens of one pass for each running
+// request. Refused callers retry after 1 to 2 s.
 type fleetSim struct {
 	book    *Balancer
 	model   *fleet.EngineModel
 	rng     *rand.Rand
 	kinds   []callerKind
 	retries int
-	// times draws the time that a caller gives; nil: refused callers come back after 1 to
-	// 2 s. guess tells who comes back; nil: it is known.
-	times func(*rand.Rand) time.Duration
-	guess *RetryDetector
-	burst func(now time.Time) float64 // factor of the arrivals
+	// times draws a caller's timeout; if nil, refused callers retry after 1 to 2 s. guess
+	// detects retries; if nil, they are known.
+	timeout  func(*rand.Rand) time.Duration
+	detector *RetryDetector
+	burst    func(now time.Time) float64 // factor applied to the arrival rate
 
 	now     time.Time
 	events  map[time.Time][]func()
@@ -75,11 +75,11 @@
 		list = append(list, engine(i, 1))
 		s.engines[list[i].ID] = &simEngine{}
 	}
-	s.book = book(m, Config{}, list...)
+	s.book = newTestBalancer(m, Config{}, list...)
 	return s
 }
 
-// meanSizes are what the operators publish of a service's requests.
+// meanSizes returns the mean request sizes, as operators publish them for a service.
 func meanSizes(kinds []callerKind) (prompt, answer int) {
 	var all, prompts, answers float64
 	for _, k := range kinds {
@@ -112,11 +112,11 @@
 func (s *fleetSim) arrive(kind int, k callerKind) {
 	size := s.rng.ExpFloat64()
 	d := Demand{Prompt: int(float64(k.prompt) * min(size, 3)), Objective: k.objective, Domain: "a"}
-	j := &job{kind: kind, arrived: s.now, demand: d, left: 1 + int(s.rng.ExpFloat64()*float64(k.answer))}
-	if s.times != nil {
-		j.until = s.now.Add(s.times(s.rng))
+	j := &job{kind: kind, arrived: s.now, demand: d, remaining: 1 + int(s.rng.ExpFloat64()*float64(k.answer))}
+	if s.timeout != nil {
+		j.until = s.now.Add(s.timeout(s.rng))
 	}
-	s.tally(j).asked++
+	s.tally(j).arrived++
 	s.offer(j)
 }
 
@@ -129,37 +129,37 @@
 }
 
 func (s *fleetSim) offer(j *job) {
-	if s.guess != nil {
+	if s.detector != nil {
 		j.demand.Standing = Fresh
-		if s.guess.IsRetry(testService, j.until.Sub(s.now)) {
+		if s.detector.IsRetry(testService, j.until.Sub(s.now)) {
 			j.demand.Standing = Overdue
 		}
 	}
 	s.book.RecordArrival(s.now, testService, j.demand)
 	c, v := s.book.Pick(s.now, testService, j.demand, nil)
 	if v == Chosen {
-		j.target, j.unread = c.Target, j.demand.Prompt
+		j.target, j.pendingPrefill = c.Target, j.demand.Prompt
 		e := s.engines[c.Target.ID]
 		e.queue = append(e.queue, j)
 		s.pass(e)
 		return
 	}
 	s.book.RecordRefusal(s.now, testService, j.demand)
-	if j.returns < s.retries {
-		j.returns++
+	if j.retried < s.retries {
+		j.retried++
 		j.demand.Standing = Overdue
 		s.after(s.retryAfter(j), func() { s.offer(j) })
 	}
 }
 
 func (s *fleetSim) retryAfter(j *job) time.Duration {
-	if s.times == nil {
+	if s.timeout == nil {
 		return time.Second + time.Duration(s.rng.Int64N(int64(time.Second)))
 	}
-	return RetryAfter(j.until.Sub(s.now), 0, heededPart, heededSpread, s.rng.Float64())
+	return RetryAfter(j.until.Sub(s.now), 0, retryPart, retrySpread, s.rng.Float64())
 }
 
-// pass begins a pass of an engine that has work and is not in one.
+// pass starts a pass of an engine that has work and is not in one.
 func (s *fleetSim) pass(e *simEngine) {
 	if e.busy || len(e.queue)+len(e.running) == 0 {
 		return
@@ -171,23 +171,23 @@
 	e.running = append(e.running, taken...)
 	tokens := 0
 	for _, j := range taken {
-		tokens += j.unread
+		tokens += j.pendingPrefill
 	}
-	s.after(readTime(s.model, tokens)+passTime(s.model, len(e.running)), func() { s.passed(e) })
+	s.after(prefillTime(s.model, tokens)+passTime(s.model, len(e.running)), func() { s.passed(e) })
 }
 
 func (s *fleetSim) passed(e *simEngine) {
 	e.busy = false
 	running := e.running[:0]
 	for _, j := range e.running {
-		if j.unread > 0 {
-			s.book.RecordActivity(s.now, j.target, j.unread)
-			j.unread = 0
+		if j.pendingPrefill > 0 {
+			s.book.RecordActivity(s.now, j.target, j.pendingPrefill)
+			j.pendingPrefill = 0
 			if s.now.Sub(j.arrived) <= j.demand.Objective {
 				s.tally(j).inTime++
 			}
 		}
-		if j.left -= s.model.Stride; j.left > 0 {
+		if j.remaining -= s.model.Stride; j.remaining > 0 {
 			running = append(running, j)
 			continue
 		}
@@ -197,20 +197,20 @@
 	s.pass(e)
 }
 
-// shares returns the share in time of each kind and of all, in one window.
+// shares returns the fraction of requests in time in one window, by kind and overall.
 func (s *fleetSim) shares(w int) (kinds []float64, all float64) {
 	var sum tally
 	for _, t := range s.tallies[w] {
 		kinds = append(kinds, t.share())
-		sum.asked += t.asked
+		sum.arrived += t.arrived
 		sum.inTime += t.inTime
 	}
 	return kinds, sum.share()
 }
 
-// TestNoKindIsShutOut overloads a service by kinds that differ widely and wants
-// none of those that an engine can serve in time below half of all.
-func TestNoKindIsShutOut(t *testing.T) {
+// TestNoKindIsStarved overloads a service with very different kinds of requests. Each kind must
+// get at least half of the overall fraction in time.
+func TestNoKindIsStarved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var kinds []callerKind
 		n := rapid.IntRange(2, 4).Draw(t, "kinds")
@@ -229,11 +229,11 @@
 	})
 }
 
-// TestServiceIsBackAfterABurst wants the share in time back when the last caller
-// that a burst turned away has come back, 2 s after its end, however often those
-// come back. Where these go first, they keep the fleet busy with late answers for
-// as long as it is loaded.
-func TestServiceIsBackAfterABurst(t *testing.T) {
+// TestServiceRecoversAfterABurst checks that the fraction in time is restored 2 s after the end
+// of a burst, when the last refused caller has retried, however often callers retry. If retries
+// took precedence, they would keep the fleet busy with late responses for as long as it is
+// loaded.
+func TestServiceRecoversAfterABurst(t *testing.T) {
 	for _, retries := range []int{1, 3} {
 		kinds := []callerKind{{400 * time.Millisecond, 1000, 90, 30}, {300 * time.Millisecond, 600, 60, 30}}
 		s := newFleetSim(7, 6, kinds)
@@ -256,25 +256,25 @@
 	}
 }
 
-// heededPart and heededSpread are what refused callers are told by default.
-const heededPart, heededSpread = 1.0 / 3, 0.2
+// retryPart and retrySpread are the defaults for the Retry-After of refused callers.
+const retryPart, retrySpread = 1.0 / 3, 0.2
 
-// TestGuessedReturnsServeAsKnownOnes plays 1.35 times the capacity for 20 s with callers
-// that each give a time of their own and come back once. With the guess of who comes
-// back, as many are in time as if it were known, but for a twentieth, and no kind gets
-// under 0.6 of the share of all.
-func TestGuessedReturnsServeAsKnownOnes(t *testing.T) {
+// TestDetectedRetriesPerformLikeKnownOnes simulates 1.35 times the capacity for 24 s, of which
+// the last 20 s count, with callers that have different timeouts and retry once. With detected
+// retries, at least 95% as many requests must be in time as with known retries, and no kind may
+// get less than 0.6 of the overall fraction.
+func TestDetectedRetriesPerformLikeKnownOnes(t *testing.T) {
 	kinds := []callerKind{{400 * time.Millisecond, 1000, 90, 48}, {300 * time.Millisecond, 600, 60, 48}}
 	play := func(seed uint64, guess *RetryDetector) (byKind []float64, all float64) {
 		s := newFleetSim(seed, 6, kinds)
-		s.times, s.guess = firstTry, guess
+		s.timeout, s.detector = firstAttemptTime, guess
 		s.window = func(at time.Time) int { return min(int(at.Sub(start)/(4*time.Second)), 1) }
 		s.run(24 * time.Second)
 		return s.shares(1)
 	}
 	for seed := range uint64(4) {
 		_, known := play(seed, nil)
-		kinds, guessed := play(seed, NewRetryDetector(heededPart, heededSpread))
+		kinds, guessed := play(seed, NewRetryDetector(retryPart, retrySpread))
 		assert.Assert(t, known < 0.9, "no overload: %.3f in time", known)
 		assert.Assert(t, guessed >= 0.95*known, "seed %d: %.3f in time, %.3f if it is known who comes back", seed, guessed, known)
 		for i, share := range kinds {
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -5,29 +5,30 @@
 )
 
 const (
-	// paceSpan is the span over which requests to a target with a bounded rate are
-	// counted; it is longer where not even one fits.
-	paceSpan = time.Second
-	// paceCounted bounds how many are counted, the newest.
-	paceCounted = 256
-	// leastRate is what a target gets that names a lower limit, in requests a second:
-	// without any request nobody would hear that it takes them again.
-	leastRate = 0.2
-	// holdUnanswered is how long a target with a bounded rate is left alone after its
+	// pacingWindow is the window over which requests to a target with a limited rate are
+	// counted. It is extended for rates below one request per window.
+	pacingWindow = time.Second
+	// maxPacingSamples bounds the number of counted requests; the latest are kept.
+	maxPacingSamples = 256
+	// minRate is the rate in requests per second that a target gets even if it declares a lower
+	// limit: without any request no entry would learn that the limit has been lifted.
+	minRate = 0.2
+	// unansweredBackoff is how long a target with a limited rate gets no requests after its
 	// home did not answer.
-	holdUnanswered = 100 * time.Millisecond
-	// firstSights is what an entry may send to a cold target in the first paceSpan after it
-	// has found the target: entries that start together do not know each other yet.
-	firstSights = 1
+	unansweredBackoff = 100 * time.Millisecond
+	// initialColdQuota is how many requests an entry may send to a cold target in the first
+	// pacingWindow after discovering it: entries that start together do not know each other
+	// yet.
+	initialColdQuota = 1
 )
 
-// rate is how many requests a second a target takes from all entries together.
+// rate is the request rate that a target accepts from all entries together.
 type rate struct {
 	bounded bool
 	perS    float64
 }
 
-// lower returns the rate with one more bound.
+// lower returns the rate with one more upper bound.
 func (r rate) lower(perS float64) rate {
 	if r.bounded {
 		perS = min(perS, r.perS)
@@ -35,25 +36,25 @@
 	return rate{true, perS}
 }
 
-// window returns how many requests may be sent in which span.
+// window returns how many requests may be sent within which span.
 func (r rate) window() (n int, span time.Duration) {
-	n = min(max(int(r.perS*paceSpan.Seconds()), 1), paceCounted)
+	n = min(max(int(r.perS*pacingWindow.Seconds()), 1), maxPacingSamples)
 	return n, time.Duration(float64(n) / r.perS * float64(time.Second))
 }
 
-// pace holds a target to a rate. The home of a target counts the requests of all
-// entries, each other entry those that it sends.
-type pace struct {
-	sent      []time.Time // in order
-	heldUntil time.Time   // the home grants no place before
+// pacer limits the rate of requests to a target. The target's home counts the requests of all
+// entries, every other entry only its own.
+type pacer struct {
+	sent         []time.Time // in order
+	blockedUntil time.Time   // the home grants no reservation before this time
 }
 
-// next returns when one more request may be sent; not after now if it may at once.
-func (p *pace) next(now time.Time, r rate) time.Time {
+// next returns when the next request may be sent; a time that is not after now means at once.
+func (p *pacer) next(now time.Time, r rate) time.Time {
 	if !r.bounded {
 		return now
 	}
-	at := p.heldUntil
+	at := p.blockedUntil
 	n, span := r.window()
 	if len(p.sent) >= n {
 		if free := p.sent[len(p.sent)-n].Add(span); free.After(at) {
@@ -63,26 +64,26 @@
 	return at
 }
 
-// count notes a request that is sent now.
-func (p *pace) count(now time.Time, r rate) {
+// count records a request that is sent now.
+func (p *pacer) count(now time.Time, r rate) {
 	if !r.bounded {
 		p.sent = nil
 		return
 	}
 	p.sent = append(p.sent, now)
-	p.sent = p.sent[max(len(p.sent)-paceCounted, 0):]
+	p.sent = p.sent[max(len(p.sent)-maxPacingSamples, 0):]
 }
 
-// takeBack undoes the newest count.
-func (p *pace) takeBack() {
+// undo removes the latest request.
+func (p *pacer) undo() {
 	p.sent = p.sent[:max(len(p.sent)-1, 0)]
 }
 
-// spend counts as many requests as may be sent now, but for some. What was sent before
-// the rate was known, or by others, is not known.
-func (p *pace) spend(now time.Time, r rate, but int) {
+// exhaust counts as many requests as the rate allows now, except for keep. Requests sent before
+// the rate was known, or by other entries, are unknown and assumed to have used it up.
+func (p *pacer) exhaust(now time.Time, r rate, keep int) {
 	n, _ := r.window()
-	for range max(n-but, 1) {
+	for range max(n-keep, 1) {
 		p.count(now, r)
 	}
 }
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -15,23 +15,24 @@
 	return notice.Statement{Limit: notice.Limit{Named: true, PerS: perS}}
 }
 
-// fleetOfBooks are entries of which the first is the home of the only target.
-type fleetOfBooks struct {
-	books []*Balancer
-	sent  []time.Time
+// entryGroup is a group of entries, the first of which is the home of the only target.
+type entryGroup struct {
+	entries []*Balancer
+	sent    []time.Time
 }
 
-func newFleetOfBooks(n int) *fleetOfBooks {
-	f := &fleetOfBooks{}
+func newEntryGroup(n int) *entryGroup {
+	f := &entryGroup{}
 	for range n {
-		f.books = append(f.books, book(nil, Config{}, plain(1)))
+		f.entries = append(f.entries, newTestBalancer(nil, Config{}, plain(1)))
 	}
 	return f
 }
 
-// send lets an entry choose the target, ask its home, and hear the answer.
-func (f *fleetOfBooks) send(now time.Time, entry int, says notice.Statement) {
-	b, home := f.books[entry], f.books[0]
+// send lets an entry choose the target, request a reservation from its home, and record the
+// response.
+func (f *entryGroup) send(now time.Time, entry int, statement notice.Statement) {
+	b, home := f.entries[entry], f.entries[0]
 	c, v := b.Pick(now, testService, demand(), nil)
 	if v != Chosen {
 		return
@@ -48,11 +49,11 @@
 		}
 	}
 	f.sent = append(f.sent, now)
-	b.RecordStatement(now.Add(5*time.Millisecond), c.Instance, says, now)
+	b.RecordStatement(now.Add(5*time.Millisecond), c.Instance, statement, now)
 	b.Finish(now, c.Target, Result{Latency: time.Millisecond})
 }
 
-// most returns the most requests within a span.
+// most returns the largest number of requests within a span.
 func most(sent []time.Time, span time.Duration) (n int) {
 	for i, at := range sent {
 		k := i
@@ -64,36 +65,36 @@
 	return n
 }
 
-// Each of several entries took the limit for its own, or none did.
-func TestLimitHoldsForAllEntriesTogether(t *testing.T) {
+// A target's limit applies to all entries together, not to each of them.
+func TestLimitAppliesToAllEntriesTogether(t *testing.T) {
 	const known, end, window = 3 * time.Second, 13 * time.Second, 4 * time.Second
 	for _, perS := range []float64{0, 0.2, 1, 3, 20, 1000} {
-		f, rng := newFleetOfBooks(8), rand.New(rand.NewPCG(1, 2))
+		f, rng := newEntryGroup(8), rand.New(rand.NewPCG(1, 2))
 		for ms := 0; ms < int(end.Milliseconds()); ms++ {
-			f.send(start.Add(time.Duration(ms)*time.Millisecond), rng.IntN(len(f.books)), limit(perS))
+			f.send(start.Add(time.Duration(ms)*time.Millisecond), rng.IntN(len(f.entries)), limit(perS))
 		}
 		from := slices.IndexFunc(f.sent, func(at time.Time) bool { return at.Sub(start) >= known })
 		assert.Assert(t, from >= 0, "%v/s: none", perS)
 		sent := f.sent[from:]
 		assert.Assert(t, float64(most(sent, window)) <= 1.5*window.Seconds()*perS+5, "%v/s: %d", perS, most(sent, window))
-		want := min(max(perS, leastRate), 1000) * (end - known).Seconds()
+		want := min(max(perS, minRate), 1000) * (end - known).Seconds()
 		assert.Assert(t, float64(len(sent)) >= 0.7*want-1, "%v/s: %d of %v", perS, len(sent), want)
 	}
 }
 
-func TestLimitThatIsRaisedAndLifted(t *testing.T) {
-	f := newFleetOfBooks(3)
+func TestLimitIsRaisedAndLifted(t *testing.T) {
+	f := newEntryGroup(3)
 	course := []struct {
-		says notice.Statement
-		most int // within the last second of ten
-		all  bool
+		statement notice.Statement
+		most      int // within the last of ten seconds
+		all       bool
 	}{{limit(1), 1, false}, {limit(0), 1, false}, {limit(10), 10, false}, {limit(2), 2, false}, {notice.Statement{}, 0, true}}
 	for i, c := range course {
 		f.sent = nil
 		const steps = 1000
 		for k := range steps {
 			at := start.Add(time.Duration(i)*10*time.Second + time.Duration(k)*10*time.Millisecond)
-			f.send(at, k%len(f.books), c.says)
+			f.send(at, k%len(f.entries), c.statement)
 		}
 		last := f.sent[len(f.sent)-1].Add(-time.Second)
 		n := 0
@@ -106,17 +107,17 @@
 	}
 }
 
-// A limit that is named again after each answer with another figure must not start over.
-func TestLimitThatVariesIsUsed(t *testing.T) {
-	f, rng := newFleetOfBooks(2), rand.New(rand.NewPCG(1, 2))
+// A limit that changes with each response must not reset the pacer.
+func TestVaryingLimitDoesNotResetPacing(t *testing.T) {
+	f, rng := newEntryGroup(2), rand.New(rand.NewPCG(1, 2))
 	for ms := 0; ms < 20000; ms += 5 {
 		f.send(start.Add(time.Duration(ms)*time.Millisecond), rng.IntN(2), limit(2+rng.Float64()))
 	}
 	assert.Assert(t, len(f.sent) >= 30 && len(f.sent) <= 62, "%d in 20 s", len(f.sent))
 }
 
-func TestPacedTargetIsLeftForOthers(t *testing.T) {
-	b := book(nil, Config{}, plain(1), plain(2))
+func TestPacedTargetIsSkipped(t *testing.T) {
+	b := newTestBalancer(nil, Config{}, plain(1), plain(2))
 	b.RecordStatement(start, *plain(1), limit(1), start)
 	for range 20 {
 		assert.Equal(t, picked(b, start), "p-2")
@@ -128,9 +129,9 @@
 	assert.Equal(t, picked(b, start.Add(time.Second), "p-2"), "paced")
 }
 
-// A choice that was taken back leaves its place to the next.
-func TestCancelGivesThePlaceBack(t *testing.T) {
-	b := book(nil, Config{}, plain(1))
+// A cancelled choice frees its quota for the next request.
+func TestCancelRestoresQuota(t *testing.T) {
+	b := newTestBalancer(nil, Config{}, plain(1))
 	b.RecordStatement(start, *plain(1), limit(1), start)
 	now := start.Add(time.Second)
 	c, _ := b.Pick(now, testService, demand(), nil)
@@ -138,8 +139,8 @@
 	assert.Equal(t, picked(b, now), "p-1")
 }
 
-func TestLimitOutlastsALapseOfTheList(t *testing.T) {
-	b := book(nil, Config{}, plain(1))
+func TestLimitSurvivesMissingListEntry(t *testing.T) {
+	b := newTestBalancer(nil, Config{}, plain(1))
 	services := map[string]*fleet.Service{testService: {Name: testService}}
 	b.RecordStatement(start, *plain(1), limit(1), start)
 	b.Apply(nil, services)
@@ -150,11 +151,11 @@
 	assert.Equal(t, picked(b, start.Add(10*time.Second)), "paced")
 }
 
-// The next life of a target under its ID has named none.
-func TestLimitEndsWithTheLife(t *testing.T) {
+// A limit does not apply to the next incarnation of a target with the same ID.
+func TestLimitEndsWithTheIncarnation(t *testing.T) {
 	first, second := plain(1), plain(1)
 	first.Born, second.Born = 1000, 2000
-	b := book(nil, Config{}, first)
+	b := newTestBalancer(nil, Config{}, first)
 	b.RecordStatement(start, *first, limit(1), start)
 	b.Apply([]*fleet.Instance{second}, map[string]*fleet.Service{testService: {Name: testService}})
 	for range 5 {
@@ -162,15 +163,15 @@
 	}
 }
 
-// Entries that all start at one moment know few others: each took itself for the home of the
-// first engine that served, and granted all that it bears while it was cold.
-func TestEntriesThatStartTogetherDoNotOverfillAColdTarget(t *testing.T) {
+// Entries that start at the same time know few other entries, so each takes itself for the home
+// of the first engine that serves. Each would then grant the full cold rate.
+func TestSimultaneousEntryStartsDoNotOverloadColdTarget(t *testing.T) {
 	const entries, perS, coldFor = 15, 26, 5 * time.Second
 	var books []*Balancer
 	for range entries {
 		e := engine(1, 1)
 		e.ColdFor, e.ColdUntil = coldFor, start.Add(coldFor)
-		b := book(engineModel(), Config{AdmitFraction: 100, AdmitGapFraction: 100})
+		b := newTestBalancer(engineModel(), Config{AdmitFraction: 100, AdmitGapFraction: 100})
 		b.Apply([]*fleet.Instance{e}, map[string]*fleet.Service{testService: {Name: testService, Engine: engineModel(), ColdRate: perS}})
 		books = append(books, b)
 	}
--- a/dispatch/pick.go
+++ b/dispatch/pick.go
@@ -10,16 +10,16 @@
 	"github.com/springgate/springgate/notice"
 )
 
-// Verdict says why no target was chosen.
+// Verdict is the outcome of a choice.
 type Verdict uint8
 
 // Verdicts of a choice.
 const (
 	Chosen    Verdict = iota
-	Saturated         // all that could serve are too loaded for the objective
-	NoTarget          // none could serve now
-	NoDomain          // all are in failure domains that must not run the request
-	Paced             // all that could serve take no more before a time
+	Saturated         // all usable targets are too loaded for the objective
+	NoTarget          // no target is usable now
+	NoDomain          // all targets are in failure domains that must not run the request
+	Paced             // all usable targets are rate-limited or in back-off until a later time
 )
 
 // String returns the name of the verdict.
@@ -27,27 +27,27 @@
 	return [...]string{"chosen", "saturated", "no_target", "no_domain", "paced"}[v]
 }
 
-// Choice is the target that a request goes to.
+// Choice is the target chosen for a request.
 type Choice struct {
 	Target *Target
-	// Instance is the target as the list had it at the choice; that of Target changes with
+	// Instance is the target as listed at the time of the choice; that of Target changes with
 	// the list.
-	Instance fleet.Instance
-	EntryRevision    int64 // revision of the target's entry in the list, as the choice knew it
-	Unlisted bool  // its entry had vanished from the list
-	// StartBy is when the request must have begun at the target, because the time of the
-	// version that it serves is over; zero if it may begin at any time.
-	StartBy     time.Time
+	Instance      fleet.Instance
+	EntryRevision int64 // revision of the target's list entry at the time of the choice
+	Unlisted      bool  // the list entry had vanished
+	// StartBy is when the request must have started at the target, because the version that it
+	// serves expires then; zero for no limit.
+	StartBy   time.Time
 	Forecast  Forecast
 	Admission Admission
 	Load      Load         // at the target before the request
-	Limit     notice.Limit // that the target is believed to have named
-	Paced     bool         // the target takes a bounded rate, so that its home must grant a place
-	FreeAt    time.Time    // of a verdict that it is Paced: when a target takes one more
+	Limit     notice.Limit // declared by the target
+	Paced     bool         // the target has a limited rate, so its home must grant a reservation
+	FreeAt    time.Time    // if the verdict is Paced: when a target accepts the next request
 }
 
-// Pick chooses a target of service and counts the request there; Finish must
-// follow. Instances in avoid are left out.
+// Pick chooses a target of service and counts the request there; the caller must call Finish or
+// Cancel. Instances in avoid are skipped.
 func (b *Balancer) Pick(now time.Time, service string, d Demand, avoid []string) (Choice, Verdict) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -56,7 +56,7 @@
 	if n == 0 {
 		return Choice{}, NoTarget
 	}
-	var best, lightest, spare candidate
+	var best, fastest, fallback candidate
 	start := b.rng.IntN(n)
 	allowed := 0
 	var freeAt time.Time
@@ -66,31 +66,31 @@
 			continue
 		}
 		allowed++
-		said := b.said(t)
-		if said.Leaving || !b.usable(now, t) || slices.Contains(avoid, t.ID) {
+		state := b.stateOf(t)
+		if state.Leaving || !b.usable(now, t) || slices.Contains(avoid, t.ID) {
 			continue
 		}
-		r := t.rate(now, said.Limit)
-		if at := latest(t.pace.next(now, r), b.rest(t).Next(now)); at.After(now) {
+		r := t.rate(now, state.Limit)
+		if at := latest(t.pace.next(now, r), b.backoffOf(t).Next(now)); at.After(now) {
 			freeAt = earliest(freeAt, at)
 			continue
 		}
 		c := candidate{Choice: Choice{Target: t, Instance: t.Instance, EntryRevision: t.Revision, Unlisted: t.Doubtful, Forecast: b.forecast(t, d), Load: t.load,
-			Limit: said.Limit, Paced: r.bounded}}
+			Limit: state.Limit, Paced: r.bounded}}
 		c.cost = c.Forecast.FirstEvent
 		if t.Domain != d.Domain && !b.cfg.Off.Has(mechanism.RemoteCost) {
 			c.cost += b.cfg.RemoteCost
 		}
 		if t.lastResort(now) {
-			spare.improve(c)
+			fallback.improve(c)
 		} else {
 			best.improve(c)
 			c.cost = c.Forecast.FirstEvent
-			lightest.improve(c)
+			fastest.improve(c)
 		}
 	}
 	if best.Target == nil {
-		best, lightest = spare, spare
+		best, fastest = fallback, fallback
 	}
 	switch {
 	case allowed == 0:
@@ -100,11 +100,11 @@
 	case best.Target == nil:
 		return Choice{}, NoTarget
 	}
-	for _, c := range [...]candidate{best, lightest} {
-		c.Admission = b.admission(now, c.Target, b.demands[service], d)
+	for _, c := range [...]candidate{best, fastest} {
+		c.Admission = b.admission(now, c.Target, b.objectives[service], d)
 		best = c
 		if c.Admission.admits(c.Load, c.Forecast) {
-			b.start(now, c.Target, d)
+			b.recordSend(now, c.Target, d)
 			c.StartBy = b.servesUntil(c.Target)
 			return c.Choice, Chosen
 		}
@@ -112,21 +112,21 @@
 	return best.Choice, Saturated
 }
 
-// lastResort reports whether the target gets requests only if no other can. One
-// that was silent is tried by a single request of all entries: it has no load, so
-// that it would draw more than all others.
+// lastResort reports whether the target gets requests only if no other can. A target that was
+// silent is probed by one request at a time across all entries: with no load, it would
+// otherwise attract more requests than all others.
 func (t *Target) lastResort(now time.Time) bool {
 	h := &t.health
 	if t.Doubtful || h.ejected(now) || h.silent(now, t.silenceLimit()) {
 		return true
 	}
-	if len(t.heard) > 0 {
+	if len(t.responsiveTo) > 0 {
 		return false
 	}
-	return h.suspected(now) || h.unproven() && t.load.Requests > 0
+	return h.suspected(now) || h.unconfirmed() && t.load.Requests > 0
 }
 
-// earliest returns the earlier of two times, of which the first may be zero for none.
+// earliest returns the earlier of two times; a may be zero for none.
 func earliest(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
@@ -153,43 +153,43 @@
 	}
 }
 
-// usable reports whether a target may get requests: an engine must hold all
-// layers of a version whose time is not over.
+// usable reports whether a target may get requests: an engine must hold all layers of a version
+// that has not expired.
 func (b *Balancer) usable(now time.Time, t *Target) bool {
-	if t.Draining || t.gone {
+	if t.Draining || t.replaced {
 		return false
 	}
 	if t.model == nil {
 		return true
 	}
-	holds, loading := b.serving(t)
-	if holds == 0 || loading {
+	loaded, loading := b.serving(t)
+	if loaded == 0 || loading {
 		return false
 	}
 	if b.cfg.VersionTimeout == 0 {
 		return true
 	}
 	due := b.versions[t.model.Model].due(now, b.cfg.VersionTimeout-b.cfg.VersionMargin)
-	return holds >= due
+	return loaded >= due
 }
 
-// serving returns the version that an engine serves whole, and whether it loads one, by
-// its agent or else by the list.
+// serving returns the version that an engine has fully loaded and whether it is loading one, as
+// reported by its agent or else by the list.
 func (b *Balancer) serving(t *Target) (version int, loading bool) {
-	if s, said := b.states[t.Addr]; said && (s.StartMs >= t.Born || s.StartMs == 0) { // else of an earlier life
+	if s, reported := b.states[t.Addr]; reported && (s.StartMs >= t.Born || s.StartMs == 0) { // otherwise the report is of an earlier incarnation
 		return s.Version, s.Loading
 	}
 	return t.Holds(t.model), false
 }
 
-// servesUntil returns when the time of the version that a target serves is over; zero
-// if no newer one is named.
+// servesUntil returns when the version that a target serves expires; zero if no newer version
+// is wanted.
 func (b *Balancer) servesUntil(t *Target) time.Time {
 	if t.model == nil || b.cfg.VersionTimeout == 0 {
 		return time.Time{}
 	}
 	version, _ := b.serving(t)
-	return b.versions[t.model.Model].overAt(version, b.cfg.VersionTimeout)
+	return b.versions[t.model.Model].expiresAt(version, b.cfg.VersionTimeout)
 }
 
 func (b *Balancer) forecast(t *Target, d Demand) Forecast {
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -6,29 +6,28 @@
 	"github.com/springgate/springgate/notice"
 )
 
-// Reservation is what became of the question for a place at a target.
+// Reservation is the outcome of a request for a reservation at a target.
 type Reservation uint8
 
-// Reservations.
+// Outcomes of a reservation.
 const (
-	ReservationGranted Reservation = iota
-	ReservationDenied              // the target is too loaded by now
-	ReservationDeferred                // the target takes no more, or not yet, and is left alone meanwhile
+	ReservationGranted  Reservation = iota
+	ReservationDenied               // the target is now too loaded
+	ReservationDeferred             // the target accepts no requests for now and is backed off from
 )
 
-// ReserveResult is a home's answer to an entry that wants to send a request to a target.
+// ReserveResult is a home's answer to a reservation request of another entry.
 type ReserveResult struct {
 	Granted bool
 	Known   bool          // the home knows the target
-	Wait    time.Duration // until the target takes one more; zero if that is not why
-	Report    notice.Told   // what the home believes of the target
+	Wait    time.Duration // until the target accepts the next request; zero if its rate is not the reason
+	Report  notice.Told   // state of the target known to the home
 }
 
-// Reserve decides for another entry whether one more request with so long a
-// prompt may go to a target, on the terms that the entry states. The grant counts
-// as that entry's load until its next account. A target that is not known here is
-// granted: the asker may know better. In a failure domain that is evacuated by now none
-// is granted.
+// Reserve decides for another entry whether one more request with the given prompt may be sent
+// to a target, under the entry's admission limits. A granted request counts as that entry's
+// load until its next load report. A target that is unknown here is granted, since the
+// requesting entry may have a newer list. In an evacuated failure domain none is granted.
 func (b *Balancer) Reserve(now time.Time, from, instance string, prompt int, a Admission) ReserveResult {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -36,7 +35,7 @@
 	if t == nil {
 		return ReserveResult{Granted: true}
 	}
-	p := ReserveResult{Known: true, Report: notice.Told{Life: notice.LifeOf(&t.Instance), Belief: b.said(t)}}
+	p := ReserveResult{Known: true, Report: notice.Told{Life: notice.LifeOf(&t.Instance), Belief: b.stateOf(t)}}
 	p.Report.Leaving = b.leaving(t)
 	r := t.rate(now, p.Report.Limit)
 	p.Wait = max(t.pace.next(now, r).Sub(now), 0)
@@ -46,33 +45,33 @@
 	p.Granted = true
 	t.pace.count(now, r)
 	l := Load{Requests: 1, PendingPrefill: prompt}
-	t.others[from] = t.others[from].add(l)
+	t.entryLoads[from] = t.entryLoads[from].add(l)
 	t.load = t.load.add(l)
 	return p
 }
 
-// BackOff leaves a target alone for a time, because its home grants no place before.
+// BackOff sends a target no requests for a duration in which its home grants no reservations.
 func (b *Balancer) BackOff(now time.Time, instance string, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if t := b.byID[instance]; t != nil {
-		t.pace.heldUntil = now.Add(wait)
+		t.pace.blockedUntil = now.Add(wait)
 	}
 }
 
-// BackOffUnanswered leaves a target with a bounded rate alone, because its home did not
-// answer: what others send there is not known.
+// BackOffUnanswered backs off from a target with a limited rate because its home did not
+// answer: the requests of other entries are unknown.
 func (b *Balancer) BackOffUnanswered(now time.Time, instance string) {
-	b.BackOff(now, instance, holdUnanswered)
+	b.BackOff(now, instance, unansweredBackoff)
 }
 
-// Cancel takes a choice back that was not followed.
+// Cancel undoes a choice that was not used.
 func (b *Balancer) Cancel(t *Target, d Demand) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := Load{Requests: -1, PendingPrefill: -d.Prompt}
 	t.own, t.load = t.own.add(l), t.load.add(l)
-	t.pace.takeBack()
+	t.pace.undo()
 	b.notices.NotSent(notice.LifeOf(&t.Instance))
 	if t.own.Requests == 0 {
 		t.health.waitingSince = time.Time{}
--- a/dispatch/residency_test.go
+++ b/dispatch/residency_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// spread returns a book with two engines in each of the failure domains a, b and c, which
-// are regions of their own.
-func spread(t *testing.T, evacuated ...string) *Balancer {
+// newRegionalBalancer returns a balancer with two engines in each of the failure domains a, b
+// and c, each in a region of its own.
+func newRegionalBalancer(t *testing.T, evacuated ...string) *Balancer {
 	t.Helper()
 	var list []*fleet.Instance
 	for i := range 6 {
@@ -19,14 +19,14 @@
 		e.Domain = string(rune('a' + i%3))
 		list = append(list, e)
 	}
-	b := book(engineModel(), Config{Regions: regions()}, list...)
+	b := newTestBalancer(engineModel(), Config{Regions: regions()}, list...)
 	b.SetEvacuated(evacuated)
 	return b
 }
 
 func regions() map[string]string { return map[string]string{"a": "A", "b": "B", "c": "C"} }
 
-// domainsOf returns the failure domains that 30 requests are sent to, one after the other.
+// domainsOf returns the failure domains that 30 consecutive requests are sent to.
 func domainsOf(t *testing.T, b *Balancer, d Demand, avoid ...string) map[string]bool {
 	t.Helper()
 	got := map[string]bool{}
@@ -42,15 +42,15 @@
 	return got
 }
 
-func TestRequestStaysInItsHomes(t *testing.T) {
+func TestRequestStaysInHomeRegions(t *testing.T) {
 	for _, standing := range []Standing{Fresh, Overdue, Resumed} {
 		d := demand()
 		d.Standing, d.HomeRegions = standing, residency.Homes{Route: []string{"B", "C"}, Team: []string{"C", "A"}}
-		b := spread(t)
+		b := newRegionalBalancer(t)
 		assert.DeepEqual(t, domainsOf(t, b, d), map[string]bool{"c": true})
-		// The home alone is down or avoided: no other domain takes its place.
+		// If the targets in the home region are avoided, no other domain replaces it.
 		assert.DeepEqual(t, domainsOf(t, b, d, "i-2", "i-5"), map[string]bool{"no_target": true})
-		// The last resort is at home too.
+		// A target of last resort must be in a home region too.
 		b.Finish(start, b.byID["i-2"], Result{ConnectFailed: true})
 		assert.DeepEqual(t, domainsOf(t, b, d, "i-5"), map[string]bool{"c": true})
 		d.HomeRegions.Team = []string{"A"}
@@ -59,7 +59,7 @@
 }
 
 func TestEvacuatedDomainIsNotChosen(t *testing.T) {
-	b := spread(t, "a", "nowhere")
+	b := newRegionalBalancer(t, "a", "nowhere")
 	d := demand()
 	assert.Assert(t, !domainsOf(t, b, d)["a"])
 	assert.DeepEqual(t, domainsOf(t, b, d, "i-1", "i-2", "i-4", "i-5"), map[string]bool{"no_target": true})
@@ -71,16 +71,16 @@
 	assert.Assert(t, domainsOf(t, b, demand())["a"], "taken back")
 }
 
-// A home that knows of an evacuation grants no place there to an entry that does not.
-func TestHomeGrantsNothingInAnEvacuatedDomain(t *testing.T) {
-	b := spread(t, "a")
+// A home that knows of an evacuation grants no reservation there to an entry that does not.
+func TestHomeDeniesReservationInEvacuatedDomain(t *testing.T) {
+	b := newRegionalBalancer(t, "a")
 	a := Admission{MaxWait: time.Hour}
 	assert.Assert(t, !b.Reserve(start, "x", "i-0", 10, a).Granted)
 	assert.Assert(t, b.Reserve(start, "x", "i-1", 10, a).Granted)
 }
 
-// The sample that is looked at is of targets that may run the request.
-func TestSampleIsOfAllowedDomains(t *testing.T) {
+// Only targets that may run the request count towards the sample size.
+func TestSampleCountsAllowedTargetsOnly(t *testing.T) {
 	var list []*fleet.Instance
 	for i := range 60 {
 		e := engine(i, 1)
@@ -89,18 +89,19 @@
 	}
 	home := engine(99, 1)
 	home.Domain = "c"
-	b := book(engineModel(), Config{SampleSize: 2, Regions: regions()}, append(list, home)...)
+	b := newTestBalancer(engineModel(), Config{SampleSize: 2, Regions: regions()}, append(list, home)...)
 	d := demand()
 	d.HomeRegions.Route = []string{"C"}
 	assert.DeepEqual(t, domainsOf(t, b, d), map[string]bool{"c": true})
 }
 
-// A cold target gets no more requests in a second than it bears, whoever sends them.
-func TestColdTargetGetsNoMoreThanItBears(t *testing.T) {
+// A cold target gets no more requests per second than its cold rate, whichever entry sends
+// them.
+func TestColdTargetStaysBelowColdRate(t *testing.T) {
 	const rate, coldFor = 3, 4 * time.Second
 	e := engine(1, 1)
 	e.ColdUntil = start.Add(coldFor)
-	b := book(engineModel(), Config{}, e)
+	b := newTestBalancer(engineModel(), Config{}, e)
 	b.Apply([]*fleet.Instance{e}, map[string]*fleet.Service{testService: {Name: testService, Engine: engineModel(), ColdRate: rate}})
 	var sent []time.Time
 	const step = 20 * time.Millisecond
--- a/dispatch/rest_test.go
+++ b/dispatch/rest_test.go
@@ -9,16 +9,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// askRest lets an entry hear that a target turned a request away and asked for rest.
-func askRest(b *Balancer, now time.Time, i *fleet.Instance, d time.Duration) {
+// recordBackoff records a response in which a target refused a request and asked for a
+// back-off.
+func recordBackoff(b *Balancer, now time.Time, i *fleet.Instance, d time.Duration) {
 	b.RecordStatement(now, *i, notice.Statement{Rest: d}, now)
 }
 
-// A target that turned all requests away had no load, and so got most of them.
-func TestTargetThatAskedForRestIsNotChosen(t *testing.T) {
-	b := book(nil, Config{}, plain(1), plain(2))
+// A target that refuses every request has no load, which would attract most requests.
+func TestTargetInBackoffIsNotChosen(t *testing.T) {
+	b := newTestBalancer(nil, Config{}, plain(1), plain(2))
 	b.SetLoads("other", map[string]Load{"p-2": {Requests: 5}})
-	askRest(b, start, plain(1), 3*time.Second)
+	recordBackoff(b, start, plain(1), 3*time.Second)
 	for _, at := range []time.Duration{0, time.Second, 2999 * time.Millisecond} {
 		assert.Equal(t, picked(b, start.Add(at)), "p-2")
 	}
@@ -31,10 +32,11 @@
 	assert.Equal(t, v, Paced, "a resumed stream neither")
 }
 
-// All callers that waited for the end of a rest were turned away together.
-func TestOneRequestFirstAfterARest(t *testing.T) {
-	b := book(nil, Config{}, plain(1))
-	askRest(b, start, plain(1), time.Second)
+// Callers that wait for the end of a back-off must not be sent together, or all are refused
+// again.
+func TestSingleProbeAfterBackoff(t *testing.T) {
+	b := newTestBalancer(nil, Config{}, plain(1))
+	recordBackoff(b, start, plain(1), time.Second)
 	now := start.Add(time.Second)
 	c, v := b.Pick(now, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
@@ -44,23 +46,23 @@
 	assert.Equal(t, picked(b, now.Add(11*time.Millisecond)), "p-1")
 }
 
-func TestRestIsNoFailure(t *testing.T) {
-	b := book(nil, Config{}, plain(1), plain(2))
+func TestBackoffIsNotAFailure(t *testing.T) {
+	b := newTestBalancer(nil, Config{}, plain(1), plain(2))
 	for i := range 20 {
 		now := start.Add(time.Duration(i) * time.Second)
 		c, v := b.Pick(now, testService, demand(), []string{"p-2"})
 		assert.Equal(t, v, Chosen)
-		askRest(b, now, plain(1), 500*time.Millisecond)
+		recordBackoff(b, now, plain(1), 500*time.Millisecond)
 		b.Finish(now, c.Target, Result{})
 	}
 	assert.Assert(t, !b.byID["p-1"].health.ejected(start.Add(20*time.Second)))
 	assert.Equal(t, len(b.SilentTargets(start.Add(20*time.Second))), 0)
 }
 
-// Other entries choose for themselves: the target asked one of them.
-func TestRestIsNotTold(t *testing.T) {
-	b := book(nil, Config{}, plain(1))
-	askRest(b, start, plain(1), time.Second)
+// A back-off applies only to the entry that the target asked; others are not notified.
+func TestBackoffIsNotReportedToOtherEntries(t *testing.T) {
+	b := newTestBalancer(nil, Config{}, plain(1))
+	recordBackoff(b, start, plain(1), time.Second)
 	assert.Equal(t, len(b.Reports()), 0)
 	assert.Assert(t, b.Reserve(start, "x", "p-1", 1, Admission{MaxWait: time.Hour}).Granted)
 }
--- a/dispatch/returns.go
+++ b/dispatch/returns.go
@@ -7,58 +7,58 @@
 )
 
 const (
-	// returnSlack is how much more time than usual callers of a route may have had at
-	// their first attempt to be recognized when they come back.
-	returnSlack = 1.05
-	// returnSample is how many of a route's last requests tell what callers
-	// usually give.
-	returnSample = 32
-	// usualRank is the one of them, by time left, that is taken for usual. A
-	// few callers give more time than the others; most requests are first
-	// attempts or repetitions with less time left.
-	usualRank = 28
+	// retrySlack is the factor by which a caller's initial time may exceed the typical one of
+	// its route and its retry still be recognized.
+	retrySlack = 1.05
+	// retrySampleSize is how many of a route's latest requests are used to estimate the typical
+	// initial time.
+	retrySampleSize = 32
+	// typicalRank is the rank, by time left, of the request that is taken as typical. It is not
+	// the highest, as a few callers allow more time than the others; most requests are first
+	// attempts or retries with less time left.
+	typicalRank = 28
 )
 
-// RetryDetector tells callers that come back after a refusal from new ones by the time that
-// they have left. Callers of a route may each start with a time of their own; one that
-// heeded Retry-After has lost a known part of it. A caller that comes back sooner is taken
-// for a new one, and a new one that gives far less time than the others for one that comes
-// back. Its methods may be called concurrently.
+// RetryDetector distinguishes retries of refused callers from new requests by the time that
+// they have left. Each caller of a route may start with a different timeout; one that honored
+// Retry-After has used up a known fraction of it. A caller that retries sooner is mistaken for
+// a new one, and a new one with a far shorter timeout than the others for a retry. Its methods
+// may be called concurrently.
 type RetryDetector struct {
-	// share is the part of a caller's time that it has left at most when it comes back.
+	// share is the largest fraction of its initial time that a caller has left when it retries.
 	share float64
 
 	mu     sync.Mutex
 	routes map[string]*timesLeft
 }
 
-// NewRetryDetector returns a guess for callers that are told to come back after a part of the
-// time that they have left, less up to spread of that.
+// NewRetryDetector returns a detector for callers that are told to retry after the fraction
+// part of their time left, reduced by a random share of up to spread.
 func NewRetryDetector(part, spread float64) *RetryDetector {
 	return &RetryDetector{share: 1 - part*(1-spread), routes: map[string]*timesLeft{}}
 }
 
-// timesLeft are the times that a route's last callers had left.
+// timesLeft holds the times that a route's latest callers had left.
 type timesLeft struct {
-	last  [returnSample]time.Duration // ring
-	count int
-	usual time.Duration
+	last    [retrySampleSize]time.Duration // ring buffer
+	count   int
+	typical time.Duration
 }
 
-// add notes a request and brings usual up to date.
+// add records a request and updates typical.
 func (t *timesLeft) add(left time.Duration) {
-	t.last[t.count%returnSample] = left
+	t.last[t.count%retrySampleSize] = left
 	t.count++
-	if t.count < returnSample {
-		t.usual = max(t.usual, left)
+	if t.count < retrySampleSize {
+		t.typical = max(t.typical, left)
 		return
 	}
 	sorted := t.last
 	slices.Sort(sorted[:])
-	t.usual = sorted[usualRank]
+	t.typical = sorted[typicalRank]
 }
 
-// IsRetry reports whether a request with so much time left is a repetition.
+// IsRetry reports whether a request with the given time left is probably a retry.
 func (r *RetryDetector) IsRetry(route string, left time.Duration) bool {
 	if left <= 0 {
 		return false
@@ -71,13 +71,14 @@
 		r.routes[route] = t
 	}
 	t.add(left)
-	return float64(left) < returnSlack*r.share*float64(t.usual)
+	return float64(left) < retrySlack*r.share*float64(t.typical)
 }
 
-// RetryAfter is when a refused caller that will wait for left should come back: after part
-// of that, less a random share of up to spread, so that those who are refused together do
-// not come back together. If no target takes a request before free is over it is later, by
-// as large a share. random is uniform in [0, 1).
+// RetryAfter returns the delay after which a refused caller with the given time left should
+// retry: the fraction part of it, reduced by a random share of up to spread, so that callers
+// that are refused together do not retry together. If no target accepts requests until free has
+// passed, the delay is at least free plus a random share of up to spread. random is uniform in
+// [0, 1).
 func RetryAfter(left, free time.Duration, part, spread, random float64) time.Duration {
 	usual := part * (1 - spread*random) * float64(left)
 	return time.Duration(max(usual, (1+spread*random)*float64(free)))
--- a/dispatch/returns_test.go
+++ b/dispatch/returns_test.go
@@ -8,15 +8,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// timesOfFirstTries are quantiles of the time that callers of one route gave at their first
-// attempt: the least, 5, 25, 50, 75, 95 % and the most.
-var timesOfFirstTries = []struct{ part, ms float64 }{{0, 3665}, {0.05, 5149}, {0.25, 5319}, {0.5, 5539}, {0.75, 5784}, {0.95, 5957}, {1, 5999}}
+// firstAttemptQuantiles are quantiles of the timeout that callers of one route set on their
+// first attempt: minimum, 5, 25, 50, 75, 95 % and maximum.
+var firstAttemptQuantiles = []struct{ part, ms float64 }{{0, 3665}, {0.05, 5149}, {0.25, 5319}, {0.5, 5539}, {0.75, 5784}, {0.95, 5957}, {1, 5999}}
 
-// firstTry draws the time that a caller gives.
-func firstTry(rng *rand.Rand) time.Duration {
+// firstAttemptTime draws a caller's timeout.
+func firstAttemptTime(rng *rand.Rand) time.Duration {
 	u := rng.Float64()
 	for i := 1; ; i++ {
-		lo, hi := timesOfFirstTries[i-1], timesOfFirstTries[i]
+		lo, hi := firstAttemptQuantiles[i-1], firstAttemptQuantiles[i]
 		if u <= hi.part {
 			ms := lo.ms + (u-lo.part)/(hi.part-lo.part)*(hi.ms-lo.ms)
 			return time.Duration(ms * float64(time.Millisecond))
@@ -24,19 +24,19 @@
 	}
 }
 
-// Callers choose the time that they give: a spread of it makes nobody one that comes back.
-// Of the first attempts at most the twentieth with the least time may be mistaken, and
-// those that heeded Retry-After are known.
-func TestSpreadOfTimesIsNoReturn(t *testing.T) {
+// Callers choose their timeouts, and a spread of timeouts alone must not look like retries. At
+// most one in twenty first attempts, those with the shortest timeouts, may be mistaken for a
+// retry. Callers that honored Retry-After must be detected.
+func TestTimeoutSpreadIsNotARetry(t *testing.T) {
 	const part, spread, callers = 1.0 / 3, 0.2, 20000
 	for _, refused := range []float64{0, 0.1, 0.3} {
 		rng := rand.New(rand.NewPCG(7, 1))
 		r := NewRetryDetector(part, spread)
-		var first, mistaken, back, known int
+		var first, mistaken, retried, known int
 		for i := range callers {
-			left := firstTry(rng)
+			left := firstAttemptTime(rng)
 			was := r.IsRetry("a", left)
-			if i < returnSample {
+			if i < retrySampleSize {
 				continue
 			}
 			first++
@@ -46,17 +46,17 @@
 			if rng.Float64() >= refused {
 				continue
 			}
-			back++
+			retried++
 			if r.IsRetry("a", left-RetryAfter(left, 0, part, spread, rng.Float64())) {
 				known++
 			}
 		}
 		assert.Assert(t, mistaken <= first/20, "%.1f refused: %d of %d first attempts mistaken", refused, mistaken, first)
-		assert.Assert(t, known >= back*95/100, "%.1f refused: %d of %d known", refused, known, back)
+		assert.Assert(t, known >= retried*95/100, "%.1f refused: %d of %d known", refused, known, retried)
 	}
 }
 
-func TestReturningCallers(t *testing.T) {
+func TestIsRetry(t *testing.T) {
 	r := NewRetryDetector(1.0/3, 0.2)
 	assert.Assert(t, !r.IsRetry("a", 6*time.Second))
 	assert.Assert(t, !r.IsRetry("a", 5990*time.Millisecond))
@@ -65,8 +65,8 @@
 	assert.Assert(t, !r.IsRetry("a", 0), "not said")
 }
 
-// A few callers that wait longer than the others do not make these overdue.
-func TestPatientCallersAreNotTheRule(t *testing.T) {
+// A few callers with longer timeouts than the others do not make the others look overdue.
+func TestLongTimeoutsDoNotSkewTypicalTimeout(t *testing.T) {
 	r := NewRetryDetector(1.0/3, 0.2)
 	overdue := 0
 	for i := range 500 {
@@ -74,9 +74,9 @@
 		if i%25 == 3 {
 			left = 12 * time.Second
 		}
-		if i >= returnSample && r.IsRetry("a", left) {
+		if i >= retrySampleSize && r.IsRetry("a", left) {
 			overdue++
-		} else if i < returnSample {
+		} else if i < retrySampleSize {
 			r.IsRetry("a", left)
 		}
 	}
@@ -84,7 +84,7 @@
 	assert.Assert(t, r.IsRetry("a", 4*time.Second))
 }
 
-func BenchmarkReturning(b *testing.B) {
+func BenchmarkIsRetry(b *testing.B) {
 	r := NewRetryDetector(1.0/3, 0.2)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -92,8 +92,8 @@
 	}
 }
 
-// Callers that no target takes before a time do not come back sooner, nor all at once.
-func TestCallersComeBackAfterTheFirstTargetHasRested(t *testing.T) {
+// If no target accepts requests before a time, callers retry neither before it nor all at once.
+func TestRetryAfterWaitsForFreeTarget(t *testing.T) {
 	const left, free = 2 * time.Second, 3 * time.Second
 	rng := rand.New(rand.NewPCG(1, 2))
 	var sooner, later int
--- a/dispatch/versions.go
+++ b/dispatch/versions.go
@@ -14,11 +14,11 @@
 	since   time.Time
 }
 
-// wantedVersions are those of one model, oldest first. Each has its own time:
-// a newer one does not put the duty to leave an older one off.
+// wantedVersions are the wanted versions of one model, oldest first. Each has its own deadline:
+// a newer version does not postpone the one for leaving an older version.
 type wantedVersions []wanted
 
-// due returns the newest version that must be served by now, or zero.
+// due returns the newest version whose deadline has passed, or zero.
 func (w wantedVersions) due(now time.Time, timeout time.Duration) int {
 	for i := len(w) - 1; i >= 0; i-- {
 		if now.Sub(w[i].since) >= timeout {
@@ -28,9 +28,9 @@
 	return 0
 }
 
-// overAt returns when the time of a version is over, because a newer one must be served
-// by then; zero if none is newer.
-func (w wantedVersions) overAt(version int, timeout time.Duration) time.Time {
+// expiresAt returns when a version expires because a newer one must be served by then; zero if
+// there is no newer one.
+func (w wantedVersions) expiresAt(version int, timeout time.Duration) time.Time {
 	var first time.Time
 	for _, x := range w {
 		if over := x.since.Add(timeout); x.version > version && (first.IsZero() || over.Before(first)) {
@@ -40,11 +40,11 @@
 	return first
 }
 
-// versionsKept bounds the versions that are remembered; those before are due.
-const versionsKept = 8
+// maxVersions bounds the versions that are kept. The deadlines of older ones have passed.
+const maxVersions = 8
 
-// SetVersion names the version of a model that is wanted since a time. That may be
-// corrected later, and a version may be learned of after a newer one.
+// SetVersion sets since when a version of a model is wanted. The time may be corrected later,
+// and a version may become known after a newer one.
 func (b *Balancer) SetVersion(v fleet.VersionTarget, since time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,5 +57,5 @@
 	}
 	i, _ := slices.BinarySearchFunc(w, v.Version, func(x wanted, version int) int { return cmp.Compare(x.version, version) })
 	w = slices.Insert(w, i, wanted{v.Version, since})
-	b.versions[v.Model] = w[max(len(w)-versionsKept, 0):]
+	b.versions[v.Model] = w[max(len(w)-maxVersions, 0):]
 }
