--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -56,8 +56,8 @@
 	full := forecastEngine(m, Load{Requests: 16}, demand())
 	reading := forecastEngine(m, Load{Requests: 8, PendingPrefill: 4000}, demand())
 	assert.Assert(t, idle.FirstEvent < busy.FirstEvent)
-	assert.Assert(t, busy.FirstEvent < full.FirstEvent, "a full engine makes it wait for a slot")
-	assert.Assert(t, reading.Gap > 200*time.Millisecond, "4,000 tokens are read between two events of others")
+	assert.Assert(t, busy.FirstEvent < full.FirstEvent, "a full engine delays the request until a slot is free")
+	assert.Assert(t, reading.Gap > 200*time.Millisecond, "4,000 tokens are prefilled between two events of other streams")
 }
 
 func TestPickTakesTheLeastLoaded(t *testing.T) {
@@ -102,14 +102,14 @@
 	b.Finish(start, c.Target, Result{Replaced: true})
 	services := map[string]*fleet.Service{testService: {Name: testService, Engine: engineModel()}}
 	b.Apply([]*fleet.Instance{second}, services)
-	assert.Equal(t, picked(b, start), "no_target", "it holds nothing yet, whatever its agent said before")
+	assert.Equal(t, picked(b, start), "no_target", "the new incarnation has no version loaded, whatever the agent reported before")
 	b.SetState(second.Addr, EngineState{Version: 1, StartMs: 2000})
 	c, v = b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
-	assert.Equal(t, c.Load, Load{}, "no load of before")
+	assert.Equal(t, c.Load, Load{}, "the load of the earlier incarnation must be dropped")
 	b.SetState(second.Addr, EngineState{Version: 0, StartMs: 3000})
 	b.Apply([]*fleet.Instance{second, other}, services)
-	assert.Equal(t, picked(b, start), "i-2", "the agent knows of a later life than the list")
+	assert.Equal(t, picked(b, start), "i-2", "the agent reports a later incarnation than the list")
 }
 
 // Targets that do not report their start time are identified by their ID alone.
@@ -130,9 +130,9 @@
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, start)
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 3}, start.Add(2*time.Second))
 	assert.Equal(t, picked(b, start.Add(6*time.Second), "i-2", "i-3"), "i-1")
-	assert.Equal(t, picked(b, start.Add(7*time.Second), "i-2", "i-3"), "no_target", "version 1 is over")
+	assert.Equal(t, picked(b, start.Add(7*time.Second), "i-2", "i-3"), "no_target", "version 1 has expired")
 	assert.Equal(t, picked(b, start.Add(8*time.Second), "i-1", "i-3"), "i-2")
-	assert.Equal(t, picked(b, start.Add(9*time.Second), "i-1", "i-3"), "no_target", "version 2 is over")
+	assert.Equal(t, picked(b, start.Add(9*time.Second), "i-1", "i-3"), "no_target", "version 2 has expired")
 	assert.Equal(t, picked(b, start.Add(9*time.Second)), "i-3")
 }
 
@@ -146,7 +146,7 @@
 		assert.Equal(t, v, Chosen)
 		return c.StartBy
 	}
-	assert.Assert(t, until("i-2", "i-3").IsZero(), "no newer version is named")
+	assert.Assert(t, until("i-2", "i-3").IsZero(), "no newer version is wanted")
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, start)
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 3}, start.Add(2*time.Second))
 	assert.Equal(t, until("i-2", "i-3"), start.Add(8*time.Second))
@@ -166,7 +166,7 @@
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 30}})
 	assert.Equal(t, picked(b, start), "saturated")
 	b.SetLoads("other", nil)
-	assert.Equal(t, picked(b, start), "i-1", "the other entry's load is forgotten")
+	assert.Equal(t, picked(b, start), "i-1", "the other entry's load is removed")
 }
 
 func TestFailingTargetIsEjectedAndRetried(t *testing.T) {
@@ -202,7 +202,7 @@
 	slow := newTestBalancer(m, Config{}, engine(1, 1))
 	c, v := slow.Pick(start, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
-	assert.Assert(t, !slow.Silent(start.Add(1500*time.Millisecond), c.Target), "1,000 tokens are read in 1.05 s")
+	assert.Assert(t, !slow.Silent(start.Add(1500*time.Millisecond), c.Target), "1,000 tokens take 1.05 s to prefill")
 	assert.Assert(t, slow.Silent(start.Add(4*time.Second), c.Target))
 	p := newTestBalancer(nil, Config{}, plain(1))
 	for range 2 {
@@ -241,8 +241,8 @@
 	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, PendingPrefill: 2000}})
 	assert.Assert(t, b.Suspect(left, "i-1"))
-	assert.Assert(t, !b.Suspect(left, "i-1"), "no news")
-	assert.Equal(t, picked(b, left), "i-2", "though it has more load")
+	assert.Assert(t, !b.Suspect(left, "i-1"), "already suspected")
+	assert.Equal(t, picked(b, left), "i-2", "despite its higher load")
 }
 
 // Single lost responses do not make a target silent while other entries receive data from it.
@@ -257,7 +257,7 @@
 	b.Suspect(later, "i-1")
 	assert.Equal(t, picked(b, later), "i-1")
 	b.SetLoads("x", nil)
-	assert.Equal(t, len(b.byID["i-1"].responsiveTo), 0, "an entry that is gone vouches for nothing")
+	assert.Equal(t, len(b.byID["i-1"].responsiveTo), 0, "a departed entry must not count as receiving data")
 }
 
 func TestResponsiveTargets(t *testing.T) {
@@ -278,7 +278,7 @@
 	now := start.Add(suspectDuration)
 	c, _ := b.Pick(now, testService, demand(), nil)
 	assert.Equal(t, c.Target.ID, "i-1")
-	assert.Equal(t, picked(b, now), "i-2", "one is enough")
+	assert.Equal(t, picked(b, now), "i-2", "a single probe is enough")
 	b.RecordActivity(now.Add(50*time.Millisecond), c.Target, 1000)
 	assert.Equal(t, picked(b, now.Add(60*time.Millisecond)), "i-1")
 }
@@ -322,9 +322,9 @@
 			granted++
 		}
 	}
-	assert.Assert(t, granted >= 3 && granted <= 6, "granted %d", granted)
+	assert.Assert(t, granted >= 3 && granted <= 6, "granted %d reservations", granted)
 	home.SetLoads("entry-0", nil)
-	assert.Assert(t, home.Reserve(start, "entry-0", "i-1", demand().Prompt, usual).Granted, "an account replaces the grant")
+	assert.Assert(t, home.Reserve(start, "entry-0", "i-1", demand().Prompt, usual).Granted, "a load report replaces the grant")
 	assert.Assert(t, home.Reserve(start, "entry-0", "unknown", demand().Prompt, usual).Granted)
 }
 
--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -30,7 +30,7 @@
 	b.Apply([]*fleet.Instance{plain(2)}, services)
 	b.UpdateNotices(start.Add(20 * time.Second))
 	b.Apply([]*fleet.Instance{plain(1), plain(2)}, services)
-	assert.Equal(t, picked(b, start, "p-2"), "no_target", "its entry lapsed and came back")
+	assert.Equal(t, picked(b, start, "p-2"), "no_target", "its list entry expired and reappeared")
 	assert.Equal(t, picked(b, start), "p-2")
 }
 
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -224,7 +224,7 @@
 		s.run(16 * time.Second)
 		shares, all := s.shares(1)
 		for i, share := range shares {
-			assert.Assert(t, share >= all/2, "kind %d: %.2f, all: %.2f", i, share, all)
+			assert.Assert(t, share >= all/2, "kind %d: %.2f in time, overall %.2f", i, share, all)
 		}
 	})
 }
@@ -248,10 +248,10 @@
 		s.run(16 * time.Second)
 		_, before := s.shares(4)
 		_, during := s.shares(7)
-		assert.Assert(t, before > 0.95 && during < 0.8, "before %.2f, during %.2f", before, during)
+		assert.Assert(t, before > 0.95 && during < 0.8, "in time before the burst %.2f, during it %.2f", before, during)
 		for w := 10; w < 14; w++ {
 			_, after := s.shares(w)
-			assert.Assert(t, after > 0.9*before, "%d retries: second %d: %.2f, before %.2f", retries, w, after, before)
+			assert.Assert(t, after > 0.9*before, "%d retries: second %d: %.2f in time, before the burst %.2f", retries, w, after, before)
 		}
 	}
 }
@@ -276,9 +276,9 @@
 		_, known := play(seed, nil)
 		kinds, guessed := play(seed, NewRetryDetector(retryPart, retrySpread))
 		assert.Assert(t, known < 0.9, "no overload: %.3f in time", known)
-		assert.Assert(t, guessed >= 0.95*known, "seed %d: %.3f in time, %.3f if it is known who comes back", seed, guessed, known)
+		assert.Assert(t, guessed >= 0.95*known, "seed %d: %.3f in time, %.3f with known retries", seed, guessed, known)
 		for i, share := range kinds {
-			assert.Assert(t, share >= 0.6*guessed, "kind %d: %.3f of %.3f", i, share, guessed)
+			assert.Assert(t, share >= 0.6*guessed, "kind %d: %.3f in time, overall %.3f", i, share, guessed)
 		}
 	}
 }
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -74,11 +74,11 @@
 			f.send(start.Add(time.Duration(ms)*time.Millisecond), rng.IntN(len(f.entries)), limit(perS))
 		}
 		from := slices.IndexFunc(f.sent, func(at time.Time) bool { return at.Sub(start) >= known })
-		assert.Assert(t, from >= 0, "%v/s: none", perS)
+		assert.Assert(t, from >= 0, "%v/s: no requests sent", perS)
 		sent := f.sent[from:]
-		assert.Assert(t, float64(most(sent, window)) <= 1.5*window.Seconds()*perS+5, "%v/s: %d", perS, most(sent, window))
+		assert.Assert(t, float64(most(sent, window)) <= 1.5*window.Seconds()*perS+5, "%v/s: %d requests in the window", perS, most(sent, window))
 		want := min(max(perS, minRate), 1000) * (end - known).Seconds()
-		assert.Assert(t, float64(len(sent)) >= 0.7*want-1, "%v/s: %d of %v", perS, len(sent), want)
+		assert.Assert(t, float64(len(sent)) >= 0.7*want-1, "%v/s: %d of %v requests sent", perS, len(sent), want)
 	}
 }
 
@@ -103,7 +103,7 @@
 				n++
 			}
 		}
-		assert.Assert(t, c.all && n > 50 || !c.all && n <= c.most, "step %d: %d in the last second", i, n)
+		assert.Assert(t, c.all && n > 50 || !c.all && n <= c.most, "step %d: %d requests in the last second", i, n)
 	}
 }
 
@@ -113,7 +113,7 @@
 	for ms := 0; ms < 20000; ms += 5 {
 		f.send(start.Add(time.Duration(ms)*time.Millisecond), rng.IntN(2), limit(2+rng.Float64()))
 	}
-	assert.Assert(t, len(f.sent) >= 30 && len(f.sent) <= 62, "%d in 20 s", len(f.sent))
+	assert.Assert(t, len(f.sent) >= 30 && len(f.sent) <= 62, "%d requests in 20 s", len(f.sent))
 }
 
 func TestPacedTargetIsSkipped(t *testing.T) {
@@ -184,7 +184,7 @@
 			}
 		}
 	}
-	assert.Assert(t, len(sent) <= perS*3/2+5, "%d sent", len(sent))
-	assert.Assert(t, len(sent) >= entries/2, "%d sent", len(sent))
-	assert.Equal(t, picked(books[0], start.Add(time.Second)), "i-1", "a second later it is served as usual")
+	assert.Assert(t, len(sent) <= perS*3/2+5, "%d requests sent", len(sent))
+	assert.Assert(t, len(sent) >= entries/2, "%d requests sent", len(sent))
+	assert.Equal(t, picked(books[0], start.Add(time.Second)), "i-1", "after one second the target is used normally")
 }
--- a/dispatch/residency_test.go
+++ b/dispatch/residency_test.go
@@ -68,7 +68,7 @@
 	b.SetEvacuated([]string{"a", "b", "c"})
 	assert.DeepEqual(t, domainsOf(t, b, d), map[string]bool{"no_domain": true})
 	b.SetEvacuated(nil)
-	assert.Assert(t, domainsOf(t, b, demand())["a"], "taken back")
+	assert.Assert(t, domainsOf(t, b, demand())["a"], "evacuation lifted")
 }
 
 // A home that knows of an evacuation grants no reservation there to an entry that does not.
@@ -128,9 +128,9 @@
 			cold++
 		}
 		if i >= rate && sent[i-rate].Before(e.ColdUntil) && at.Before(e.ColdUntil) {
-			assert.Assert(t, at.Sub(sent[i-rate]) >= time.Second, "%v and %v", sent[i-rate], at)
+			assert.Assert(t, at.Sub(sent[i-rate]) >= time.Second, "requests at %v and %v exceed the cold rate", sent[i-rate], at)
 		}
 	}
-	assert.Equal(t, cold, rate*int(coldFor/time.Second), "and no fewer")
-	assert.Assert(t, len(sent)-cold > 100, "warm, it gets all")
+	assert.Equal(t, cold, rate*int(coldFor/time.Second), "the cold rate must be used up")
+	assert.Assert(t, len(sent)-cold > 100, "a warm target has no rate limit")
 }
--- a/dispatch/rest_test.go
+++ b/dispatch/rest_test.go
@@ -29,7 +29,7 @@
 	d := demand()
 	d.Standing = Resumed
 	_, v = b.Pick(start, testService, d, []string{"p-2"})
-	assert.Equal(t, v, Paced, "a resumed stream neither")
+	assert.Equal(t, v, Paced, "resumed streams respect the back-off too")
 }
 
 // Callers that wait for the end of a back-off must not be sent together, or all are refused
--- a/dispatch/returns_test.go
+++ b/dispatch/returns_test.go
@@ -51,8 +51,8 @@
 				known++
 			}
 		}
-		assert.Assert(t, mistaken <= first/20, "%.1f refused: %d of %d first attempts mistaken", refused, mistaken, first)
-		assert.Assert(t, known >= retried*95/100, "%.1f refused: %d of %d known", refused, known, retried)
+		assert.Assert(t, mistaken <= first/20, "refused fraction %.1f: %d of %d first attempts mistaken for retries", refused, mistaken, first)
+		assert.Assert(t, known >= retried*95/100, "refused fraction %.1f: %d of %d retries detected", refused, known, retried)
 	}
 }
 
@@ -61,8 +61,8 @@
 	assert.Assert(t, !r.IsRetry("a", 6*time.Second))
 	assert.Assert(t, !r.IsRetry("a", 5990*time.Millisecond))
 	assert.Assert(t, r.IsRetry("a", 4500*time.Millisecond))
-	assert.Assert(t, !r.IsRetry("b", 3*time.Second), "routes differ")
-	assert.Assert(t, !r.IsRetry("a", 0), "not said")
+	assert.Assert(t, !r.IsRetry("b", 3*time.Second), "routes are tracked separately")
+	assert.Assert(t, !r.IsRetry("a", 0), "unknown time left")
 }
 
 // A few callers with longer timeouts than the others do not make the others look overdue.
@@ -107,6 +107,6 @@
 			later++
 		}
 	}
-	assert.Assert(t, sooner > 25 && later > 25, "%d and %d", sooner, later)
-	assert.Equal(t, RetryAfter(left, 100*time.Millisecond, 0.5, 0.2, 0), time.Second, "the usual time is later")
+	assert.Assert(t, sooner > 25 && later > 25, "%d delays in the first half, %d in the second", sooner, later)
+	assert.Equal(t, RetryAfter(left, 100*time.Millisecond, 0.5, 0.2, 0), time.Second, "the usual delay is longer")
 }
