--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -27,7 +27,7 @@
 	MaxGap      time.Duration // longest gap between events; zero for no limit
 	Domain      string        // failure domain of the entry
 	Standing    Standing
-	HomeRegions residency.Homes
+	HomeRegions residency.HomeRegions
 }
 
 // Forecast is the predicted timing of a request at a target.
--- a/dispatch/residency_test.go
+++ b/dispatch/residency_test.go
@@ -45,7 +45,7 @@
 func TestRequestStaysInHomeRegions(t *testing.T) {
 	for _, standing := range []Standing{Fresh, Overdue, Resumed} {
 		d := demand()
-		d.Standing, d.HomeRegions = standing, residency.Homes{Route: []string{"B", "C"}, Team: []string{"C", "A"}}
+		d.Standing, d.HomeRegions = standing, residency.HomeRegions{Route: []string{"B", "C"}, Team: []string{"C", "A"}}
 		b := newRegionalBalancer(t)
 		assert.DeepEqual(t, domainsOf(t, b, d), map[string]bool{"c": true})
 		// If the targets in the home region are avoided, no other domain replaces it.
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -33,7 +33,7 @@
 	book.Apply([]*fleet.Instance{{ID: "i-a", Service: "s", Domain: "a", Slots: 1}, {ID: "i-b", Service: "s", Domain: "b", Slots: 1}},
 		map[string]*fleet.Service{"s": {Name: "s"}})
 	reached := func(homes ...string) string {
-		choice, verdict := book.Pick(time.Now(), "s", dispatch.Demand{HomeRegions: residency.Homes{Route: homes}}, nil)
+		choice, verdict := book.Pick(time.Now(), "s", dispatch.Demand{HomeRegions: residency.HomeRegions{Route: homes}}, nil)
 		if verdict != dispatch.Chosen {
 			return verdict.String()
 		}
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -107,8 +107,8 @@
 }
 
 // homes are the regions in which the request may run.
-func (x *exchange) homes() residency.Homes {
-	h := residency.Homes{Route: x.route.Homes}
+func (x *exchange) homes() residency.HomeRegions {
+	h := residency.HomeRegions{Route: x.route.Homes}
 	if x.team != nil {
 		h.Team = x.team.Homes
 	}
--- a/residency/residency.go
+++ b/residency/residency.go
@@ -5,14 +5,14 @@
 
 import "slices"
 
-// Homes are the regions in which a request may run: those of its route and those of its
+// HomeRegions are the regions in which a request may run: those of its route and those of its
 // team. Both bind; an empty list allows all regions.
-type Homes struct {
+type HomeRegions struct {
 	Route, Team []string
 }
 
 // allow reports whether a request with these homes may run in a region.
-func (h Homes) allow(region string) bool {
+func (h HomeRegions) allow(region string) bool {
 	return allowedBy(h.Route, region) && allowedBy(h.Team, region)
 }
 
@@ -41,7 +41,7 @@
 
 // Allows reports whether a request with the given homes may be sent to a failure domain. A
 // domain whose region is not known is no home.
-func (p *Policy) Allows(domain string, h Homes) bool {
+func (p *Policy) Allows(domain string, h HomeRegions) bool {
 	if p == nil {
 		return h.allow("")
 	}
--- a/residency/residency_test.go
+++ b/residency/residency_test.go
@@ -11,19 +11,19 @@
 	north, south := []string{"north"}, []string{"south"}
 	for name, c := range map[string]struct {
 		evacuated []string
-		homes     Homes
+		homes     HomeRegions
 		want      string // domains of a, b, c and x that may run it
 	}{
-		"anywhere":                 {nil, Homes{}, "abcx"},
-		"home of the route":        {nil, Homes{Route: north}, "ab"},
-		"home of the team":         {nil, Homes{Team: south}, "c"},
-		"both bind":                {nil, Homes{Route: []string{"north", "south"}, Team: south}, "c"},
-		"homes without a region":   {nil, Homes{Route: north, Team: south}, ""},
-		"home that is not known":   {nil, Homes{Route: []string{"east"}}, ""},
-		"evacuated":                {[]string{"a"}, Homes{}, "bcx"},
-		"evacuated home":           {[]string{"c"}, Homes{Team: south}, ""},
-		"evacuation of no domain":  {[]string{"nowhere"}, Homes{}, "abcx"},
-		"evacuated and other home": {[]string{"a"}, Homes{Route: north}, "b"},
+		"anywhere":                 {nil, HomeRegions{}, "abcx"},
+		"home of the route":        {nil, HomeRegions{Route: north}, "ab"},
+		"home of the team":         {nil, HomeRegions{Team: south}, "c"},
+		"both bind":                {nil, HomeRegions{Route: []string{"north", "south"}, Team: south}, "c"},
+		"homes without a region":   {nil, HomeRegions{Route: north, Team: south}, ""},
+		"home that is not known":   {nil, HomeRegions{Route: []string{"east"}}, ""},
+		"evacuated":                {[]string{"a"}, HomeRegions{}, "bcx"},
+		"evacuated home":           {[]string{"c"}, HomeRegions{Team: south}, ""},
+		"evacuation of no domain":  {[]string{"nowhere"}, HomeRegions{}, "abcx"},
+		"evacuated and other home": {[]string{"a"}, HomeRegions{Route: north}, "b"},
 	} {
 		p, got := New(regions, c.evacuated), ""
 		for _, d := range []string{"a", "b", "c", "x"} {
@@ -38,7 +38,7 @@
 // Without a policy a request with homes runs nowhere: no region is known.
 func TestNothingKnown(t *testing.T) {
 	var p *Policy
-	assert.Assert(t, p.Allows("a", Homes{}))
-	assert.Assert(t, !p.Allows("a", Homes{Route: []string{"north"}}))
+	assert.Assert(t, p.Allows("a", HomeRegions{}))
+	assert.Assert(t, !p.Allows("a", HomeRegions{Route: []string{"north"}}))
 	assert.Assert(t, !p.Evacuated("a"))
 }
