--- a/residency/residency.go
+++ b/residency/residency.go
@@ -1,17 +1,17 @@
-// Package residency decides which failure domains may run a request: those in the home
-// regions of its route and of its team that the operators have not evacuated. It does no
-// I/O. Only the gateway mode of the entry uses it.
+// Package residency decides which failure domains may run a request: those in the home regions
+// of its route and of its team, unless operators have evacuated them. It does no I/O. Only the
+// gateway mode of the entry uses it.
 package residency
 
 import "slices"
 
-// HomeRegions are the regions in which a request may run: those of its route and those of its
-// team. Both bind; an empty list allows all regions.
+// HomeRegions are the regions in which a request may run, by its route and by its team. Both
+// restrict it; an empty list allows all regions.
 type HomeRegions struct {
 	Route, Team []string
 }
 
-// allow reports whether a request with these homes may run in a region.
+// allow reports whether a request with these home regions may run in a region.
 func (h HomeRegions) allow(region string) bool {
 	return allowedBy(h.Route, region) && allowedBy(h.Team, region)
 }
@@ -20,14 +20,14 @@
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-// Policy is what is known of the failure domains at one revision of the store. It is
-// immutable; a nil Policy knows no regions and no evacuations.
+// Policy holds the regions and evacuations of failure domains at one revision of the store. It
+// is immutable; a nil Policy has no regions and no evacuations.
 type Policy struct {
 	regions   map[string]string // by failure domain
 	evacuated map[string]bool   // by failure domain
 }
 
-// New returns a policy for failure domains in regions of which some are evacuated.
+// New returns a policy for the given regions by failure domain and evacuated failure domains.
 func New(regions map[string]string, evacuated []string) *Policy {
 	p := &Policy{regions: regions, evacuated: make(map[string]bool, len(evacuated))}
 	for _, d := range evacuated {
@@ -36,11 +36,11 @@
 	return p
 }
 
-// Evacuated reports whether no request may be sent to a failure domain, whatever its homes.
+// Evacuated reports whether a failure domain accepts no requests, whatever their home regions.
 func (p *Policy) Evacuated(domain string) bool { return p != nil && p.evacuated[domain] }
 
-// Allows reports whether a request with the given homes may be sent to a failure domain. A
-// domain whose region is not known is no home.
+// Allows reports whether a request with the given home regions may be sent to a failure domain.
+// A domain without a known region is in no home region.
 func (p *Policy) Allows(domain string, h HomeRegions) bool {
 	if p == nil {
 		return h.allow("")
--- a/residency/residency_test.go
+++ b/residency/residency_test.go
@@ -12,7 +12,7 @@
 	for name, c := range map[string]struct {
 		evacuated []string
 		homes     HomeRegions
-		want      string // domains of a, b, c and x that may run it
+		want      string // those of the domains a, b, c and x that may run it
 	}{
 		"anywhere":                 {nil, HomeRegions{}, "abcx"},
 		"home of the route":        {nil, HomeRegions{Route: north}, "ab"},
@@ -35,8 +35,8 @@
 	}
 }
 
-// Without a policy a request with homes runs nowhere: no region is known.
-func TestNothingKnown(t *testing.T) {
+// Without a policy no region is known, so a request with home regions may not run anywhere.
+func TestNilPolicy(t *testing.T) {
 	var p *Policy
 	assert.Assert(t, p.Allows("a", HomeRegions{}))
 	assert.Assert(t, !p.Allows("a", HomeRegions{Route: []string{"north"}}))
