--- a/residency/residency_test.go
+++ b/residency/residency_test.go
@@ -14,16 +14,16 @@
 		homes     HomeRegions
 		want      string // those of the domains a, b, c and x that may run it
 	}{
-		"anywhere":                 {nil, HomeRegions{}, "abcx"},
-		"home of the route":        {nil, HomeRegions{Route: north}, "ab"},
-		"home of the team":         {nil, HomeRegions{Team: south}, "c"},
-		"both bind":                {nil, HomeRegions{Route: []string{"north", "south"}, Team: south}, "c"},
-		"homes without a region":   {nil, HomeRegions{Route: north, Team: south}, ""},
-		"home that is not known":   {nil, HomeRegions{Route: []string{"east"}}, ""},
-		"evacuated":                {[]string{"a"}, HomeRegions{}, "bcx"},
-		"evacuated home":           {[]string{"c"}, HomeRegions{Team: south}, ""},
-		"evacuation of no domain":  {[]string{"nowhere"}, HomeRegions{}, "abcx"},
-		"evacuated and other home": {[]string{"a"}, HomeRegions{Route: north}, "b"},
+		"anywhere":                        {nil, HomeRegions{}, "abcx"},
+		"home of the route":               {nil, HomeRegions{Route: north}, "ab"},
+		"home of the team":                {nil, HomeRegions{Team: south}, "c"},
+		"route and team both restrict":    {nil, HomeRegions{Route: []string{"north", "south"}, Team: south}, "c"},
+		"no common region":                {nil, HomeRegions{Route: north, Team: south}, ""},
+		"unknown home region":             {nil, HomeRegions{Route: []string{"east"}}, ""},
+		"evacuated":                       {[]string{"a"}, HomeRegions{}, "bcx"},
+		"evacuated home":                  {[]string{"c"}, HomeRegions{Team: south}, ""},
+		"evacuation of an unknown domain": {[]string{"nowhere"}, HomeRegions{}, "abcx"},
+		"evacuated, another home left":    {[]string{"a"}, HomeRegions{Route: north}, "b"},
 	} {
 		p, got := New(regions, c.evacuated), ""
 		for _, d := range []string{"a", "b", "c", "x"} {
