--- a/mechanism/mechanism.go
+++ b/mechanism/mechanism.go
@@ -1,6 +1,5 @@
-// Package mechanism names the mechanisms of the request and weight paths that
-// can be switched off one at a time, to measure what each is worth. All are on
-// unless a process is told otherwise.
+// Package mechanism names the mechanisms of the request and weight paths that can be disabled
+// individually, to measure the effect of each. All are enabled by default.
 package mechanism
 
 import (
@@ -10,26 +9,26 @@
 	"github.com/pkg/errors"
 )
 
-// Mechanism is one that can be switched off.
+// Mechanism identifies a mechanism that can be disabled.
 type Mechanism uint8
 
-// Mechanisms. Off means:
+// Mechanisms, with the behavior when each is disabled.
 const (
-	CommonWait     Mechanism = iota // each request accepts what its own objective allows
-	OverdueLast                     // callers that come back count as fresh ones
-	Patience                        // fresh requests are refused without any wait
-	RetryAfter                      // refused callers are told to come back after 1 s
-	Homes                           // entries choose targets without asking the home
+	CommonWait     Mechanism = iota // each request accepts the wait that its own objective allows
+	OverdueLast                     // retries of refused callers count as fresh requests
+	Patience                        // fresh requests are refused without waiting for a target
+	RetryAfter                      // refused callers are told to retry after 1 s
+	Homes                           // entries choose targets without a reservation from the target's home
 	SharedLoads                     // entries know only their own load
-	SharedSilence                   // each entry finds silent targets by itself
-	RemoteCost                      // targets of other failure domains count as near ones
-	Ejection                        // targets that fail requests are not left out
-	Resume                          // broken streams are not resumed elsewhere
-	LateFirstEvent                  // silent targets are waited for until the deadline
-	Turns                           // engines change version as soon as it is staged
-	OlderVersion                    // a version is not loaded while a newer one is awaited
-	NearRelay                       // pieces come from the origin, not from agents nearby
-	Quarantine                      // requests that end targets are sent again
+	SharedSilence                   // each entry detects silent targets on its own
+	RemoteCost                      // targets in other failure domains cost no more than local ones
+	Ejection                        // targets that fail requests stay in rotation
+	Resume                          // broken streams are not resumed at another target
+	LateFirstEvent                  // requests wait for silent targets until the deadline
+	Turns                           // engines switch to a version as soon as it is staged, without staggering
+	OlderVersion                    // a version is not loaded while a newer one is expected
+	NearRelay                       // pieces are fetched from the origin, not from nearby agents
+	Quarantine                      // requests that crash targets are sent again
 	count
 )
 
@@ -42,19 +41,19 @@
 // Names returns the names of all mechanisms.
 func Names() []string { return names[:] }
 
-// Off is a set of mechanisms that are switched off.
+// Off is a set of disabled mechanisms.
 type Off uint32
 
-// Has reports whether a mechanism is switched off.
+// Has reports whether a mechanism is disabled.
 func (o Off) Has(m Mechanism) bool { return o&(1<<m) != 0 }
 
-// With returns the set with one more.
+// With returns the set with m added.
 func (o Off) With(m Mechanism) Off { return o | 1<<m }
 
-// ErrUnknown is returned for a name that is no mechanism's.
+// ErrUnknown is returned for an unknown mechanism name.
 var ErrUnknown = errors.New("mechanism: unknown name")
 
-// Parse reads names that are separated by commas.
+// Parse parses a comma-separated list of mechanism names.
 func Parse(list string) (Off, error) {
 	var out Off
 	for _, name := range strings.Split(list, ",") {
