--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -14,7 +14,7 @@
 	defer b.mu.Unlock()
 	l := notice.LifeOf(&i)
 	before := b.notices.Of(l).Limit
-	changed := b.notices.Hear(now, l, s, sent)
+	changed := b.notices.Record(now, l, s, sent)
 	if changed.Limit {
 		b.applyLimitChange(now, l, before)
 	}
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -109,10 +109,10 @@
 	Unreadable bool // it is the first of the life that is not readable
 }
 
-// Hear takes a statement in the answer to a request that was sent at a time. Answers
+// Record takes a statement in the answer to a request that was sent at a time. Answers
 // overtake each other: one to a request that was sent before the limit was known does not
 // raise or lift it.
-func (t *Table) Hear(now time.Time, l Life, s Statement, sent time.Time) Change {
+func (t *Table) Record(now time.Time, l Life, s Statement, sent time.Time) Change {
 	if s == (Statement{}) && t.records[l.Target] == nil {
 		return Change{} // as of most targets
 	}
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -18,47 +18,47 @@
 
 func TestLimitIsHeardAndLifted(t *testing.T) {
 	x := NewTable()
-	assert.Assert(t, x.Hear(at(10), life, limit(5), at(0)).Limit)
-	assert.Assert(t, !x.Hear(at(20), life, limit(5), at(15)).Limit, "nothing new")
-	assert.Assert(t, x.Hear(at(30), life, limit(1), at(0)).Limit, "a lower limit holds at once")
-	assert.Assert(t, x.Hear(at(50), life, limit(7), at(40)).Limit)
+	assert.Assert(t, x.Record(at(10), life, limit(5), at(0)).Limit)
+	assert.Assert(t, !x.Record(at(20), life, limit(5), at(15)).Limit, "nothing new")
+	assert.Assert(t, x.Record(at(30), life, limit(1), at(0)).Limit, "a lower limit holds at once")
+	assert.Assert(t, x.Record(at(50), life, limit(7), at(40)).Limit)
 	assert.Equal(t, x.Of(life), Belief{Limit: Limit{true, 7}, Turn: 3})
-	assert.Assert(t, x.Hear(at(70), life, Statement{}, at(60)).Limit)
+	assert.Assert(t, x.Record(at(70), life, Statement{}, at(60)).Limit)
 	assert.Equal(t, x.Of(life), Belief{Turn: 4})
 }
 
 func TestAnswerToAnEarlierRequestDoesNotLiftALimit(t *testing.T) {
 	x := NewTable()
-	x.Hear(at(10), life, limit(1), at(0))
-	assert.Assert(t, !x.Hear(at(900), life, Statement{}, at(5)).Limit)
-	assert.Assert(t, !x.Hear(at(901), life, limit(9), at(10)).Limit)
+	x.Record(at(10), life, limit(1), at(0))
+	assert.Assert(t, !x.Record(at(900), life, Statement{}, at(5)).Limit)
+	assert.Assert(t, !x.Record(at(901), life, limit(9), at(10)).Limit)
 	assert.Equal(t, x.Of(life).Limit, Limit{true, 1})
 }
 
 func TestUnreadableLimitChangesNothing(t *testing.T) {
 	x := NewTable()
-	x.Hear(at(10), life, limit(1), at(0))
-	assert.Equal(t, x.Hear(at(30), life, Statement{LimitUnreadable: true}, at(20)), Change{Unreadable: true})
-	assert.Equal(t, x.Hear(at(40), life, Statement{LimitUnreadable: true}, at(35)), Change{}, "told of once")
-	assert.Assert(t, x.Hear(at(60), life, Statement{Limit: Limit{true, 0.5}, LimitUnreadable: true}, at(50)).Limit, "one of two is readable")
+	x.Record(at(10), life, limit(1), at(0))
+	assert.Equal(t, x.Record(at(30), life, Statement{LimitUnreadable: true}, at(20)), Change{Unreadable: true})
+	assert.Equal(t, x.Record(at(40), life, Statement{LimitUnreadable: true}, at(35)), Change{}, "told of once")
+	assert.Assert(t, x.Record(at(60), life, Statement{Limit: Limit{true, 0.5}, LimitUnreadable: true}, at(50)).Limit, "one of two is readable")
 }
 
 func TestNewerBeliefGoesBeforeAnOlder(t *testing.T) {
 	a, b := NewTable(), NewTable()
-	a.Hear(at(10), life, limit(1), at(0))
+	a.Record(at(10), life, limit(1), at(0))
 	first := a.All()
 	assert.Assert(t, b.Merge(at(20), first[0]).Limit)
-	assert.Assert(t, b.Hear(at(40), life, Statement{}, at(30)).Limit)
+	assert.Assert(t, b.Record(at(40), life, Statement{}, at(30)).Limit)
 	assert.Assert(t, !b.Merge(at(50), first[0]).Limit, "told again")
 	assert.Assert(t, a.Merge(at(60), b.All()[0]).Limit)
 	assert.Equal(t, a.Of(life), b.Of(life))
-	assert.Assert(t, !a.Hear(at(70), life, Statement{}, at(65)).Limit)
+	assert.Assert(t, !a.Record(at(70), life, Statement{}, at(65)).Limit)
 }
 
 func TestOfTwoBeliefsOfOneTurnTheStricterHolds(t *testing.T) {
 	a, b := NewTable(), NewTable()
-	a.Hear(at(10), life, limit(1), at(0))
-	b.Hear(at(10), life, limit(3), at(0))
+	a.Record(at(10), life, limit(1), at(0))
+	b.Record(at(10), life, limit(3), at(0))
 	assert.Assert(t, b.Merge(at(20), a.All()[0]).Limit)
 	assert.Assert(t, !a.Merge(at(20), Told{life, Belief{Limit: Limit{true, 3}, Turn: 1}}).Limit)
 	assert.Equal(t, a.Of(life), b.Of(life))
@@ -68,10 +68,10 @@
 func TestBeliefEndsWithTheLife(t *testing.T) {
 	first, second := Life{"i-1", 1000}, Life{"i-1", 2000}
 	x := NewTable()
-	x.Hear(at(10), first, limit(1), at(0))
+	x.Record(at(10), first, limit(1), at(0))
 	assert.Equal(t, x.Of(second), Belief{})
-	assert.Assert(t, x.Hear(at(20), second, limit(4), at(15)).Limit)
-	assert.Assert(t, !x.Hear(at(30), first, limit(1), at(5)).Limit)
+	assert.Assert(t, x.Record(at(20), second, limit(4), at(15)).Limit)
+	assert.Assert(t, !x.Record(at(30), first, limit(1), at(5)).Limit)
 	assert.Assert(t, !x.Merge(at(30), Told{first, Belief{Limit: Limit{true, 1}, Turn: 9}}).Limit)
 	assert.Equal(t, x.Of(second).Limit, Limit{true, 4})
 	assert.Equal(t, x.Of(first), Belief{})
@@ -79,7 +79,7 @@
 
 func TestTargetThatLapsedIsRememberedForAWhile(t *testing.T) {
 	x := NewTable()
-	x.Hear(at(0), life, limit(1), at(0))
+	x.Record(at(0), life, limit(1), at(0))
 	all, none := func(string) bool { return true }, func(string) bool { return false }
 	x.Prune(at(10), all)
 	x.Prune(at(5000), none)
@@ -92,9 +92,9 @@
 func TestLeavingIsForGood(t *testing.T) {
 	first, second := Life{"i-1", 1000}, Life{"i-1", 2000}
 	x, other := NewTable(), NewTable()
-	other.Hear(at(5), first, limit(3), at(0))
-	assert.Assert(t, x.Hear(at(10), first, Statement{Leaving: true}, at(0)).Leaving)
-	assert.Assert(t, !x.Hear(at(30), first, Statement{}, at(20)).Leaving)
+	other.Record(at(5), first, limit(3), at(0))
+	assert.Assert(t, x.Record(at(10), first, Statement{Leaving: true}, at(0)).Leaving)
+	assert.Assert(t, !x.Record(at(30), first, Statement{}, at(20)).Leaving)
 	x.Merge(at(40), other.All()[0])
 	assert.Equal(t, x.Of(first), Belief{Limit: Limit{true, 3}, Turn: 1, Leaving: true})
 	assert.Assert(t, other.Merge(at(50), x.All()[0]).Leaving)
@@ -104,6 +104,6 @@
 
 func TestTargetThatSaysNothingIsNotKept(t *testing.T) {
 	x := NewTable()
-	assert.Equal(t, x.Hear(at(10), life, Statement{}, at(0)), Change{})
+	assert.Equal(t, x.Record(at(10), life, Statement{}, at(0)), Change{})
 	assert.Equal(t, len(x.records), 0)
 }
--- a/notice/rest_test.go
+++ b/notice/rest_test.go
@@ -15,9 +15,9 @@
 func TestRestIsKept(t *testing.T) {
 	x := NewTable()
 	assert.Assert(t, x.mayAt(0))
-	assert.Assert(t, x.Hear(at(10), life, rest(3000), at(0)).Rest)
-	assert.Assert(t, !x.Hear(at(20), life, rest(1000), at(0)).Rest, "a shorter one does not end it sooner")
-	x.Hear(at(30), life, Statement{}, at(5))
+	assert.Assert(t, x.Record(at(10), life, rest(3000), at(0)).Rest)
+	assert.Assert(t, !x.Record(at(20), life, rest(1000), at(0)).Rest, "a shorter one does not end it sooner")
+	x.Record(at(30), life, Statement{}, at(5))
 	assert.Assert(t, !x.mayAt(3009))
 	assert.Assert(t, x.mayAt(3010))
 	assert.Equal(t, x.Of(life), Belief{}, "it is not told to others")
@@ -25,12 +25,12 @@
 
 func TestOneRequestIsTriedAfterARest(t *testing.T) {
 	x := NewTable()
-	x.Hear(at(0), life, rest(1000), at(0))
+	x.Record(at(0), life, rest(1000), at(0))
 	x.Sent(at(1000), life)
 	assert.Assert(t, !x.mayAt(1001))
-	x.Hear(at(1050), life, Statement{}, at(900))
+	x.Record(at(1050), life, Statement{}, at(900))
 	assert.Assert(t, !x.mayAt(1051), "an answer to one sent before")
-	x.Hear(at(1100), life, Statement{}, at(1000))
+	x.Record(at(1100), life, Statement{}, at(1000))
 	assert.Assert(t, x.mayAt(1101))
 	x.Sent(at(1101), life)
 	assert.Assert(t, x.mayAt(1101))
@@ -38,7 +38,7 @@
 
 func TestTrialWithoutAnAnswerIsRepeated(t *testing.T) {
 	x := NewTable()
-	x.Hear(at(0), life, rest(1000), at(0))
+	x.Record(at(0), life, rest(1000), at(0))
 	x.Sent(at(1000), life)
 	assert.Assert(t, !x.mayAt(1499))
 	assert.Assert(t, x.mayAt(1500))
@@ -46,7 +46,7 @@
 	x.NotSent(life)
 	assert.Assert(t, x.mayAt(1501))
 	x.Sent(at(1501), life)
-	x.Hear(at(1510), life, rest(2000), at(1501))
+	x.Record(at(1510), life, rest(2000), at(1501))
 	assert.Assert(t, !x.mayAt(3509))
 	assert.Assert(t, x.mayAt(3510))
 }
