--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -13,7 +13,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	l := notice.LifeOf(&i)
-	before := b.notices.Of(l).Limit
+	before := b.notices.StateOf(l).Limit
 	changed := b.notices.Record(now, l, s, sent)
 	if changed.Limit {
 		b.applyLimitChange(now, l, before)
@@ -31,7 +31,7 @@
 	if b.byID[o.Target] == nil {
 		return notice.Change{} // the state of an unlisted target would never be removed
 	}
-	before := b.notices.Of(o.Life).Limit
+	before := b.notices.StateOf(o.Life).Limit
 	changed := b.notices.Merge(now, o)
 	if changed.Limit {
 		b.applyLimitChange(now, o.Life, before)
@@ -80,7 +80,7 @@
 }
 
 // stateOf returns the state that a target has declared. The caller holds the lock.
-func (b *Balancer) stateOf(t *Target) notice.Belief { return b.notices.Of(notice.LifeOf(&t.Instance)) }
+func (b *Balancer) stateOf(t *Target) notice.Belief { return b.notices.StateOf(notice.LifeOf(&t.Instance)) }
 
 // backoffOf returns the back-off that a target has requested from this entry. The caller holds
 // the lock.
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -165,8 +165,8 @@
 	return c
 }
 
-// Of returns what is held true of a life.
-func (t *Table) Of(l Life) Belief {
+// StateOf returns what is held true of a life.
+func (t *Table) StateOf(l Life) Belief {
 	if r := t.known(l); r != nil {
 		return r.belief
 	}
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -22,9 +22,9 @@
 	assert.Assert(t, !x.Record(at(20), life, limit(5), at(15)).Limit, "nothing new")
 	assert.Assert(t, x.Record(at(30), life, limit(1), at(0)).Limit, "a lower limit holds at once")
 	assert.Assert(t, x.Record(at(50), life, limit(7), at(40)).Limit)
-	assert.Equal(t, x.Of(life), Belief{Limit: Limit{true, 7}, Turn: 3})
+	assert.Equal(t, x.StateOf(life), Belief{Limit: Limit{true, 7}, Turn: 3})
 	assert.Assert(t, x.Record(at(70), life, Statement{}, at(60)).Limit)
-	assert.Equal(t, x.Of(life), Belief{Turn: 4})
+	assert.Equal(t, x.StateOf(life), Belief{Turn: 4})
 }
 
 func TestAnswerToAnEarlierRequestDoesNotLiftALimit(t *testing.T) {
@@ -32,7 +32,7 @@
 	x.Record(at(10), life, limit(1), at(0))
 	assert.Assert(t, !x.Record(at(900), life, Statement{}, at(5)).Limit)
 	assert.Assert(t, !x.Record(at(901), life, limit(9), at(10)).Limit)
-	assert.Equal(t, x.Of(life).Limit, Limit{true, 1})
+	assert.Equal(t, x.StateOf(life).Limit, Limit{true, 1})
 }
 
 func TestUnreadableLimitChangesNothing(t *testing.T) {
@@ -51,7 +51,7 @@
 	assert.Assert(t, b.Record(at(40), life, Statement{}, at(30)).Limit)
 	assert.Assert(t, !b.Merge(at(50), first[0]).Limit, "told again")
 	assert.Assert(t, a.Merge(at(60), b.All()[0]).Limit)
-	assert.Equal(t, a.Of(life), b.Of(life))
+	assert.Equal(t, a.StateOf(life), b.StateOf(life))
 	assert.Assert(t, !a.Record(at(70), life, Statement{}, at(65)).Limit)
 }
 
@@ -61,7 +61,7 @@
 	b.Record(at(10), life, limit(3), at(0))
 	assert.Assert(t, b.Merge(at(20), a.All()[0]).Limit)
 	assert.Assert(t, !a.Merge(at(20), Told{life, Belief{Limit: Limit{true, 3}, Turn: 1}}).Limit)
-	assert.Equal(t, a.Of(life), b.Of(life))
+	assert.Equal(t, a.StateOf(life), b.StateOf(life))
 }
 
 // What an earlier life said says nothing of a later one, also if it comes late.
@@ -69,12 +69,12 @@
 	first, second := Life{"i-1", 1000}, Life{"i-1", 2000}
 	x := NewTable()
 	x.Record(at(10), first, limit(1), at(0))
-	assert.Equal(t, x.Of(second), Belief{})
+	assert.Equal(t, x.StateOf(second), Belief{})
 	assert.Assert(t, x.Record(at(20), second, limit(4), at(15)).Limit)
 	assert.Assert(t, !x.Record(at(30), first, limit(1), at(5)).Limit)
 	assert.Assert(t, !x.Merge(at(30), Told{first, Belief{Limit: Limit{true, 1}, Turn: 9}}).Limit)
-	assert.Equal(t, x.Of(second).Limit, Limit{true, 4})
-	assert.Equal(t, x.Of(first), Belief{})
+	assert.Equal(t, x.StateOf(second).Limit, Limit{true, 4})
+	assert.Equal(t, x.StateOf(first), Belief{})
 }
 
 func TestTargetThatLapsedIsRememberedForAWhile(t *testing.T) {
@@ -83,9 +83,9 @@
 	all, none := func(string) bool { return true }, func(string) bool { return false }
 	x.Prune(at(10), all)
 	x.Prune(at(5000), none)
-	assert.Assert(t, x.Of(life).Limit.Named)
+	assert.Assert(t, x.StateOf(life).Limit.Named)
 	x.Prune(at(10).Add(forgetAfter), none)
-	assert.Equal(t, x.Of(life), Belief{})
+	assert.Equal(t, x.StateOf(life), Belief{})
 }
 
 // Within one life no later answer, and no older belief of another entry, takes it back.
@@ -96,10 +96,10 @@
 	assert.Assert(t, x.Record(at(10), first, Statement{Leaving: true}, at(0)).Leaving)
 	assert.Assert(t, !x.Record(at(30), first, Statement{}, at(20)).Leaving)
 	x.Merge(at(40), other.All()[0])
-	assert.Equal(t, x.Of(first), Belief{Limit: Limit{true, 3}, Turn: 1, Leaving: true})
+	assert.Equal(t, x.StateOf(first), Belief{Limit: Limit{true, 3}, Turn: 1, Leaving: true})
 	assert.Assert(t, other.Merge(at(50), x.All()[0]).Leaving)
-	assert.Equal(t, other.Of(first), x.Of(first))
-	assert.Assert(t, !x.Of(second).Leaving, "the next life serves")
+	assert.Equal(t, other.StateOf(first), x.StateOf(first))
+	assert.Assert(t, !x.StateOf(second).Leaving, "the next life serves")
 }
 
 func TestTargetThatSaysNothingIsNotKept(t *testing.T) {
