--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -85,7 +85,7 @@
 // backoffOf returns the back-off that a target has requested from this entry. The caller holds
 // the lock.
 func (b *Balancer) backoffOf(t *Target) notice.Rest {
-	return b.notices.RestOf(notice.LifeOf(&t.Instance))
+	return b.notices.BackoffOf(notice.LifeOf(&t.Instance))
 }
 
 // leaving reports whether a target is leaving, by the list or its own statement. The caller
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -173,8 +173,8 @@
 	return Belief{}
 }
 
-// RestOf returns the rest that a life has asked this entry for.
-func (t *Table) RestOf(l Life) Rest {
+// BackoffOf returns the rest that a life has asked this entry for.
+func (t *Table) BackoffOf(l Life) Rest {
 	if r := t.known(l); r != nil {
 		return r.rest
 	}
--- a/notice/rest_test.go
+++ b/notice/rest_test.go
@@ -10,7 +10,7 @@
 func rest(ms int) Statement { return Statement{Rest: time.Duration(ms) * time.Millisecond} }
 
 // mayAt reports whether a request may be sent at a time.
-func (t *Table) mayAt(ms int) bool { return !t.RestOf(life).Next(at(ms)).After(at(ms)) }
+func (t *Table) mayAt(ms int) bool { return !t.BackoffOf(life).Next(at(ms)).After(at(ms)) }
 
 func TestRestIsKept(t *testing.T) {
 	x := NewTable()
