--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -73,7 +73,7 @@
 	defer b.mu.Unlock()
 	for _, t := range b.byID {
 		if t.Draining {
-			b.notices.Leave(now, notice.LifeOf(&t.Instance))
+			b.notices.MarkLeaving(now, notice.LifeOf(&t.Instance))
 		}
 	}
 	b.notices.Prune(now, func(target string) bool { return b.byID[target] != nil })
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -125,8 +125,8 @@
 	return Change{Limit: r.hearLimit(now, s, sent), Leaving: r.leave(s.Leaving), Rest: r.rest.hear(now, s.Rest, sent), Unreadable: first}
 }
 
-// Leave takes that a life leaves.
-func (t *Table) Leave(now time.Time, l Life) {
+// MarkLeaving takes that a life leaves.
+func (t *Table) MarkLeaving(now time.Time, l Life) {
 	if r := t.of(now, l); r != nil {
 		r.leave(true)
 	}
