--- a/notice/notice.go
+++ b/notice/notice.go
@@ -192,8 +192,8 @@
 	return nil
 }
 
-// Sent notes that this entry sends a request to a life, which tries whether it has rested.
-func (t *Table) Sent(now time.Time, l Life) {
+// RecordSend notes that this entry sends a request to a life, which tries whether it has rested.
+func (t *Table) RecordSend(now time.Time, l Life) {
 	if r := t.records[l.Target]; r != nil {
 		r.rest.try(now)
 	}
