--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -72,7 +72,7 @@
 	l := Load{Requests: -1, PendingPrefill: -d.Prompt}
 	t.own, t.load = t.own.add(l), t.load.add(l)
 	t.pace.undo()
-	b.notices.NotSent(notice.LifeOf(&t.Instance))
+	b.notices.CancelSend(notice.LifeOf(&t.Instance))
 	if t.own.Requests == 0 {
 		t.health.waitingSince = time.Time{}
 	}
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -199,8 +199,8 @@
 	}
 }
 
-// NotSent takes that back.
-func (t *Table) NotSent(l Life) {
+// CancelSend takes that back.
+func (t *Table) CancelSend(l Life) {
 	if r := t.records[l.Target]; r != nil {
 		r.rest.untry()
 	}
--- a/notice/rest_test.go
+++ b/notice/rest_test.go
@@ -43,7 +43,7 @@
 	assert.Assert(t, !x.mayAt(1499))
 	assert.Assert(t, x.mayAt(1500))
 	x.RecordSend(at(1500), life)
-	x.NotSent(life)
+	x.CancelSend(life)
 	assert.Assert(t, x.mayAt(1501))
 	x.RecordSend(at(1501), life)
 	x.Record(at(1510), life, rest(2000), at(1501))
