--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -84,7 +84,7 @@
 
 // backoffOf returns the back-off that a target has requested from this entry. The caller holds
 // the lock.
-func (b *Balancer) backoffOf(t *Target) notice.Rest {
+func (b *Balancer) backoffOf(t *Target) notice.Backoff {
 	return b.notices.BackoffOf(notice.LifeOf(&t.Instance))
 }
 
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -74,7 +74,7 @@
 type record struct {
 	born     int64
 	belief   Belief
-	rest     Rest
+	rest     Backoff
 	since    time.Time // when this process took up the limit
 	listedAt time.Time
 	// unreadable is set once it said something that is not readable.
@@ -174,11 +174,11 @@
 }
 
 // BackoffOf returns the rest that a life has asked this entry for.
-func (t *Table) BackoffOf(l Life) Rest {
+func (t *Table) BackoffOf(l Life) Backoff {
 	if r := t.known(l); r != nil {
 		return r.rest
 	}
-	return Rest{}
+	return Backoff{}
 }
 
 // known returns the record of a life, or nil.
