--- a/notice/notice.go
+++ b/notice/notice.go
@@ -26,14 +26,14 @@
 	// Rest is how long the target wants no request of the asker, whom it has turned away.
 	Rest time.Duration
 	// LimitUnreadable is set if a limit is named that is none; Limit is then what is
-	// readable beside it. LeavingUnreadable and RestUnreadable are set if it cannot be read
+	// readable beside it. LeavingUnreadable and BackoffUnreadable are set if it cannot be read
 	// whether it leaves and how long it is to rest.
-	LimitUnreadable, LeavingUnreadable, RestUnreadable bool
+	LimitUnreadable, LeavingUnreadable, BackoffUnreadable bool
 }
 
 // Unreadable reports whether a part of the statement could not be read.
 func (s Statement) Unreadable() bool {
-	return s.LimitUnreadable || s.LeavingUnreadable || s.RestUnreadable
+	return s.LimitUnreadable || s.LeavingUnreadable || s.BackoffUnreadable
 }
 
 // Life names one life of a target.
