--- a/dispatch/rest_test.go
+++ b/dispatch/rest_test.go
@@ -12,7 +12,7 @@
 // recordBackoff records a response in which a target refused a request and asked for a
 // back-off.
 func recordBackoff(b *Balancer, now time.Time, i *fleet.Instance, d time.Duration) {
-	b.RecordStatement(now, *i, notice.Statement{Rest: d}, now)
+	b.RecordStatement(now, *i, notice.Statement{Backoff: d}, now)
 }
 
 // A target that refuses every request has no load, which would attract most requests.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -47,7 +47,7 @@
 	}
 	info.Notice.Leaving = h.Get("Leaving") != ""
 	restMs, _ := strconv.Atoi(h.Get("Rest-Ms"))
-	info.Notice.Rest = time.Duration(restMs) * time.Millisecond
+	info.Notice.Backoff = time.Duration(restMs) * time.Millisecond
 	return info
 }
 
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -26,7 +26,7 @@
 	}
 	if changed.Rest {
 		g.stats.noticed.Inc(1)
-		f["rest_ms"] = s.Rest.Milliseconds()
+		f["rest_ms"] = s.Backoff.Milliseconds()
 		g.log.WithFields(f).Info("Target asked for rest.")
 	}
 	if changed.Limit {
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -23,8 +23,8 @@
 type Statement struct {
 	Limit   Limit
 	Leaving bool // it ends soon and takes no more requests
-	// Rest is how long the target wants no request of the asker, whom it has turned away.
-	Rest time.Duration
+	// Backoff is how long the target wants no request of the asker, whom it has turned away.
+	Backoff time.Duration
 	// LimitUnreadable is set if a limit is named that is none; Limit is then what is
 	// readable beside it. LeavingUnreadable and BackoffUnreadable are set if it cannot be read
 	// whether it leaves and how long it is to rest.
@@ -122,7 +122,7 @@
 	}
 	first := s.Unreadable() && !r.unreadable
 	r.unreadable = r.unreadable || first
-	return Change{Limit: r.hearLimit(now, s, sent), Leaving: r.leave(s.Leaving), Rest: r.rest.hear(now, s.Rest, sent), Unreadable: first}
+	return Change{Limit: r.hearLimit(now, s, sent), Leaving: r.leave(s.Leaving), Rest: r.rest.hear(now, s.Backoff, sent), Unreadable: first}
 }
 
 // MarkLeaving takes that a life leaves.
--- a/notice/rest_test.go
+++ b/notice/rest_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func rest(ms int) Statement { return Statement{Rest: time.Duration(ms) * time.Millisecond} }
+func rest(ms int) Statement { return Statement{Backoff: time.Duration(ms) * time.Millisecond} }
 
 // mayAt reports whether a request may be sent at a time.
 func (t *Table) mayAt(ms int) bool { return !t.BackoffOf(life).Next(at(ms)).After(at(ms)) }
