--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -18,7 +18,7 @@
 	if changed.Limit {
 		b.applyLimitChange(now, l, before)
 	}
-	if changed.Leaving || changed.Rest {
+	if changed.Leaving || changed.Backoff {
 		b.notifyChanged()
 	}
 	return changed
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -24,7 +24,7 @@
 		g.stats.noticed.Inc(1)
 		g.log.WithFields(f).Info("Target said that it leaves.")
 	}
-	if changed.Rest {
+	if changed.Backoff {
 		g.stats.noticed.Inc(1)
 		f["rest_ms"] = s.Backoff.Milliseconds()
 		g.log.WithFields(f).Info("Target asked for rest.")
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -105,7 +105,7 @@
 type Change struct {
 	Limit      bool // what is believed of the limit
 	Leaving    bool // the target leaves, which was not known
-	Rest       bool // it rests, and did not
+	Backoff       bool // it rests, and did not
 	Unreadable bool // it is the first of the life that is not readable
 }
 
@@ -122,7 +122,7 @@
 	}
 	first := s.Unreadable() && !r.unreadable
 	r.unreadable = r.unreadable || first
-	return Change{Limit: r.hearLimit(now, s, sent), Leaving: r.leave(s.Leaving), Rest: r.rest.hear(now, s.Backoff, sent), Unreadable: first}
+	return Change{Limit: r.hearLimit(now, s, sent), Leaving: r.leave(s.Leaving), Backoff: r.rest.hear(now, s.Backoff, sent), Unreadable: first}
 }
 
 // MarkLeaving takes that a life leaves.
--- a/notice/rest_test.go
+++ b/notice/rest_test.go
@@ -15,8 +15,8 @@
 func TestRestIsKept(t *testing.T) {
 	x := NewTable()
 	assert.Assert(t, x.mayAt(0))
-	assert.Assert(t, x.Record(at(10), life, rest(3000), at(0)).Rest)
-	assert.Assert(t, !x.Record(at(20), life, rest(1000), at(0)).Rest, "a shorter one does not end it sooner")
+	assert.Assert(t, x.Record(at(10), life, rest(3000), at(0)).Backoff)
+	assert.Assert(t, !x.Record(at(20), life, rest(1000), at(0)).Backoff, "a shorter one does not end it sooner")
 	x.Record(at(30), life, Statement{}, at(5))
 	assert.Assert(t, !x.mayAt(3009))
 	assert.Assert(t, x.mayAt(3010))
