--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -42,7 +42,7 @@
 // applyLimitChange applies a changed limit of a target. The caller holds the lock.
 func (b *Balancer) applyLimitChange(now time.Time, l notice.Life, before notice.Limit) {
 	t := b.byID[l.Target]
-	if t != nil && fleet.SameLife(t.Born, l.Born) && !before.Named {
+	if t != nil && fleet.SameLife(t.Born, l.Born) && !before.Declared {
 		t.pace.exhaust(now, t.rate(now, b.stateOf(t).Limit), 0)
 	}
 	b.notifyChanged()
@@ -106,7 +106,7 @@
 	if t.coldRate > 0 && now.Before(t.ColdUntil) {
 		r = r.lower(t.coldRate)
 	}
-	if limit.Named {
+	if limit.Declared {
 		r = r.lower(max(limit.PerS, minRate))
 	}
 	return r
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -12,7 +12,7 @@
 )
 
 func limit(perS float64) notice.Statement {
-	return notice.Statement{Limit: notice.Limit{Named: true, PerS: perS}}
+	return notice.Statement{Limit: notice.Limit{Declared: true, PerS: perS}}
 }
 
 // entryGroup is a group of entries, the first of which is the home of the only target.
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -43,7 +43,7 @@
 	info := AnswerInfo{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest,
 		OtherInstance: status == http.StatusMisdirectedRequest}
 	if perS, err := strconv.ParseFloat(h.Get("Limit"), 64); err == nil {
-		info.Notice.Limit = notice.Limit{Named: true, PerS: perS}
+		info.Notice.Limit = notice.Limit{Declared: true, PerS: perS}
 	}
 	info.Notice.Leaving = h.Get("Leaving") != ""
 	restMs, _ := strconv.Atoi(h.Get("Rest-Ms"))
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -31,7 +31,7 @@
 	}
 	if changed.Limit {
 		g.stats.noticed.Inc(1)
-		f["limited"], f["limit"] = s.Limit.Named, s.Limit.PerS
+		f["limited"], f["limit"] = s.Limit.Declared, s.Limit.PerS
 		g.log.WithFields(f).Info("Target's limit heard.")
 	}
 }
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -159,7 +159,7 @@
 	if c.Unlisted {
 		f["doubtful"] = true
 	}
-	if c.Limit.Named {
+	if c.Limit.Declared {
 		f["limit"] = c.Limit.PerS
 	}
 	x.g.log.WithFields(f).Info("Sending.")
--- a/mesh/reserve_test.go
+++ b/mesh/reserve_test.go
@@ -37,7 +37,7 @@
 
 func nameLimit(n *node, target *fleet.Instance, perS float64) {
 	now := clock.Now()
-	n.book.RecordStatement(now, *target, notice.Statement{Limit: notice.Limit{Named: true, PerS: perS}}, now)
+	n.book.RecordStatement(now, *target, notice.Statement{Limit: notice.Limit{Declared: true, PerS: perS}}, now)
 }
 
 func paced(target *fleet.Instance) dispatch.Choice {
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -10,13 +10,13 @@
 
 // Limit is how many requests a second a target takes from all entries together.
 type Limit struct {
-	Named bool // otherwise it takes any number
+	Declared bool // otherwise it takes any number
 	PerS  float64
 }
 
 // below reports whether the limit lets fewer requests through than another.
 func (l Limit) below(o Limit) bool {
-	return l.Named && (!o.Named || l.PerS < o.PerS)
+	return l.Declared && (!o.Declared || l.PerS < o.PerS)
 }
 
 // Statement is what one answer of a target says of it.
@@ -141,7 +141,7 @@
 }
 
 func (r *record) hearLimit(now time.Time, s Statement, sent time.Time) bool {
-	if s.Limit == r.belief.Limit || s.LimitUnreadable && !s.Limit.Named {
+	if s.Limit == r.belief.Limit || s.LimitUnreadable && !s.Limit.Declared {
 		return false
 	}
 	if !s.Limit.below(r.belief.Limit) && !sent.After(r.since) {
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -83,7 +83,7 @@
 	all, none := func(string) bool { return true }, func(string) bool { return false }
 	x.Prune(at(10), all)
 	x.Prune(at(5000), none)
-	assert.Assert(t, x.StateOf(life).Limit.Named)
+	assert.Assert(t, x.StateOf(life).Limit.Declared)
 	x.Prune(at(10).Add(forgetAfter), none)
 	assert.Equal(t, x.StateOf(life), Belief{})
 }
