--- a/notice/notice.go
+++ b/notice/notice.go
@@ -48,16 +48,16 @@
 // Belief is what is held true of one life of a target.
 type Belief struct {
 	Limit Limit
-	// Turn counts the changes of Limit, over all entries that tell each other: of two
+	// LimitRevision counts the changes of Limit, over all entries that tell each other: of two
 	// beliefs the one with the higher turn is newer.
-	Turn uint64
+	LimitRevision uint64
 	// Leaving is true for the rest of the life.
 	Leaving bool
 }
 
 // supersedes reports whether the limit of a belief goes before that of another.
 func (b Belief) supersedes(o Belief) bool {
-	return b.Turn > o.Turn || b.Turn == o.Turn && b.Limit.below(o.Limit)
+	return b.LimitRevision > o.LimitRevision || b.LimitRevision == o.LimitRevision && b.Limit.below(o.Limit)
 }
 
 // Told is a belief as entries tell it to each other.
@@ -147,7 +147,7 @@
 	if !s.Limit.below(r.belief.Limit) && !sent.After(r.since) {
 		return false
 	}
-	r.belief.Limit, r.belief.Turn = s.Limit, r.belief.Turn+1
+	r.belief.Limit, r.belief.LimitRevision = s.Limit, r.belief.LimitRevision+1
 	r.since = now
 	return true
 }
@@ -160,7 +160,7 @@
 	}
 	c := Change{Leaving: r.leave(o.Leaving), Limit: o.supersedes(r.belief)}
 	if c.Limit {
-		r.belief.Limit, r.belief.Turn, r.since = o.Limit, o.Turn, now
+		r.belief.Limit, r.belief.LimitRevision, r.since = o.Limit, o.LimitRevision, now
 	}
 	return c
 }
--- a/peer/notice.go
+++ b/peer/notice.go
@@ -18,7 +18,7 @@
 
 // EncodeNotice returns a belief as a message has it.
 func EncodeNotice(t notice.Told) TargetNotice {
-	return TargetNotice{Instance: t.Target, Born: t.Born, Limited: t.Limit.Declared, PerS: t.Limit.PerS, Turn: t.Turn, Leaving: t.Leaving}
+	return TargetNotice{Instance: t.Target, Born: t.Born, Limited: t.Limit.Declared, PerS: t.Limit.PerS, Turn: t.LimitRevision, Leaving: t.Leaving}
 }
 
 // Decode returns the belief; ok is false if there is none that can be believed.
@@ -27,5 +27,5 @@
 		return notice.Told{}, false
 	}
 	return notice.Told{Life: notice.Life{Target: n.Instance, Born: n.Born},
-		Belief: notice.Belief{Limit: notice.Limit{Declared: n.Limited, PerS: n.PerS}, Turn: n.Turn, Leaving: n.Leaving}}, true
+		Belief: notice.Belief{Limit: notice.Limit{Declared: n.Limited, PerS: n.PerS}, LimitRevision: n.Turn, Leaving: n.Leaving}}, true
 }
