--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -63,7 +63,7 @@
 	if t == nil {
 		return notice.Told{}
 	}
-	return notice.Told{Life: notice.LifeOf(&t.Instance), Belief: b.stateOf(t)}
+	return notice.Told{Life: notice.LifeOf(&t.Instance), State: b.stateOf(t)}
 }
 
 // UpdateNotices marks targets that are draining in the list as leaving, and removes the state
@@ -80,7 +80,7 @@
 }
 
 // stateOf returns the state that a target has declared. The caller holds the lock.
-func (b *Balancer) stateOf(t *Target) notice.Belief { return b.notices.StateOf(notice.LifeOf(&t.Instance)) }
+func (b *Balancer) stateOf(t *Target) notice.State { return b.notices.StateOf(notice.LifeOf(&t.Instance)) }
 
 // backoffOf returns the back-off that a target has requested from this entry. The caller holds
 // the lock.
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -45,8 +45,8 @@
 // LifeOf returns the name of an instance's life.
 func LifeOf(i *fleet.Instance) Life { return Life{i.ID, i.Born} }
 
-// Belief is what is held true of one life of a target.
-type Belief struct {
+// State is what is held true of one life of a target.
+type State struct {
 	Limit Limit
 	// LimitRevision counts the changes of Limit, over all entries that tell each other: of two
 	// beliefs the one with the higher turn is newer.
@@ -56,14 +56,14 @@
 }
 
 // supersedes reports whether the limit of a belief goes before that of another.
-func (b Belief) supersedes(o Belief) bool {
+func (b State) supersedes(o State) bool {
 	return b.LimitRevision > o.LimitRevision || b.LimitRevision == o.LimitRevision && b.Limit.below(o.Limit)
 }
 
 // Told is a belief as entries tell it to each other.
 type Told struct {
 	Life
-	Belief
+	State
 }
 
 // forgetAfter is how long a target that is no longer listed is remembered. An entry
@@ -73,7 +73,7 @@
 // record is what is known of a life.
 type record struct {
 	born     int64
-	belief   Belief
+	belief   State
 	rest     Backoff
 	since    time.Time // when this process took up the limit
 	listedAt time.Time
@@ -166,11 +166,11 @@
 }
 
 // StateOf returns what is held true of a life.
-func (t *Table) StateOf(l Life) Belief {
+func (t *Table) StateOf(l Life) State {
 	if r := t.known(l); r != nil {
 		return r.belief
 	}
-	return Belief{}
+	return State{}
 }
 
 // BackoffOf returns the rest that a life has asked this entry for.
@@ -210,7 +210,7 @@
 func (t *Table) All() []Told {
 	var out []Told
 	for id, r := range t.records {
-		if r.belief != (Belief{}) {
+		if r.belief != (State{}) {
 			out = append(out, Told{Life{id, r.born}, r.belief})
 		}
 	}
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -22,9 +22,9 @@
 	assert.Assert(t, !x.Record(at(20), life, limit(5), at(15)).Limit, "nothing new")
 	assert.Assert(t, x.Record(at(30), life, limit(1), at(0)).Limit, "a lower limit holds at once")
 	assert.Assert(t, x.Record(at(50), life, limit(7), at(40)).Limit)
-	assert.Equal(t, x.StateOf(life), Belief{Limit: Limit{true, 7}, LimitRevision: 3})
+	assert.Equal(t, x.StateOf(life), State{Limit: Limit{true, 7}, LimitRevision: 3})
 	assert.Assert(t, x.Record(at(70), life, Statement{}, at(60)).Limit)
-	assert.Equal(t, x.StateOf(life), Belief{LimitRevision: 4})
+	assert.Equal(t, x.StateOf(life), State{LimitRevision: 4})
 }
 
 func TestAnswerToAnEarlierRequestDoesNotLiftALimit(t *testing.T) {
@@ -60,7 +60,7 @@
 	a.Record(at(10), life, limit(1), at(0))
 	b.Record(at(10), life, limit(3), at(0))
 	assert.Assert(t, b.Merge(at(20), a.All()[0]).Limit)
-	assert.Assert(t, !a.Merge(at(20), Told{life, Belief{Limit: Limit{true, 3}, LimitRevision: 1}}).Limit)
+	assert.Assert(t, !a.Merge(at(20), Told{life, State{Limit: Limit{true, 3}, LimitRevision: 1}}).Limit)
 	assert.Equal(t, a.StateOf(life), b.StateOf(life))
 }
 
@@ -69,12 +69,12 @@
 	first, second := Life{"i-1", 1000}, Life{"i-1", 2000}
 	x := NewTable()
 	x.Record(at(10), first, limit(1), at(0))
-	assert.Equal(t, x.StateOf(second), Belief{})
+	assert.Equal(t, x.StateOf(second), State{})
 	assert.Assert(t, x.Record(at(20), second, limit(4), at(15)).Limit)
 	assert.Assert(t, !x.Record(at(30), first, limit(1), at(5)).Limit)
-	assert.Assert(t, !x.Merge(at(30), Told{first, Belief{Limit: Limit{true, 1}, LimitRevision: 9}}).Limit)
+	assert.Assert(t, !x.Merge(at(30), Told{first, State{Limit: Limit{true, 1}, LimitRevision: 9}}).Limit)
 	assert.Equal(t, x.StateOf(second).Limit, Limit{true, 4})
-	assert.Equal(t, x.StateOf(first), Belief{})
+	assert.Equal(t, x.StateOf(first), State{})
 }
 
 func TestTargetThatLapsedIsRememberedForAWhile(t *testing.T) {
@@ -85,7 +85,7 @@
 	x.Prune(at(5000), none)
 	assert.Assert(t, x.StateOf(life).Limit.Declared)
 	x.Prune(at(10).Add(forgetAfter), none)
-	assert.Equal(t, x.StateOf(life), Belief{})
+	assert.Equal(t, x.StateOf(life), State{})
 }
 
 // Within one life no later answer, and no older belief of another entry, takes it back.
@@ -96,7 +96,7 @@
 	assert.Assert(t, x.Record(at(10), first, Statement{Leaving: true}, at(0)).Leaving)
 	assert.Assert(t, !x.Record(at(30), first, Statement{}, at(20)).Leaving)
 	x.Merge(at(40), other.All()[0])
-	assert.Equal(t, x.StateOf(first), Belief{Limit: Limit{true, 3}, LimitRevision: 1, Leaving: true})
+	assert.Equal(t, x.StateOf(first), State{Limit: Limit{true, 3}, LimitRevision: 1, Leaving: true})
 	assert.Assert(t, other.Merge(at(50), x.All()[0]).Leaving)
 	assert.Equal(t, other.StateOf(first), x.StateOf(first))
 	assert.Assert(t, !x.StateOf(second).Leaving, "the next life serves")
--- a/notice/rest_test.go
+++ b/notice/rest_test.go
@@ -20,7 +20,7 @@
 	x.Record(at(30), life, Statement{}, at(5))
 	assert.Assert(t, !x.mayAt(3009))
 	assert.Assert(t, x.mayAt(3010))
-	assert.Equal(t, x.StateOf(life), Belief{}, "it is not told to others")
+	assert.Equal(t, x.StateOf(life), State{}, "it is not told to others")
 }
 
 func TestOneRequestIsTriedAfterARest(t *testing.T) {
--- a/peer/notice.go
+++ b/peer/notice.go
@@ -27,5 +27,5 @@
 		return notice.Told{}, false
 	}
 	return notice.Told{Life: notice.Life{Target: n.Instance, Born: n.Born},
-		Belief: notice.Belief{Limit: notice.Limit{Declared: n.Limited, PerS: n.PerS}, LimitRevision: n.Turn, Leaving: n.Leaving}}, true
+		State: notice.State{Limit: notice.Limit{Declared: n.Limited, PerS: n.PerS}, LimitRevision: n.Turn, Leaving: n.Leaving}}, true
 }
