--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -25,7 +25,7 @@
 }
 
 // MergeReport merges the state of a target that another entry reported.
-func (b *Balancer) MergeReport(now time.Time, o notice.Told) notice.Change {
+func (b *Balancer) MergeReport(now time.Time, o notice.Report) notice.Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.byID[o.Target] == nil {
@@ -49,21 +49,21 @@
 }
 
 // Reports returns the states that targets have declared, for other entries.
-func (b *Balancer) Reports() []notice.Told {
+func (b *Balancer) Reports() []notice.Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.notices.All()
 }
 
 // ReportOf returns the state that the current incarnation of a listed target has declared.
-func (b *Balancer) ReportOf(instance string) notice.Told {
+func (b *Balancer) ReportOf(instance string) notice.Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.byID[instance]
 	if t == nil {
-		return notice.Told{}
+		return notice.Report{}
 	}
-	return notice.Told{Life: notice.LifeOf(&t.Instance), State: b.stateOf(t)}
+	return notice.Report{Life: notice.LifeOf(&t.Instance), State: b.stateOf(t)}
 }
 
 // UpdateNotices marks targets that are draining in the list as leaving, and removes the state
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -21,7 +21,7 @@
 	Granted bool
 	Known   bool          // the home knows the target
 	Wait    time.Duration // until the target accepts the next request; zero if its rate is not the reason
-	Report  notice.Told   // state of the target known to the home
+	Report  notice.Report   // state of the target known to the home
 }
 
 // Reserve decides for another entry whether one more request with the given prompt may be sent
@@ -35,7 +35,7 @@
 	if t == nil {
 		return ReserveResult{Granted: true}
 	}
-	p := ReserveResult{Known: true, Report: notice.Told{Life: notice.LifeOf(&t.Instance), State: b.stateOf(t)}}
+	p := ReserveResult{Known: true, Report: notice.Report{Life: notice.LifeOf(&t.Instance), State: b.stateOf(t)}}
 	p.Report.Leaving = b.leaving(t)
 	r := t.rate(now, p.Report.Limit)
 	p.Wait = max(t.pace.next(now, r).Sub(now), 0)
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -60,8 +60,8 @@
 	return b.LimitRevision > o.LimitRevision || b.LimitRevision == o.LimitRevision && b.Limit.below(o.Limit)
 }
 
-// Told is a belief as entries tell it to each other.
-type Told struct {
+// Report is a belief as entries tell it to each other.
+type Report struct {
 	Life
 	State
 }
@@ -153,7 +153,7 @@
 }
 
 // Merge takes what another entry holds true.
-func (t *Table) Merge(now time.Time, o Told) Change {
+func (t *Table) Merge(now time.Time, o Report) Change {
 	r := t.of(now, o.Life)
 	if r == nil {
 		return Change{}
@@ -207,11 +207,11 @@
 }
 
 // All returns what other entries are to be told.
-func (t *Table) All() []Told {
-	var out []Told
+func (t *Table) All() []Report {
+	var out []Report
 	for id, r := range t.records {
 		if r.belief != (State{}) {
-			out = append(out, Told{Life{id, r.born}, r.belief})
+			out = append(out, Report{Life{id, r.born}, r.belief})
 		}
 	}
 	return out
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -60,7 +60,7 @@
 	a.Record(at(10), life, limit(1), at(0))
 	b.Record(at(10), life, limit(3), at(0))
 	assert.Assert(t, b.Merge(at(20), a.All()[0]).Limit)
-	assert.Assert(t, !a.Merge(at(20), Told{life, State{Limit: Limit{true, 3}, LimitRevision: 1}}).Limit)
+	assert.Assert(t, !a.Merge(at(20), Report{life, State{Limit: Limit{true, 3}, LimitRevision: 1}}).Limit)
 	assert.Equal(t, a.StateOf(life), b.StateOf(life))
 }
 
@@ -72,7 +72,7 @@
 	assert.Equal(t, x.StateOf(second), State{})
 	assert.Assert(t, x.Record(at(20), second, limit(4), at(15)).Limit)
 	assert.Assert(t, !x.Record(at(30), first, limit(1), at(5)).Limit)
-	assert.Assert(t, !x.Merge(at(30), Told{first, State{Limit: Limit{true, 1}, LimitRevision: 9}}).Limit)
+	assert.Assert(t, !x.Merge(at(30), Report{first, State{Limit: Limit{true, 1}, LimitRevision: 9}}).Limit)
 	assert.Equal(t, x.StateOf(second).Limit, Limit{true, 4})
 	assert.Equal(t, x.StateOf(first), State{})
 }
