--- a/notice/notice.go
+++ b/notice/notice.go
@@ -39,7 +39,7 @@
 // Life names one life of a target.
 type Life struct {
 	Target string
-	Born   int64 // 0 if not known
+	StartMs   int64 // 0 if not known
 }
 
 // LifeOf returns the name of an instance's life.
@@ -91,13 +91,13 @@
 func (t *Table) of(now time.Time, l Life) *record {
 	r := t.records[l.Target]
 	switch {
-	case r == nil, !fleet.SameLife(r.born, l.Born) && l.Born > r.born:
-		r = &record{born: l.Born, listedAt: now}
+	case r == nil, !fleet.SameLife(r.born, l.StartMs) && l.StartMs > r.born:
+		r = &record{born: l.StartMs, listedAt: now}
 		t.records[l.Target] = r
-	case !fleet.SameLife(r.born, l.Born):
+	case !fleet.SameLife(r.born, l.StartMs):
 		return nil
 	}
-	r.born = max(r.born, l.Born)
+	r.born = max(r.born, l.StartMs)
 	return r
 }
 
@@ -186,7 +186,7 @@
 	if len(t.records) == 0 {
 		return nil
 	}
-	if r := t.records[l.Target]; r != nil && fleet.SameLife(r.born, l.Born) {
+	if r := t.records[l.Target]; r != nil && fleet.SameLife(r.born, l.StartMs) {
 		return r
 	}
 	return nil
