--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -139,7 +139,7 @@
 	l := Load{Requests: 1, PendingPrefill: d.Prompt}
 	t.own, t.load = t.own.add(l), t.load.add(l)
 	t.pace.count(now, t.rate(now, b.stateOf(t).Limit))
-	b.notices.RecordSend(now, notice.LifeOf(&t.Instance))
+	b.notices.RecordSend(now, notice.IncarnationOf(&t.Instance))
 	if t.health.waitingSince.IsZero() {
 		t.health.waitingSince = now
 	}
--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -12,7 +12,7 @@
 func (b *Balancer) RecordStatement(now time.Time, i fleet.Instance, s notice.Statement, sent time.Time) notice.Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := notice.LifeOf(&i)
+	l := notice.IncarnationOf(&i)
 	before := b.notices.StateOf(l).Limit
 	changed := b.notices.Record(now, l, s, sent)
 	if changed.Limit {
@@ -63,7 +63,7 @@
 	if t == nil {
 		return notice.Report{}
 	}
-	return notice.Report{Life: notice.LifeOf(&t.Instance), State: b.stateOf(t)}
+	return notice.Report{Life: notice.IncarnationOf(&t.Instance), State: b.stateOf(t)}
 }
 
 // UpdateNotices marks targets that are draining in the list as leaving, and removes the state
@@ -73,19 +73,19 @@
 	defer b.mu.Unlock()
 	for _, t := range b.byID {
 		if t.Draining {
-			b.notices.MarkLeaving(now, notice.LifeOf(&t.Instance))
+			b.notices.MarkLeaving(now, notice.IncarnationOf(&t.Instance))
 		}
 	}
 	b.notices.Prune(now, func(target string) bool { return b.byID[target] != nil })
 }
 
 // stateOf returns the state that a target has declared. The caller holds the lock.
-func (b *Balancer) stateOf(t *Target) notice.State { return b.notices.StateOf(notice.LifeOf(&t.Instance)) }
+func (b *Balancer) stateOf(t *Target) notice.State { return b.notices.StateOf(notice.IncarnationOf(&t.Instance)) }
 
 // backoffOf returns the back-off that a target has requested from this entry. The caller holds
 // the lock.
 func (b *Balancer) backoffOf(t *Target) notice.Backoff {
-	return b.notices.BackoffOf(notice.LifeOf(&t.Instance))
+	return b.notices.BackoffOf(notice.IncarnationOf(&t.Instance))
 }
 
 // leaving reports whether a target is leaving, by the list or its own statement. The caller
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -35,7 +35,7 @@
 	if t == nil {
 		return ReserveResult{Granted: true}
 	}
-	p := ReserveResult{Known: true, Report: notice.Report{Life: notice.LifeOf(&t.Instance), State: b.stateOf(t)}}
+	p := ReserveResult{Known: true, Report: notice.Report{Life: notice.IncarnationOf(&t.Instance), State: b.stateOf(t)}}
 	p.Report.Leaving = b.leaving(t)
 	r := t.rate(now, p.Report.Limit)
 	p.Wait = max(t.pace.next(now, r).Sub(now), 0)
@@ -72,7 +72,7 @@
 	l := Load{Requests: -1, PendingPrefill: -d.Prompt}
 	t.own, t.load = t.own.add(l), t.load.add(l)
 	t.pace.undo()
-	b.notices.CancelSend(notice.LifeOf(&t.Instance))
+	b.notices.CancelSend(notice.IncarnationOf(&t.Instance))
 	if t.own.Requests == 0 {
 		t.health.waitingSince = time.Time{}
 	}
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -42,8 +42,8 @@
 	StartMs   int64 // 0 if not known
 }
 
-// LifeOf returns the name of an instance's life.
-func LifeOf(i *fleet.Instance) Life { return Life{i.ID, i.Born} }
+// IncarnationOf returns the name of an instance's life.
+func IncarnationOf(i *fleet.Instance) Life { return Life{i.ID, i.Born} }
 
 // State is what is held true of one life of a target.
 type State struct {
