--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -31,16 +31,16 @@
 	if b.byID[o.Target] == nil {
 		return notice.Change{} // the state of an unlisted target would never be removed
 	}
-	before := b.notices.StateOf(o.Life).Limit
+	before := b.notices.StateOf(o.Incarnation).Limit
 	changed := b.notices.Merge(now, o)
 	if changed.Limit {
-		b.applyLimitChange(now, o.Life, before)
+		b.applyLimitChange(now, o.Incarnation, before)
 	}
 	return changed
 }
 
 // applyLimitChange applies a changed limit of a target. The caller holds the lock.
-func (b *Balancer) applyLimitChange(now time.Time, l notice.Life, before notice.Limit) {
+func (b *Balancer) applyLimitChange(now time.Time, l notice.Incarnation, before notice.Limit) {
 	t := b.byID[l.Target]
 	if t != nil && fleet.SameLife(t.Born, l.StartMs) && !before.Declared {
 		t.pace.exhaust(now, t.rate(now, b.stateOf(t).Limit), 0)
@@ -63,7 +63,7 @@
 	if t == nil {
 		return notice.Report{}
 	}
-	return notice.Report{Life: notice.IncarnationOf(&t.Instance), State: b.stateOf(t)}
+	return notice.Report{Incarnation: notice.IncarnationOf(&t.Instance), State: b.stateOf(t)}
 }
 
 // UpdateNotices marks targets that are draining in the list as leaving, and removes the state
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -35,7 +35,7 @@
 	if t == nil {
 		return ReserveResult{Granted: true}
 	}
-	p := ReserveResult{Known: true, Report: notice.Report{Life: notice.IncarnationOf(&t.Instance), State: b.stateOf(t)}}
+	p := ReserveResult{Known: true, Report: notice.Report{Incarnation: notice.IncarnationOf(&t.Instance), State: b.stateOf(t)}}
 	p.Report.Leaving = b.leaving(t)
 	r := t.rate(now, p.Report.Limit)
 	p.Wait = max(t.pace.next(now, r).Sub(now), 0)
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -36,14 +36,14 @@
 	return s.LimitUnreadable || s.LeavingUnreadable || s.BackoffUnreadable
 }
 
-// Life names one life of a target.
-type Life struct {
+// Incarnation names one life of a target.
+type Incarnation struct {
 	Target string
 	StartMs   int64 // 0 if not known
 }
 
 // IncarnationOf returns the name of an instance's life.
-func IncarnationOf(i *fleet.Instance) Life { return Life{i.ID, i.Born} }
+func IncarnationOf(i *fleet.Instance) Incarnation { return Incarnation{i.ID, i.Born} }
 
 // State is what is held true of one life of a target.
 type State struct {
@@ -62,7 +62,7 @@
 
 // Report is a belief as entries tell it to each other.
 type Report struct {
-	Life
+	Incarnation
 	State
 }
 
@@ -88,7 +88,7 @@
 func NewTable() *Table { return &Table{records: map[string]*record{}} }
 
 // of returns the record of a life, or nil if a later one is known.
-func (t *Table) of(now time.Time, l Life) *record {
+func (t *Table) of(now time.Time, l Incarnation) *record {
 	r := t.records[l.Target]
 	switch {
 	case r == nil, !fleet.SameLife(r.born, l.StartMs) && l.StartMs > r.born:
@@ -112,7 +112,7 @@
 // Record takes a statement in the answer to a request that was sent at a time. Answers
 // overtake each other: one to a request that was sent before the limit was known does not
 // raise or lift it.
-func (t *Table) Record(now time.Time, l Life, s Statement, sent time.Time) Change {
+func (t *Table) Record(now time.Time, l Incarnation, s Statement, sent time.Time) Change {
 	if s == (Statement{}) && t.records[l.Target] == nil {
 		return Change{} // as of most targets
 	}
@@ -126,7 +126,7 @@
 }
 
 // MarkLeaving takes that a life leaves.
-func (t *Table) MarkLeaving(now time.Time, l Life) {
+func (t *Table) MarkLeaving(now time.Time, l Incarnation) {
 	if r := t.of(now, l); r != nil {
 		r.leave(true)
 	}
@@ -154,7 +154,7 @@
 
 // Merge takes what another entry holds true.
 func (t *Table) Merge(now time.Time, o Report) Change {
-	r := t.of(now, o.Life)
+	r := t.of(now, o.Incarnation)
 	if r == nil {
 		return Change{}
 	}
@@ -166,7 +166,7 @@
 }
 
 // StateOf returns what is held true of a life.
-func (t *Table) StateOf(l Life) State {
+func (t *Table) StateOf(l Incarnation) State {
 	if r := t.known(l); r != nil {
 		return r.belief
 	}
@@ -174,7 +174,7 @@
 }
 
 // BackoffOf returns the rest that a life has asked this entry for.
-func (t *Table) BackoffOf(l Life) Backoff {
+func (t *Table) BackoffOf(l Incarnation) Backoff {
 	if r := t.known(l); r != nil {
 		return r.rest
 	}
@@ -182,7 +182,7 @@
 }
 
 // known returns the record of a life, or nil.
-func (t *Table) known(l Life) *record {
+func (t *Table) known(l Incarnation) *record {
 	if len(t.records) == 0 {
 		return nil
 	}
@@ -193,14 +193,14 @@
 }
 
 // RecordSend notes that this entry sends a request to a life, which tries whether it has rested.
-func (t *Table) RecordSend(now time.Time, l Life) {
+func (t *Table) RecordSend(now time.Time, l Incarnation) {
 	if r := t.records[l.Target]; r != nil {
 		r.rest.try(now)
 	}
 }
 
 // CancelSend takes that back.
-func (t *Table) CancelSend(l Life) {
+func (t *Table) CancelSend(l Incarnation) {
 	if r := t.records[l.Target]; r != nil {
 		r.rest.untry()
 	}
@@ -211,7 +211,7 @@
 	var out []Report
 	for id, r := range t.records {
 		if r.belief != (State{}) {
-			out = append(out, Report{Life{id, r.born}, r.belief})
+			out = append(out, Report{Incarnation{id, r.born}, r.belief})
 		}
 	}
 	return out
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -9,7 +9,7 @@
 
 var (
 	start = time.Unix(1_800_000_000, 0)
-	life  = Life{Target: "i-1"}
+	life  = Incarnation{Target: "i-1"}
 )
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
@@ -66,7 +66,7 @@
 
 // What an earlier life said says nothing of a later one, also if it comes late.
 func TestBeliefEndsWithTheLife(t *testing.T) {
-	first, second := Life{"i-1", 1000}, Life{"i-1", 2000}
+	first, second := Incarnation{"i-1", 1000}, Incarnation{"i-1", 2000}
 	x := NewTable()
 	x.Record(at(10), first, limit(1), at(0))
 	assert.Equal(t, x.StateOf(second), State{})
@@ -90,7 +90,7 @@
 
 // Within one life no later answer, and no older belief of another entry, takes it back.
 func TestLeavingIsForGood(t *testing.T) {
-	first, second := Life{"i-1", 1000}, Life{"i-1", 2000}
+	first, second := Incarnation{"i-1", 1000}, Incarnation{"i-1", 2000}
 	x, other := NewTable(), NewTable()
 	other.Record(at(5), first, limit(3), at(0))
 	assert.Assert(t, x.Record(at(10), first, Statement{Leaving: true}, at(0)).Leaving)
--- a/peer/notice.go
+++ b/peer/notice.go
@@ -26,6 +26,6 @@
 	if n.Instance == "" || math.IsNaN(n.PerS) || n.PerS < 0 || n.Turn == 0 && !n.Leaving {
 		return notice.Report{}, false
 	}
-	return notice.Report{Life: notice.Life{Target: n.Instance, StartMs: n.Born},
+	return notice.Report{Incarnation: notice.Incarnation{Target: n.Instance, StartMs: n.Born},
 		State: notice.State{Limit: notice.Limit{Declared: n.Limited, PerS: n.PerS}, LimitRevision: n.Turn, Leaving: n.Leaving}}, true
 }
