--- a/notice/notice.go
+++ b/notice/notice.go
@@ -1,5 +1,5 @@
-// Package notice keeps what targets say of themselves in their answers, by life of the
-// target. It is pure: a Table does no I/O and is guarded by its owner.
+// Package notice keeps the state that targets declare in their responses, by incarnation of the
+// target. It does no I/O; a Table is guarded by its owner.
 package notice
 
 import (
@@ -8,223 +8,226 @@
 	"github.com/springgate/springgate/fleet"
 )
 
-// Limit is how many requests a second a target takes from all entries together.
+// Limit is the request rate that a target accepts from all entries together.
 type Limit struct {
-	Declared bool // otherwise it takes any number
-	PerS  float64
+	Declared bool // otherwise there is no limit
+	PerS     float64
 }
 
-// below reports whether the limit lets fewer requests through than another.
+// below reports whether the limit is lower than another.
 func (l Limit) below(o Limit) bool {
 	return l.Declared && (!o.Declared || l.PerS < o.PerS)
 }
 
-// Statement is what one answer of a target says of it.
+// Statement is the state that a target declares in one response.
 type Statement struct {
 	Limit   Limit
-	Leaving bool // it ends soon and takes no more requests
-	// Backoff is how long the target wants no request of the asker, whom it has turned away.
+	Leaving bool // it will end soon and accepts no more requests
+	// Backoff is how long the target wants no requests from the entry whose request it refused.
 	Backoff time.Duration
-	// LimitUnreadable is set if a limit is named that is none; Limit is then what is
-	// readable beside it. LeavingUnreadable and BackoffUnreadable are set if it cannot be read
-	// whether it leaves and how long it is to rest.
+	// LimitUnreadable is set if a declared limit could not be parsed; Limit then holds a limit
+	// that could be parsed beside it, if any. LeavingUnreadable and BackoffUnreadable are set
+	// if Leaving and Backoff could not be parsed.
 	LimitUnreadable, LeavingUnreadable, BackoffUnreadable bool
 }
 
-// Unreadable reports whether a part of the statement could not be read.
+// Unreadable reports whether a part of the statement could not be parsed.
 func (s Statement) Unreadable() bool {
 	return s.LimitUnreadable || s.LeavingUnreadable || s.BackoffUnreadable
 }
 
-// Incarnation names one life of a target.
+// Incarnation identifies one incarnation of a target.
 type Incarnation struct {
-	Target string
-	StartMs   int64 // 0 if not known
+	Target  string
+	StartMs int64 // start time in Unix milliseconds; 0 if unknown
 }
 
-// IncarnationOf returns the name of an instance's life.
+// IncarnationOf returns the identifier of an instance's incarnation.
 func IncarnationOf(i *fleet.Instance) Incarnation { return Incarnation{i.ID, i.Born} }
 
-// State is what is held true of one life of a target.
+// State is the declared state of one incarnation of a target.
 type State struct {
 	Limit Limit
-	// LimitRevision counts the changes of Limit, over all entries that tell each other: of two
-	// beliefs the one with the higher turn is newer.
+	// LimitRevision counts the changes of Limit across all entries that exchange reports. Of
+	// two states the one with the higher revision is newer.
 	LimitRevision uint64
-	// Leaving is true for the rest of the life.
+	// Leaving stays true for the rest of the incarnation.
 	Leaving bool
 }
 
-// supersedes reports whether the limit of a belief goes before that of another.
-func (b State) supersedes(o State) bool {
-	return b.LimitRevision > o.LimitRevision || b.LimitRevision == o.LimitRevision && b.Limit.below(o.Limit)
+// supersedes reports whether the limit of a state takes precedence over that of another.
+func (s State) supersedes(o State) bool {
+	return s.LimitRevision > o.LimitRevision || s.LimitRevision == o.LimitRevision && s.Limit.below(o.Limit)
 }
 
-// Report is a belief as entries tell it to each other.
+// Report is a state as entries exchange it.
 type Report struct {
 	Incarnation
 	State
 }
 
-// forgetAfter is how long a target that is no longer listed is remembered. An entry
-// lapses while the store is away and comes back with the same life.
-const forgetAfter = time.Minute
+// unlistedRetention is how long the state of a target is kept after the target has left the
+// list. A list entry may expire while the store is unavailable and reappear with the same
+// incarnation.
+const unlistedRetention = time.Minute
 
-// record is what is known of a life.
+// record is what this process knows of an incarnation.
 type record struct {
-	born     int64
-	belief   State
-	rest     Backoff
-	since    time.Time // when this process took up the limit
-	listedAt time.Time
-	// unreadable is set once it said something that is not readable.
+	startMs    int64
+	state      State
+	backoff    Backoff
+	limitSince time.Time // when this process adopted the limit
+	listedAt   time.Time
+	// unreadable is set after the first statement that could not be parsed.
 	unreadable bool
 }
 
-// Table holds the beliefs of one process.
+// Table holds the states known to one process.
 type Table struct{ records map[string]*record } // by target
 
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{records: map[string]*record{}} }
 
-// of returns the record of a life, or nil if a later one is known.
-func (t *Table) of(now time.Time, l Incarnation) *record {
-	r := t.records[l.Target]
+// recordOf returns the record of an incarnation and creates it if necessary. It returns nil if
+// a later incarnation is known.
+func (t *Table) recordOf(now time.Time, inc Incarnation) *record {
+	r := t.records[inc.Target]
 	switch {
-	case r == nil, !fleet.SameLife(r.born, l.StartMs) && l.StartMs > r.born:
-		r = &record{born: l.StartMs, listedAt: now}
-		t.records[l.Target] = r
-	case !fleet.SameLife(r.born, l.StartMs):
+	case r == nil, !fleet.SameLife(r.startMs, inc.StartMs) && inc.StartMs > r.startMs:
+		r = &record{startMs: inc.StartMs, listedAt: now}
+		t.records[inc.Target] = r
+	case !fleet.SameLife(r.startMs, inc.StartMs):
 		return nil
 	}
-	r.born = max(r.born, l.StartMs)
+	r.startMs = max(r.startMs, inc.StartMs)
 	return r
 }
 
-// Change is what a statement has changed.
+// Change describes what a statement or report has changed.
 type Change struct {
-	Limit      bool // what is believed of the limit
-	Leaving    bool // the target leaves, which was not known
-	Backoff       bool // it rests, and did not
-	Unreadable bool // it is the first of the life that is not readable
+	Limit      bool // the limit
+	Leaving    bool // the target is now known to be leaving
+	Backoff    bool // a back-off begins
+	Unreadable bool // this is the first statement of the incarnation that could not be parsed
 }
 
-// Record takes a statement in the answer to a request that was sent at a time. Answers
-// overtake each other: one to a request that was sent before the limit was known does not
+// Record applies the statement in the response to a request sent at the given time. Responses
+// may arrive out of order: one to a request sent before the current limit was known does not
 // raise or lift it.
-func (t *Table) Record(now time.Time, l Incarnation, s Statement, sent time.Time) Change {
-	if s == (Statement{}) && t.records[l.Target] == nil {
-		return Change{} // as of most targets
+func (t *Table) Record(now time.Time, inc Incarnation, s Statement, sent time.Time) Change {
+	if s == (Statement{}) && t.records[inc.Target] == nil {
+		return Change{} // the common case: nothing declared
 	}
-	r := t.of(now, l)
+	r := t.recordOf(now, inc)
 	if r == nil {
 		return Change{}
 	}
 	first := s.Unreadable() && !r.unreadable
 	r.unreadable = r.unreadable || first
-	return Change{Limit: r.hearLimit(now, s, sent), Leaving: r.leave(s.Leaving), Backoff: r.rest.hear(now, s.Backoff, sent), Unreadable: first}
+	return Change{Limit: r.recordLimit(now, s, sent), Leaving: r.markLeaving(s.Leaving), Backoff: r.backoff.record(now, s.Backoff, sent), Unreadable: first}
 }
 
-// MarkLeaving takes that a life leaves.
-func (t *Table) MarkLeaving(now time.Time, l Incarnation) {
-	if r := t.of(now, l); r != nil {
-		r.leave(true)
+// MarkLeaving records that an incarnation is leaving.
+func (t *Table) MarkLeaving(now time.Time, inc Incarnation) {
+	if r := t.recordOf(now, inc); r != nil {
+		r.markLeaving(true)
 	}
 }
 
-// leave takes that the target leaves or says nothing of it. It reports whether that is
-// news.
-func (r *record) leave(leaving bool) bool {
-	news := leaving && !r.belief.Leaving
-	r.belief.Leaving = r.belief.Leaving || leaving
-	return news
+// markLeaving records that the target is leaving if leaving is true. It reports whether that is
+// a change.
+func (r *record) markLeaving(leaving bool) bool {
+	changed := leaving && !r.state.Leaving
+	r.state.Leaving = r.state.Leaving || leaving
+	return changed
 }
 
-func (r *record) hearLimit(now time.Time, s Statement, sent time.Time) bool {
-	if s.Limit == r.belief.Limit || s.LimitUnreadable && !s.Limit.Declared {
+func (r *record) recordLimit(now time.Time, s Statement, sent time.Time) bool {
+	if s.Limit == r.state.Limit || s.LimitUnreadable && !s.Limit.Declared {
 		return false
 	}
-	if !s.Limit.below(r.belief.Limit) && !sent.After(r.since) {
+	if !s.Limit.below(r.state.Limit) && !sent.After(r.limitSince) {
 		return false
 	}
-	r.belief.Limit, r.belief.LimitRevision = s.Limit, r.belief.LimitRevision+1
-	r.since = now
+	r.state.Limit, r.state.LimitRevision = s.Limit, r.state.LimitRevision+1
+	r.limitSince = now
 	return true
 }
 
-// Merge takes what another entry holds true.
+// Merge applies the report of another entry.
 func (t *Table) Merge(now time.Time, o Report) Change {
-	r := t.of(now, o.Incarnation)
+	r := t.recordOf(now, o.Incarnation)
 	if r == nil {
 		return Change{}
 	}
-	c := Change{Leaving: r.leave(o.Leaving), Limit: o.supersedes(r.belief)}
+	c := Change{Leaving: r.markLeaving(o.Leaving), Limit: o.supersedes(r.state)}
 	if c.Limit {
-		r.belief.Limit, r.belief.LimitRevision, r.since = o.Limit, o.LimitRevision, now
+		r.state.Limit, r.state.LimitRevision, r.limitSince = o.Limit, o.LimitRevision, now
 	}
 	return c
 }
 
-// StateOf returns what is held true of a life.
-func (t *Table) StateOf(l Incarnation) State {
-	if r := t.known(l); r != nil {
-		return r.belief
+// StateOf returns the state of an incarnation.
+func (t *Table) StateOf(inc Incarnation) State {
+	if r := t.find(inc); r != nil {
+		return r.state
 	}
 	return State{}
 }
 
-// BackoffOf returns the rest that a life has asked this entry for.
-func (t *Table) BackoffOf(l Incarnation) Backoff {
-	if r := t.known(l); r != nil {
-		return r.rest
+// BackoffOf returns the back-off that an incarnation has requested from this entry.
+func (t *Table) BackoffOf(inc Incarnation) Backoff {
+	if r := t.find(inc); r != nil {
+		return r.backoff
 	}
 	return Backoff{}
 }
 
-// known returns the record of a life, or nil.
-func (t *Table) known(l Incarnation) *record {
+// find returns the record of an incarnation, or nil.
+func (t *Table) find(inc Incarnation) *record {
 	if len(t.records) == 0 {
 		return nil
 	}
-	if r := t.records[l.Target]; r != nil && fleet.SameLife(r.born, l.StartMs) {
+	if r := t.records[inc.Target]; r != nil && fleet.SameLife(r.startMs, inc.StartMs) {
 		return r
 	}
 	return nil
 }
 
-// RecordSend notes that this entry sends a request to a life, which tries whether it has rested.
-func (t *Table) RecordSend(now time.Time, l Incarnation) {
-	if r := t.records[l.Target]; r != nil {
-		r.rest.try(now)
+// RecordSend records that this entry sends a request to a target. The first one after a
+// back-off probes whether the target accepts requests again.
+func (t *Table) RecordSend(now time.Time, inc Incarnation) {
+	if r := t.records[inc.Target]; r != nil {
+		r.backoff.recordSend(now)
 	}
 }
 
-// CancelSend takes that back.
-func (t *Table) CancelSend(l Incarnation) {
-	if r := t.records[l.Target]; r != nil {
-		r.rest.untry()
+// CancelSend undoes RecordSend.
+func (t *Table) CancelSend(inc Incarnation) {
+	if r := t.records[inc.Target]; r != nil {
+		r.backoff.cancelSend()
 	}
 }
 
-// All returns what other entries are to be told.
+// All returns the reports for other entries.
 func (t *Table) All() []Report {
 	var out []Report
 	for id, r := range t.records {
-		if r.belief != (State{}) {
-			out = append(out, Report{Incarnation{id, r.born}, r.belief})
+		if r.state != (State{}) {
+			out = append(out, Report{Incarnation{id, r.startMs}, r.state})
 		}
 	}
 	return out
 }
 
-// Prune forgets targets that have not been listed for long. It is called while listed
-// tells which are.
+// Prune removes targets that have not been listed for long. listed reports whether a target is
+// listed now.
 func (t *Table) Prune(now time.Time, listed func(target string) bool) {
 	for id, r := range t.records {
 		if listed(id) {
 			r.listedAt = now
 		}
-		if now.Sub(r.listedAt) >= forgetAfter {
+		if now.Sub(r.listedAt) >= unlistedRetention {
 			delete(t.records, id)
 		}
 	}
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -8,64 +8,64 @@
 )
 
 var (
-	start = time.Unix(1_800_000_000, 0)
-	life  = Incarnation{Target: "i-1"}
+	start       = time.Unix(1_800_000_000, 0)
+	incarnation = Incarnation{Target: "i-1"}
 )
 
 func at(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 
 func limit(perS float64) Statement { return Statement{Limit: Limit{true, perS}} }
 
-func TestLimitIsHeardAndLifted(t *testing.T) {
+func TestLimitIsRecordedAndLifted(t *testing.T) {
 	x := NewTable()
-	assert.Assert(t, x.Record(at(10), life, limit(5), at(0)).Limit)
-	assert.Assert(t, !x.Record(at(20), life, limit(5), at(15)).Limit, "nothing new")
-	assert.Assert(t, x.Record(at(30), life, limit(1), at(0)).Limit, "a lower limit holds at once")
-	assert.Assert(t, x.Record(at(50), life, limit(7), at(40)).Limit)
-	assert.Equal(t, x.StateOf(life), State{Limit: Limit{true, 7}, LimitRevision: 3})
-	assert.Assert(t, x.Record(at(70), life, Statement{}, at(60)).Limit)
-	assert.Equal(t, x.StateOf(life), State{LimitRevision: 4})
+	assert.Assert(t, x.Record(at(10), incarnation, limit(5), at(0)).Limit)
+	assert.Assert(t, !x.Record(at(20), incarnation, limit(5), at(15)).Limit, "nothing new")
+	assert.Assert(t, x.Record(at(30), incarnation, limit(1), at(0)).Limit, "a lower limit holds at once")
+	assert.Assert(t, x.Record(at(50), incarnation, limit(7), at(40)).Limit)
+	assert.Equal(t, x.StateOf(incarnation), State{Limit: Limit{true, 7}, LimitRevision: 3})
+	assert.Assert(t, x.Record(at(70), incarnation, Statement{}, at(60)).Limit)
+	assert.Equal(t, x.StateOf(incarnation), State{LimitRevision: 4})
 }
 
-func TestAnswerToAnEarlierRequestDoesNotLiftALimit(t *testing.T) {
+func TestResponseToEarlierRequestDoesNotLiftLimit(t *testing.T) {
 	x := NewTable()
-	x.Record(at(10), life, limit(1), at(0))
-	assert.Assert(t, !x.Record(at(900), life, Statement{}, at(5)).Limit)
-	assert.Assert(t, !x.Record(at(901), life, limit(9), at(10)).Limit)
-	assert.Equal(t, x.StateOf(life).Limit, Limit{true, 1})
+	x.Record(at(10), incarnation, limit(1), at(0))
+	assert.Assert(t, !x.Record(at(900), incarnation, Statement{}, at(5)).Limit)
+	assert.Assert(t, !x.Record(at(901), incarnation, limit(9), at(10)).Limit)
+	assert.Equal(t, x.StateOf(incarnation).Limit, Limit{true, 1})
 }
 
 func TestUnreadableLimitChangesNothing(t *testing.T) {
 	x := NewTable()
-	x.Record(at(10), life, limit(1), at(0))
-	assert.Equal(t, x.Record(at(30), life, Statement{LimitUnreadable: true}, at(20)), Change{Unreadable: true})
-	assert.Equal(t, x.Record(at(40), life, Statement{LimitUnreadable: true}, at(35)), Change{}, "told of once")
-	assert.Assert(t, x.Record(at(60), life, Statement{Limit: Limit{true, 0.5}, LimitUnreadable: true}, at(50)).Limit, "one of two is readable")
+	x.Record(at(10), incarnation, limit(1), at(0))
+	assert.Equal(t, x.Record(at(30), incarnation, Statement{LimitUnreadable: true}, at(20)), Change{Unreadable: true})
+	assert.Equal(t, x.Record(at(40), incarnation, Statement{LimitUnreadable: true}, at(35)), Change{}, "told of once")
+	assert.Assert(t, x.Record(at(60), incarnation, Statement{Limit: Limit{true, 0.5}, LimitUnreadable: true}, at(50)).Limit, "one of two is readable")
 }
 
-func TestNewerBeliefGoesBeforeAnOlder(t *testing.T) {
+func TestNewerStateSupersedesOlder(t *testing.T) {
 	a, b := NewTable(), NewTable()
-	a.Record(at(10), life, limit(1), at(0))
+	a.Record(at(10), incarnation, limit(1), at(0))
 	first := a.All()
 	assert.Assert(t, b.Merge(at(20), first[0]).Limit)
-	assert.Assert(t, b.Record(at(40), life, Statement{}, at(30)).Limit)
+	assert.Assert(t, b.Record(at(40), incarnation, Statement{}, at(30)).Limit)
 	assert.Assert(t, !b.Merge(at(50), first[0]).Limit, "told again")
 	assert.Assert(t, a.Merge(at(60), b.All()[0]).Limit)
-	assert.Equal(t, a.StateOf(life), b.StateOf(life))
-	assert.Assert(t, !a.Record(at(70), life, Statement{}, at(65)).Limit)
+	assert.Equal(t, a.StateOf(incarnation), b.StateOf(incarnation))
+	assert.Assert(t, !a.Record(at(70), incarnation, Statement{}, at(65)).Limit)
 }
 
-func TestOfTwoBeliefsOfOneTurnTheStricterHolds(t *testing.T) {
+func TestLowerLimitWinsAtEqualRevision(t *testing.T) {
 	a, b := NewTable(), NewTable()
-	a.Record(at(10), life, limit(1), at(0))
-	b.Record(at(10), life, limit(3), at(0))
+	a.Record(at(10), incarnation, limit(1), at(0))
+	b.Record(at(10), incarnation, limit(3), at(0))
 	assert.Assert(t, b.Merge(at(20), a.All()[0]).Limit)
-	assert.Assert(t, !a.Merge(at(20), Report{life, State{Limit: Limit{true, 3}, LimitRevision: 1}}).Limit)
-	assert.Equal(t, a.StateOf(life), b.StateOf(life))
+	assert.Assert(t, !a.Merge(at(20), Report{incarnation, State{Limit: Limit{true, 3}, LimitRevision: 1}}).Limit)
+	assert.Equal(t, a.StateOf(incarnation), b.StateOf(incarnation))
 }
 
-// What an earlier life said says nothing of a later one, also if it comes late.
-func TestBeliefEndsWithTheLife(t *testing.T) {
+// State of an earlier incarnation does not apply to a later one, even if it arrives late.
+func TestStateEndsWithTheIncarnation(t *testing.T) {
 	first, second := Incarnation{"i-1", 1000}, Incarnation{"i-1", 2000}
 	x := NewTable()
 	x.Record(at(10), first, limit(1), at(0))
@@ -77,19 +77,20 @@
 	assert.Equal(t, x.StateOf(first), State{})
 }
 
-func TestTargetThatLapsedIsRememberedForAWhile(t *testing.T) {
+func TestUnlistedTargetIsRetained(t *testing.T) {
 	x := NewTable()
-	x.Record(at(0), life, limit(1), at(0))
+	x.Record(at(0), incarnation, limit(1), at(0))
 	all, none := func(string) bool { return true }, func(string) bool { return false }
 	x.Prune(at(10), all)
 	x.Prune(at(5000), none)
-	assert.Assert(t, x.StateOf(life).Limit.Declared)
-	x.Prune(at(10).Add(forgetAfter), none)
-	assert.Equal(t, x.StateOf(life), State{})
+	assert.Assert(t, x.StateOf(incarnation).Limit.Declared)
+	x.Prune(at(10).Add(unlistedRetention), none)
+	assert.Equal(t, x.StateOf(incarnation), State{})
 }
 
-// Within one life no later answer, and no older belief of another entry, takes it back.
-func TestLeavingIsForGood(t *testing.T) {
+// Within one incarnation, neither a later response nor an older state of another entry clears
+// the flag.
+func TestLeavingIsPermanent(t *testing.T) {
 	first, second := Incarnation{"i-1", 1000}, Incarnation{"i-1", 2000}
 	x, other := NewTable(), NewTable()
 	other.Record(at(5), first, limit(3), at(0))
@@ -102,8 +103,8 @@
 	assert.Assert(t, !x.StateOf(second).Leaving, "the next life serves")
 }
 
-func TestTargetThatSaysNothingIsNotKept(t *testing.T) {
+func TestTargetWithoutStatementsIsNotRecorded(t *testing.T) {
 	x := NewTable()
-	assert.Equal(t, x.Record(at(10), life, Statement{}, at(0)), Change{})
+	assert.Equal(t, x.Record(at(10), incarnation, Statement{}, at(0)), Change{})
 	assert.Equal(t, len(x.records), 0)
 }
--- a/notice/rest.go
+++ b/notice/rest.go
@@ -2,50 +2,51 @@
 
 import "time"
 
-// trialTimeout is how long the first request after a rest stays the only one: an answer
-// takes less at a target that serves.
-const trialTimeout = 500 * time.Millisecond
-
-// Backoff is a time in which a target wants no request of this entry. Other entries are not
-// told: it is between the two. After it one request is tried, and the others follow once
-// that is answered: all at once would be turned away together.
+// probeTimeout is how long the first request after a back-off remains the only one. A target
+// that serves answers sooner.
+const probeTimeout = 500 * time.Millisecond
+
+// Backoff is a period in which a target wants no requests from this entry. It is not reported
+// to other entries, since it concerns this one only. After it a single request is sent as a
+// probe, and others follow once it has been answered: sent together, all would be refused
+// again.
 type Backoff struct {
-	until   time.Time
-	untried bool      // no request sent after it has been answered
-	triedAt time.Time // when the last one was sent to try it
+	until       time.Time
+	unconfirmed bool      // no request sent after the back-off has been answered
+	probedAt    time.Time // when the latest probe was sent
 }
 
-// hear takes an answer to a request that was sent at a time, in which the target asks for
-// rest, or does not. It reports whether a rest begins.
-func (r *Backoff) hear(now time.Time, rest time.Duration, sent time.Time) bool {
-	if rest <= 0 {
-		r.untried = r.untried && sent.Before(r.until)
+// record applies the response to a request sent at the given time, in which the target asks for
+// a back-off or not. It reports whether a back-off begins.
+func (b *Backoff) record(now time.Time, duration time.Duration, sent time.Time) bool {
+	if duration <= 0 {
+		b.unconfirmed = b.unconfirmed && sent.Before(b.until)
 		return false
 	}
-	begins := !r.ongoing(now)
-	if until := now.Add(rest); until.After(r.until) {
-		r.until = until
+	begins := !b.ongoing(now)
+	if until := now.Add(duration); until.After(b.until) {
+		b.until = until
 	}
-	r.untried = true
+	b.unconfirmed = true
 	return begins
 }
 
-func (r Backoff) ongoing(now time.Time) bool { return now.Before(r.until) }
+func (b Backoff) ongoing(now time.Time) bool { return now.Before(b.until) }
 
-// Next returns when a request may be sent; not after now if it may at once.
-func (r Backoff) Next(now time.Time) time.Time {
-	if r.ongoing(now) || !r.untried || r.triedAt.Before(r.until) {
-		return r.until
+// Next returns when the next request may be sent; a time that is not after now means at once.
+func (b Backoff) Next(now time.Time) time.Time {
+	if b.ongoing(now) || !b.unconfirmed || b.probedAt.Before(b.until) {
+		return b.until
 	}
-	return r.triedAt.Add(trialTimeout)
+	return b.probedAt.Add(probeTimeout)
 }
 
-// try notes that a request is sent.
-func (r *Backoff) try(now time.Time) {
-	if r.untried {
-		r.triedAt = now
+// recordSend records that a request is sent.
+func (b *Backoff) recordSend(now time.Time) {
+	if b.unconfirmed {
+		b.probedAt = now
 	}
 }
 
-// untry takes back that one was sent.
-func (r *Backoff) untry() { r.triedAt = time.Time{} }
+// cancelSend undoes recordSend.
+func (b *Backoff) cancelSend() { b.probedAt = time.Time{} }
