--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -19,8 +19,8 @@
 func TestLimitIsRecordedAndLifted(t *testing.T) {
 	x := NewTable()
 	assert.Assert(t, x.Record(at(10), incarnation, limit(5), at(0)).Limit)
-	assert.Assert(t, !x.Record(at(20), incarnation, limit(5), at(15)).Limit, "nothing new")
-	assert.Assert(t, x.Record(at(30), incarnation, limit(1), at(0)).Limit, "a lower limit holds at once")
+	assert.Assert(t, !x.Record(at(20), incarnation, limit(5), at(15)).Limit, "the limit is unchanged")
+	assert.Assert(t, x.Record(at(30), incarnation, limit(1), at(0)).Limit, "a lower limit applies at once")
 	assert.Assert(t, x.Record(at(50), incarnation, limit(7), at(40)).Limit)
 	assert.Equal(t, x.StateOf(incarnation), State{Limit: Limit{true, 7}, LimitRevision: 3})
 	assert.Assert(t, x.Record(at(70), incarnation, Statement{}, at(60)).Limit)
@@ -39,8 +39,8 @@
 	x := NewTable()
 	x.Record(at(10), incarnation, limit(1), at(0))
 	assert.Equal(t, x.Record(at(30), incarnation, Statement{LimitUnreadable: true}, at(20)), Change{Unreadable: true})
-	assert.Equal(t, x.Record(at(40), incarnation, Statement{LimitUnreadable: true}, at(35)), Change{}, "told of once")
-	assert.Assert(t, x.Record(at(60), incarnation, Statement{Limit: Limit{true, 0.5}, LimitUnreadable: true}, at(50)).Limit, "one of two is readable")
+	assert.Equal(t, x.Record(at(40), incarnation, Statement{LimitUnreadable: true}, at(35)), Change{}, "reported once per incarnation")
+	assert.Assert(t, x.Record(at(60), incarnation, Statement{Limit: Limit{true, 0.5}, LimitUnreadable: true}, at(50)).Limit, "one of two limits could be parsed")
 }
 
 func TestNewerStateSupersedesOlder(t *testing.T) {
@@ -49,7 +49,7 @@
 	first := a.All()
 	assert.Assert(t, b.Merge(at(20), first[0]).Limit)
 	assert.Assert(t, b.Record(at(40), incarnation, Statement{}, at(30)).Limit)
-	assert.Assert(t, !b.Merge(at(50), first[0]).Limit, "told again")
+	assert.Assert(t, !b.Merge(at(50), first[0]).Limit, "older report received again")
 	assert.Assert(t, a.Merge(at(60), b.All()[0]).Limit)
 	assert.Equal(t, a.StateOf(incarnation), b.StateOf(incarnation))
 	assert.Assert(t, !a.Record(at(70), incarnation, Statement{}, at(65)).Limit)
@@ -100,7 +100,7 @@
 	assert.Equal(t, x.StateOf(first), State{Limit: Limit{true, 3}, LimitRevision: 1, Leaving: true})
 	assert.Assert(t, other.Merge(at(50), x.All()[0]).Leaving)
 	assert.Equal(t, other.StateOf(first), x.StateOf(first))
-	assert.Assert(t, !x.StateOf(second).Leaving, "the next life serves")
+	assert.Assert(t, !x.StateOf(second).Leaving, "the next incarnation serves")
 }
 
 func TestTargetWithoutStatementsIsNotRecorded(t *testing.T) {
--- a/notice/rest_test.go
+++ b/notice/rest_test.go
@@ -16,11 +16,11 @@
 	x := NewTable()
 	assert.Assert(t, x.canSendAt(0))
 	assert.Assert(t, x.Record(at(10), incarnation, backoff(3000), at(0)).Backoff)
-	assert.Assert(t, !x.Record(at(20), incarnation, backoff(1000), at(0)).Backoff, "a shorter one does not end it sooner")
+	assert.Assert(t, !x.Record(at(20), incarnation, backoff(1000), at(0)).Backoff, "a shorter back-off must not end the current one")
 	x.Record(at(30), incarnation, Statement{}, at(5))
 	assert.Assert(t, !x.canSendAt(3009))
 	assert.Assert(t, x.canSendAt(3010))
-	assert.Equal(t, x.StateOf(incarnation), State{}, "it is not told to others")
+	assert.Equal(t, x.StateOf(incarnation), State{}, "a back-off is not reported to other entries")
 }
 
 func TestSingleProbeAfterBackoff(t *testing.T) {
@@ -29,7 +29,7 @@
 	x.RecordSend(at(1000), incarnation)
 	assert.Assert(t, !x.canSendAt(1001))
 	x.Record(at(1050), incarnation, Statement{}, at(900))
-	assert.Assert(t, !x.canSendAt(1051), "an answer to one sent before")
+	assert.Assert(t, !x.canSendAt(1051), "response to a request sent before the probe")
 	x.Record(at(1100), incarnation, Statement{}, at(1000))
 	assert.Assert(t, x.canSendAt(1101))
 	x.RecordSend(at(1101), incarnation)
