--- a/fleet/announcement.go
+++ b/fleet/announcement.go
@@ -10,9 +10,9 @@
 	Guessed bool
 }
 
-// TellsMore reports whether a tells more than old does: one that was seen goes before
+// Supersedes reports whether a tells more than old does: one that was seen goes before
 // one that is guessed, and of two of a kind the earlier one.
-func (a Announcement) TellsMore(old Announcement) bool {
+func (a Announcement) Supersedes(old Announcement) bool {
 	if a.Guessed != old.Guessed {
 		return old.Guessed
 	}
--- a/gateway/announced.go
+++ b/gateway/announced.go
@@ -71,7 +71,7 @@
 	for _, newest := range c.assignments {
 		for a := newest; a != nil && a.assigned; a = a.before {
 			old := a.seen()
-			if a.model.Model != v.Model || a.version != v.Version || !told.TellsMore(old) {
+			if a.model.Model != v.Model || a.version != v.Version || !told.Supersedes(old) {
 				continue
 			}
 			if old.Guessed || old.At.Sub(told.At) >= redateSlack {
