--- a/gateway/announced.go
+++ b/gateway/announced.go
@@ -14,14 +14,14 @@
 // store, in which no time counts; others tell it what they saw meanwhile.
 func dateOf(now time.Time, announced bool, timeout time.Duration) fleet.Announcement {
 	if !announced {
-		return fleet.Announcement{At: now.Add(-timeout), Guessed: true}
+		return fleet.Announcement{At: now.Add(-timeout), Estimated: true}
 	}
 	return fleet.Announcement{At: now}
 }
 
 // seen returns when the version was named, as far as this process knows.
 func (a *assignment) seen() fleet.Announcement {
-	return fleet.Announcement{At: a.since, Guessed: a.guessed}
+	return fleet.Announcement{At: a.since, Estimated: a.guessed}
 }
 
 // Announced implements mesh.Listener. Guesses are not told: others may know better,
@@ -74,8 +74,8 @@
 			if a.model.Model != v.Model || a.version != v.Version || !told.Supersedes(old) {
 				continue
 			}
-			if old.Guessed || old.At.Sub(told.At) >= redateSlack {
-				a.since, a.guessed, changed = told.At, told.Guessed, true
+			if old.Estimated || old.At.Sub(told.At) >= redateSlack {
+				a.since, a.guessed, changed = told.At, told.Estimated, true
 			}
 		}
 	}
@@ -103,7 +103,7 @@
 		if a.before != nil && a.before.assigned && a.before.version == v.Version {
 			continue
 		}
-		a.before = &assignment{model: newest.model, version: v.Version, since: told.At, guessed: told.Guessed, assigned: true, before: a.before}
+		a.before = &assignment{model: newest.model, version: v.Version, since: told.At, guessed: told.Estimated, assigned: true, before: a.before}
 		missed = true
 	}
 	if missed {
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -197,12 +197,12 @@
 	seen := dateOf(now, announced, c.cfg.VersionTimeout)
 	c.versionRev[i.Key] = i.Revision
 	c.log.WithFields(logrus.Fields{"model": v.Model, "version": v.Version, "revision": i.Revision,
-		"age_ms": now.Sub(seen.At).Milliseconds(), "guessed": seen.Guessed}).Info("Version wanted.")
+		"age_ms": now.Sub(seen.At).Milliseconds(), "guessed": seen.Estimated}).Info("Version wanted.")
 	c.book.SetVersion(v, seen.At)
 	c.hold(ctx, v, announced)
 	for name, s := range cfg.Services {
 		if s.Engine != nil && s.Engine.Model == v.Model {
-			c.want(name, s.Engine, v.Version, seen.At, !seen.Guessed)
+			c.want(name, s.Engine, v.Version, seen.At, !seen.Estimated)
 		}
 	}
 }
--- a/sidecar/wanted.go
+++ b/sidecar/wanted.go
@@ -26,7 +26,7 @@
 
 // tellsMore reports whether w tells more of a version's announcement than old.
 func (w wanted) tellsMore(old wanted) bool {
-	return fleet.Announcement{At: w.announced, Guessed: w.guessed}.Supersedes(fleet.Announcement{At: old.announced, Guessed: old.guessed})
+	return fleet.Announcement{At: w.announced, Estimated: w.guessed}.Supersedes(fleet.Announcement{At: old.announced, Estimated: old.guessed})
 }
 
 // order is what the entries told the agent: the newest assignment, and the
