--- a/fleet/config.go
+++ b/fleet/config.go
@@ -46,7 +46,7 @@
 	MaxAttempts int           // targets that one request may be sent to
 	Public      bool          // no API key is needed
 	Resumable   bool          // a stream may go on at another target
-	Homes       []string      // regions whose targets may run it; none is any
+	HomeRegions       []string      // regions whose targets may run it; none is any
 }
 
 // Idempotent reports whether a request of the route may run more than once.
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -108,7 +108,7 @@
 
 // homes are the regions in which the request may run.
 func (x *exchange) homes() residency.HomeRegions {
-	h := residency.HomeRegions{Route: x.route.Homes}
+	h := residency.HomeRegions{Route: x.route.HomeRegions}
 	if x.team != nil {
 		h.Team = x.team.Homes
 	}
