--- a/fleet/config.go
+++ b/fleet/config.go
@@ -93,7 +93,7 @@
 	Name        string
 	Priority    int
 	HasPriority bool     // the team's priority goes before the route's
-	Homes       []string // regions whose targets may run its requests; none is any
+	HomeRegions       []string // regions whose targets may run its requests; none is any
 }
 
 // Limits bound what a caller may send.
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -110,7 +110,7 @@
 func (x *exchange) homes() residency.HomeRegions {
 	h := residency.HomeRegions{Route: x.route.HomeRegions}
 	if x.team != nil {
-		h.Team = x.team.Homes
+		h.Team = x.team.HomeRegions
 	}
 	return h
 }
