--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -43,7 +43,7 @@
 	n = min(max(n, 1), m.Slots)
 	context := float64(m.MeanPrompt+m.MeanAnswer/2) / 1000
 	perSeq := m.StepPerSeq + time.Duration(context*float64(m.StepPerKilo))
-	return time.Duration(m.Stride) * (m.Step + time.Duration(n)*perSeq)
+	return time.Duration(m.StepsPerPass) * (m.Step + time.Duration(n)*perSeq)
 }
 
 // prefillTime returns how long an engine takes to process prompt tokens.
@@ -72,7 +72,7 @@
 // slotInterval returns the mean time between two request completions at a full engine. The
 // prompts of requests that wait for a slot are already counted as pending prefill.
 func slotInterval(m *fleet.EngineModel, pass time.Duration) time.Duration {
-	passes := max(m.MeanAnswer/m.Stride, 1)
+	passes := max(m.MeanAnswer/m.StepsPerPass, 1)
 	return time.Duration(passes) * pass / time.Duration(m.Slots)
 }
 
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -187,7 +187,7 @@
 				s.tally(j).inTime++
 			}
 		}
-		if j.remaining -= s.model.Stride; j.remaining > 0 {
+		if j.remaining -= s.model.StepsPerPass; j.remaining > 0 {
 			running = append(running, j)
 			continue
 		}
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -63,7 +63,7 @@
 	StepPerSeq   time.Duration // added for each sequence in the batch
 	StepPerKilo  time.Duration // added for each 1,000 tokens of context
 	PrefillRate  float64       // prompt tokens read a second
-	Stride       int           // decode steps of one pass
+	StepsPerPass       int           // decode steps of one pass
 	MeanPrompt   int           // tokens
 	MeanAnswer   int           // tokens
 	Layers       int
--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -66,7 +66,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := assigning(&fakeRelay{})
 		engine := *assignModel
-		engine.Slots, engine.Stride, engine.PrefillRate = 8, 1, 1000
+		engine.Slots, engine.StepsPerPass, engine.PrefillRate = 8, 1, 1000
 		services := map[string]*fleet.Service{"svc": {Name: "svc", Engine: &engine}}
 		c.book = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 		c.book.Apply(c.list, services)
@@ -188,7 +188,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := assigning(&fakeRelay{})
 		engine := *assignModel
-		engine.Slots, engine.Stride, engine.PrefillRate = 8, 1, 1000
+		engine.Slots, engine.StepsPerPass, engine.PrefillRate = 8, 1, 1000
 		services := map[string]*fleet.Service{"svc": {Name: "svc", Engine: &engine}}
 		c.book = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 		c.book.Apply(c.list, services)
--- a/gateway/expiry_test.go
+++ b/gateway/expiry_test.go
@@ -25,7 +25,7 @@
 	log.SetOutput(io.Discard)
 	const timeout = time.Hour
 	book := dispatch.NewBalancer(dispatch.Config{VersionTimeout: timeout, VersionMargin: time.Nanosecond}, rand.New(rand.NewPCG(1, 2)))
-	model := &fleet.EngineModel{Model: "m", Slots: 16, Step: time.Millisecond, PrefillRate: 1e6, Stride: 1, MeanPrompt: 100, MeanAnswer: 20, Layers: 1}
+	model := &fleet.EngineModel{Model: "m", Slots: 16, Step: time.Millisecond, PrefillRate: 1e6, StepsPerPass: 1, MeanPrompt: 100, MeanAnswer: 20, Layers: 1}
 	var list []*fleet.Instance
 	for i, x := range engines {
 		list = append(list, &fleet.Instance{ID: fmt.Sprintf("i-%d", i), Service: "s", Addr: x.addr(), Domain: fmt.Sprint(i), Slots: 16,
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -197,7 +197,7 @@
 			id = candidate
 		}
 	}
-	model := &fleet.EngineModel{Model: "m", Slots: 1, Step: 10 * time.Millisecond, PrefillRate: 1000, Stride: 1, MeanAnswer: 100, Layers: 1}
+	model := &fleet.EngineModel{Model: "m", Slots: 1, Step: 10 * time.Millisecond, PrefillRate: 1000, StepsPerPass: 1, MeanAnswer: 100, Layers: 1}
 	instance := &fleet.Instance{ID: id, Service: "s", Domain: "a", Models: []fleet.ModelVersion{{Model: "m", Version: 1, Layers: 1}}}
 	services := map[string]*fleet.Service{"s": {Name: "s", Engine: model}}
 	for _, n := range []*node{a, b} {
