--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -18,7 +18,7 @@
 // per second.
 func engineModel() *fleet.EngineModel {
 	return &fleet.EngineModel{Model: "m", Slots: 16, Step: 8870 * time.Microsecond, StepPerSeq: 39 * time.Microsecond,
-		StepPerKilo: 23 * time.Microsecond, PrefillRate: 19100, StepsPerPass: 5, MeanPrompt: 977, MeanAnswer: 94, Layers: 16}
+		StepPer1kTokens: 23 * time.Microsecond, PrefillRate: 19100, StepsPerPass: 5, MeanPrompt: 977, MeanAnswer: 94, Layers: 16}
 }
 
 func engine(i, version int) *fleet.Instance {
--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -42,7 +42,7 @@
 func passTime(m *fleet.EngineModel, n int) time.Duration {
 	n = min(max(n, 1), m.Slots)
 	context := float64(m.MeanPrompt+m.MeanAnswer/2) / 1000
-	perSeq := m.StepPerSeq + time.Duration(context*float64(m.StepPerKilo))
+	perSeq := m.StepPerSeq + time.Duration(context*float64(m.StepPer1kTokens))
 	return time.Duration(m.StepsPerPass) * (m.Step + time.Duration(n)*perSeq)
 }
 
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -61,7 +61,7 @@
 	Slots        int           // requests that are decoded together
 	Step         time.Duration // one token for an empty batch
 	StepPerSeq   time.Duration // added for each sequence in the batch
-	StepPerKilo  time.Duration // added for each 1,000 tokens of context
+	StepPer1kTokens  time.Duration // added for each 1,000 tokens of context
 	PrefillRate  float64       // prompt tokens read a second
 	StepsPerPass       int           // decode steps of one pass
 	MeanPrompt   int           // tokens
