--- a/command/gateway.go
+++ b/command/gateway.go
@@ -129,7 +129,7 @@
 
 func (e *entryProcess) origin() *fleet.Origin {
 	if c := e.gateway.Config(); c != nil {
-		return c.OriginOf()
+		return c.FirstOrigin()
 	}
 	return nil
 }
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -151,8 +151,8 @@
 	return nil, r.Public || !c.hasTeams
 }
 
-// OriginOf returns the first origin of weights, or nil.
-func (c *Config) OriginOf() *Origin {
+// FirstOrigin returns the first origin of weights, or nil.
+func (c *Config) FirstOrigin() *Origin {
 	var first *Service
 	for _, s := range c.Services {
 		if s.Origin != nil && (first == nil || s.Name < first.Name) {
