--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -93,7 +93,7 @@
 // versions, load and failures, nor what its agent reported before.
 func TestStateIsNotKeptAcrossIncarnations(t *testing.T) {
 	first, second, other := engine(1, 1), engine(1, 0), engine(2, 1)
-	first.Born, second.Born = 1000, 2000
+	first.StartMs, second.StartMs = 1000, 2000
 	b := newTestBalancer(engineModel(), Config{}, first)
 	b.SetState(first.Addr, EngineState{Version: 1, StartMs: 1000})
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5, PendingPrefill: 3000}})
@@ -115,7 +115,7 @@
 // Targets that do not report their start time are identified by their ID alone.
 func TestUnknownStartTimeMatchesAnyIncarnation(t *testing.T) {
 	first, second := engine(1, 1), engine(1, 1)
-	second.Born = 2000
+	second.StartMs = 2000
 	b := newTestBalancer(engineModel(), Config{}, first)
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5}})
 	b.Apply([]*fleet.Instance{second}, map[string]*fleet.Service{testService: {Name: testService, Engine: engineModel()}})
--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -46,7 +46,7 @@
 
 func TestNextIncarnationOfLeavingTargetServes(t *testing.T) {
 	first, second := plain(1), plain(1)
-	first.Born, second.Born = 1000, 2000
+	first.StartMs, second.StartMs = 1000, 2000
 	b := newTestBalancer(nil, Config{}, first)
 	recordLeaving(b, first)
 	b.Apply([]*fleet.Instance{second}, map[string]*fleet.Service{testService: {Name: testService}})
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -154,7 +154,7 @@
 // A limit does not apply to the next incarnation of a target with the same ID.
 func TestLimitEndsWithTheIncarnation(t *testing.T) {
 	first, second := plain(1), plain(1)
-	first.Born, second.Born = 1000, 2000
+	first.StartMs, second.StartMs = 1000, 2000
 	b := newTestBalancer(nil, Config{}, first)
 	b.RecordStatement(start, *first, limit(1), start)
 	b.Apply([]*fleet.Instance{second}, map[string]*fleet.Service{testService: {Name: testService}})
--- a/dispatch/pick.go
+++ b/dispatch/pick.go
@@ -176,7 +176,7 @@
 // serving returns the version that an engine has fully loaded and whether it is loading one, as
 // reported by its agent or else by the list.
 func (b *Balancer) serving(t *Target) (version int, loading bool) {
-	if s, reported := b.states[t.Addr]; reported && (s.StartMs >= t.Born || s.StartMs == 0) { // otherwise the report is of an earlier incarnation
+	if s, reported := b.states[t.Addr]; reported && (s.StartMs >= t.StartMs || s.StartMs == 0) { // otherwise the report is of an earlier incarnation
 		return s.Version, s.Loading
 	}
 	return t.Holds(t.model), false
--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -12,9 +12,9 @@
 // Instance is one incarnation of a target.
 type Instance struct {
 	ID string
-	// Born is the Unix time of its start in milliseconds; 0 if not known. A target
+	// StartMs is the Unix time of its start in milliseconds; 0 if not known. A target
 	// may start again under its ID: it then knows nothing of before.
-	Born     int64
+	StartMs     int64
 	Service  string
 	Addr     string
 	Domain   string
--- a/gateway/endings.go
+++ b/gateway/endings.go
@@ -32,7 +32,7 @@
 )
 
 // lifeOf returns the name of a target's life.
-func lifeOf(i fleet.Instance) quarantine.Life { return quarantine.Life{Target: i.ID, Born: i.Born} }
+func lifeOf(i fleet.Instance) quarantine.Life { return quarantine.Life{Target: i.ID, Born: i.StartMs} }
 
 // ending is a target's life at which connections broke.
 type ending struct {
@@ -147,7 +147,7 @@
 	}
 	for _, i := range list {
 		for life, x := range e.lives {
-			same := i.ID == life.Target && fleet.SameLife(i.Born, life.Born)
+			same := i.ID == life.Target && fleet.SameLife(i.StartMs, life.Born)
 			if !same && (i.ID == life.Target || i.Addr == x.target.Addr) && i.Revision > x.target.Revision {
 				e.end(x, "another life is listed")
 			}
@@ -162,7 +162,7 @@
 	}
 	x.over = true
 	t := x.target
-	e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.Born, "how": how, "lost": len(x.lost)}).Warn("Target ended under its requests.")
+	e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.StartMs, "how": how, "lost": len(x.lost)}).Warn("Target ended under its requests.")
 	e.report(x)
 }
 
@@ -188,7 +188,7 @@
 	delete(e.lives, life)
 	if x.over {
 		e.table.RetractCrash(life)
-		e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.Born}).Warn("Target has not ended after all.")
+		e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.StartMs}).Warn("Target has not ended after all.")
 	}
 }
 
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -206,7 +206,7 @@
 	assert.Assert(t, targets[2].count() > 0)
 	var next []*fleet.Instance
 	for i, x := range targets {
-		next = append(next, &fleet.Instance{ID: fmt.Sprintf("i-%d", i), Born: 7, Service: "s", Addr: x.addr(), Slots: 100, Revision: 9})
+		next = append(next, &fleet.Instance{ID: fmt.Sprintf("i-%d", i), StartMs: 7, Service: "s", Addr: x.addr(), Slots: 100, Revision: 9})
 	}
 	f.gateway.endings.listed(next)
 	assert.Equal(t, f.call(http.MethodPost, "/unsafe/x", "the one").status, http.StatusBadGateway, "the life before has no known birth")
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -43,7 +43,7 @@
 }
 
 // IncarnationOf returns the identifier of an instance's incarnation.
-func IncarnationOf(i *fleet.Instance) Incarnation { return Incarnation{i.ID, i.Born} }
+func IncarnationOf(i *fleet.Instance) Incarnation { return Incarnation{i.ID, i.StartMs} }
 
 // State is the declared state of one incarnation of a target.
 type State struct {
