--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -20,7 +20,7 @@
 	Domain   string
 	Slots    int
 	Revision int64 // of its entry in the list
-	Beat     int64 // heartbeat that wrote the entry, counted from its start
+	HeartbeatSeq     int64 // heartbeat that wrote the entry, counted from its start
 	Draining bool
 	Doubtful bool // its entry vanished from the list a moment ago
 	// ColdFor is how long it stays cold after its entry was written, ColdUntil when it is
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -269,7 +269,7 @@
 	}
 	inst.ColdUntil = clock.Now().Add(inst.ColdFor)
 	c.log.WithFields(logrus.Fields{"target": inst.ID, "service": inst.Service, "addr": inst.Addr, "draining": inst.Draining,
-		"models": inst.Models, "revision": i.Revision, "beat": inst.Beat, "born": inst.StartMs, "copy": c.copyRevision}).Info("Target listed.")
+		"models": inst.Models, "revision": i.Revision, "beat": inst.HeartbeatSeq, "born": inst.StartMs, "copy": c.copyRevision}).Info("Target listed.")
 	return decodedInstance{i.Revision, inst}
 }
 
