--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -232,5 +232,5 @@
 func (b *Balancer) Serving(t *Target) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.byID[t.ID] == t && !b.leaving(t) && !t.Doubtful
+	return b.byID[t.ID] == t && !b.leaving(t) && !t.Unlisted
 }
--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -296,7 +296,7 @@
 
 func TestUnlistedTargetIsTheLastResort(t *testing.T) {
 	doubtful := plain(1)
-	doubtful.Doubtful = true
+	doubtful.Unlisted = true
 	b := newTestBalancer(nil, Config{}, doubtful, plain(2))
 	for range 5 {
 		assert.Equal(t, picked(b, start), "p-2")
--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -21,7 +21,7 @@
 	b := newTestBalancer(nil, Config{}, plain(1), plain(2))
 	recordLeaving(b, plain(1))
 	older, newer, doubtful := plain(1), plain(1), plain(1)
-	newer.Revision, doubtful.Doubtful = 99, true
+	newer.Revision, doubtful.Unlisted = 99, true
 	for _, i := range []*fleet.Instance{older, newer, doubtful} {
 		b.Apply([]*fleet.Instance{i, plain(2)}, services)
 		b.UpdateNotices(start)
--- a/dispatch/pick.go
+++ b/dispatch/pick.go
@@ -75,7 +75,7 @@
 			freeAt = earliest(freeAt, at)
 			continue
 		}
-		c := candidate{Choice: Choice{Target: t, Instance: t.Instance, EntryRevision: t.Revision, Unlisted: t.Doubtful, Forecast: b.forecast(t, d), Load: t.load,
+		c := candidate{Choice: Choice{Target: t, Instance: t.Instance, EntryRevision: t.Revision, Unlisted: t.Unlisted, Forecast: b.forecast(t, d), Load: t.load,
 			Limit: state.Limit, Paced: r.bounded}}
 		c.cost = c.Forecast.FirstEvent
 		if t.Domain != d.Domain && !b.cfg.Off.Has(mechanism.RemoteCost) {
@@ -117,7 +117,7 @@
 // otherwise attract more requests than all others.
 func (t *Target) lastResort(now time.Time) bool {
 	h := &t.health
-	if t.Doubtful || h.ejected(now) || h.silent(now, t.silenceLimit()) {
+	if t.Unlisted || h.ejected(now) || h.silent(now, t.silenceLimit()) {
 		return true
 	}
 	if len(t.responsiveTo) > 0 {
--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -22,7 +22,7 @@
 	Revision int64 // of its entry in the list
 	HeartbeatSeq     int64 // heartbeat that wrote the entry, counted from its start
 	Draining bool
-	Doubtful bool // its entry vanished from the list a moment ago
+	Unlisted bool // its entry vanished from the list a moment ago
 	// ColdFor is how long it stays cold after its entry was written, ColdUntil when it is
 	// warm by the clock of this process.
 	ColdFor   time.Duration
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -54,7 +54,7 @@
 			continue
 		}
 		kept := *old
-		kept.Doubtful = true
+		kept.Unlisted = true
 		listed[id] = &kept
 		vanished[id] = listable
 		out = append(out, &kept)
--- a/gateway/roster_test.go
+++ b/gateway/roster_test.go
@@ -24,7 +24,7 @@
 func state(list []*fleet.Instance) map[string]bool {
 	out := map[string]bool{}
 	for _, i := range list {
-		out[i.ID] = i.Doubtful
+		out[i.ID] = i.Unlisted
 	}
 	return out
 }
