--- a/dispatch/pick.go
+++ b/dispatch/pick.go
@@ -179,7 +179,7 @@
 	if s, reported := b.states[t.Addr]; reported && (s.StartMs >= t.StartMs || s.StartMs == 0) { // otherwise the report is of an earlier incarnation
 		return s.Version, s.Loading
 	}
-	return t.Holds(t.model), false
+	return t.LoadedVersion(t.model), false
 }
 
 // servesUntil returns when the version that a target serves expires; zero if no newer version
--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -33,9 +33,9 @@
 // SameLife reports whether two accounts of a target may be of one life of it.
 func SameLife(born, other int64) bool { return born == other || born == 0 || other == 0 }
 
-// Holds returns the version of m's model that the instance holds with all its
+// LoadedVersion returns the version of m's model that the instance holds with all its
 // layers, or zero.
-func (i *Instance) Holds(m *EngineModel) int {
+func (i *Instance) LoadedVersion(m *EngineModel) int {
 	best := 0
 	for _, v := range i.Models {
 		if v.Model == m.Model && v.Layers >= m.Layers && v.Version > best {
--- a/gateway/assign.go
+++ b/gateway/assign.go
@@ -115,7 +115,7 @@
 		version := 1
 		for _, i := range c.list {
 			if i.Service == name {
-				version = max(version, i.Holds(s.Engine))
+				version = max(version, i.LoadedVersion(s.Engine))
 			}
 		}
 		if old := c.assignments[name]; old == nil || old.version < version {
--- a/sidecar/plan.go
+++ b/sidecar/plan.go
@@ -22,7 +22,7 @@
 // serves returns the version that the engine holds whole, or zero.
 func (r Report) serves(model string, layers int) int {
 	i := fleet.Instance{Models: r.Models}
-	return i.Holds(&fleet.EngineModel{Model: model, Layers: layers})
+	return i.LoadedVersion(&fleet.EngineModel{Model: model, Layers: layers})
 }
 
 // Action is what a sidecar does next.
