--- a/dispatch/book.go
+++ b/dispatch/book.go
@@ -70,7 +70,7 @@
 	addrs := make(map[string]bool, len(instances))
 	for _, i := range instances {
 		t := b.byID[i.ID]
-		isNew := t == nil || !fleet.SameLife(t.StartMs, i.StartMs)
+		isNew := t == nil || !fleet.SameIncarnation(t.StartMs, i.StartMs)
 		if isNew {
 			t = &Target{entryLoads: map[string]Load{}, responsiveTo: map[string]bool{}}
 		}
--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -42,7 +42,7 @@
 // applyLimitChange applies a changed limit of a target. The caller holds the lock.
 func (b *Balancer) applyLimitChange(now time.Time, l notice.Incarnation, before notice.Limit) {
 	t := b.byID[l.Target]
-	if t != nil && fleet.SameLife(t.StartMs, l.StartMs) && !before.Declared {
+	if t != nil && fleet.SameIncarnation(t.StartMs, l.StartMs) && !before.Declared {
 		t.pace.exhaust(now, t.rate(now, b.stateOf(t).Limit), 0)
 	}
 	b.notifyChanged()
--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -30,8 +30,8 @@
 	Models    []ModelVersion
 }
 
-// SameLife reports whether two accounts of a target may be of one life of it.
-func SameLife(born, other int64) bool { return born == other || born == 0 || other == 0 }
+// SameIncarnation reports whether two accounts of a target may be of one life of it.
+func SameIncarnation(born, other int64) bool { return born == other || born == 0 || other == 0 }
 
 // LoadedVersion returns the version of m's model that the instance holds with all its
 // layers, or zero.
--- a/gateway/endings.go
+++ b/gateway/endings.go
@@ -147,7 +147,7 @@
 	}
 	for _, i := range list {
 		for life, x := range e.lives {
-			same := i.ID == life.Target && fleet.SameLife(i.StartMs, life.Born)
+			same := i.ID == life.Target && fleet.SameIncarnation(i.StartMs, life.Born)
 			if !same && (i.ID == life.Target || i.Addr == x.target.Addr) && i.Revision > x.target.Revision {
 				e.end(x, "another life is listed")
 			}
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -93,10 +93,10 @@
 func (t *Table) recordOf(now time.Time, inc Incarnation) *record {
 	r := t.records[inc.Target]
 	switch {
-	case r == nil, !fleet.SameLife(r.startMs, inc.StartMs) && inc.StartMs > r.startMs:
+	case r == nil, !fleet.SameIncarnation(r.startMs, inc.StartMs) && inc.StartMs > r.startMs:
 		r = &record{startMs: inc.StartMs, listedAt: now}
 		t.records[inc.Target] = r
-	case !fleet.SameLife(r.startMs, inc.StartMs):
+	case !fleet.SameIncarnation(r.startMs, inc.StartMs):
 		return nil
 	}
 	r.startMs = max(r.startMs, inc.StartMs)
@@ -188,7 +188,7 @@
 	if len(t.records) == 0 {
 		return nil
 	}
-	if r := t.records[inc.Target]; r != nil && fleet.SameLife(r.startMs, inc.StartMs) {
+	if r := t.records[inc.Target]; r != nil && fleet.SameIncarnation(r.startMs, inc.StartMs) {
 		return r
 	}
 	return nil
--- a/sidecar/doubt.go
+++ b/sidecar/doubt.go
@@ -101,7 +101,7 @@
 // with the same precondition the engine begins one.
 func (d doubt) settled(now time.Time, model string, r Report, serving int, grace time.Duration) string {
 	switch {
-	case !fleet.SameLife(d.born, r.Born):
+	case !fleet.SameIncarnation(d.born, r.Born):
 		return "engine_restarted"
 	case r.Sequence > d.sequence:
 		return "begun"
@@ -167,7 +167,7 @@
 // that an order with the precondition 0 that is still on its way fits once more.
 // What is staged whole is then loaded first, which ends that.
 func (s *Sidecar) revive(now time.Time, r Report) {
-	reborn := !fleet.SameLife(s.born, r.Born)
+	reborn := !fleet.SameIncarnation(s.born, r.Born)
 	restarted := !s.up || reborn || r.Sequence < s.sequence
 	s.sequence, s.born = r.Sequence, r.Born
 	if reborn {
