--- a/fleet/announcement.go
+++ b/fleet/announcement.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Announcement is when a process holds the operators to have named something.
+// Announcement is when the operators announced something, as known to this process.
 type Announcement struct {
 	At time.Time // by this process's clock
-	// Estimated says that the process was started later: At is then as early as it can
-	// matter. Otherwise somebody saw it then, so that it was named no later than At.
+	// Estimated is set if the process started after the announcement. At is then the earliest
+	// time that can matter. Otherwise the announcement was observed at At, so it was made no
+	// later.
 	Estimated bool
 }
 
-// Supersedes reports whether a tells more than old does: one that was seen goes before
-// one that is guessed, and of two of a kind the earlier one.
+// Supersedes reports whether a is more accurate than old: an observed time takes precedence
+// over an estimate, and of two of the same kind the earlier one.
 func (a Announcement) Supersedes(old Announcement) bool {
 	if a.Estimated != old.Estimated {
 		return old.Estimated
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -1,6 +1,6 @@
-// Package fleet holds the operators' intent as the request path uses it:
-// routes, services, teams, the engines' cost model, and the running instances
-// of targets. It is pure data with lookups; adapters decode into it.
+// Package fleet holds the operators' configuration as the request path uses it: routes,
+// services, teams, the engines' cost model, and the running instances of targets. It consists
+// of data and lookups; adapters decode into it.
 package fleet
 
 import (
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// RouteKind says what may be repeated on a route.
+// RouteKind determines which requests of a route may be repeated.
 type RouteKind uint8
 
 // Kinds of routes.
 const (
-	Unsafe    RouteKind = iota // at most one run for each attempt of a caller
+	Unsafe    RouteKind = iota // at most one execution per attempt of a caller
 	Safe                       // idempotent
 	Streaming                  // an event stream; idempotent only if resumable
 )
@@ -39,14 +39,14 @@
 	Kind   RouteKind
 	Shares []Share // one entry unless the route is split
 
-	Timeout     time.Duration // a final answer is due by then
-	Objective   time.Duration // full credit up to this latency
-	MaxGap      time.Duration // longest pause between events that is on time
-	Priority    int           // 0 is the most urgent
+	Timeout     time.Duration // until the complete response
+	Objective   time.Duration // latency of the first event or response that counts as in time
+	MaxGap      time.Duration // longest gap between events that counts as in time
+	Priority    int           // 0 is the highest
 	MaxAttempts int           // targets that one request may be sent to
-	Public      bool          // no API key is needed
-	Resumable   bool          // a stream may go on at another target
-	HomeRegions       []string      // regions whose targets may run it; none is any
+	Public      bool          // no API key is required
+	Resumable   bool          // a stream may be resumed at another target
+	HomeRegions []string      // regions whose targets may run its requests; empty for all
 }
 
 // Idempotent reports whether a request of the route may run more than once.
@@ -54,49 +54,49 @@
 	return r.Kind == Safe || r.Kind == Streaming && r.Resumable
 }
 
-// EngineModel is the cost model of a model engine, as its operators publish
-// it. All times are for all layers.
+// EngineModel is the cost model of a model engine, as published by its operators. All times are
+// for all layers.
 type EngineModel struct {
-	Model        string
-	Slots        int           // requests that are decoded together
-	Step         time.Duration // one token for an empty batch
-	StepPerSeq   time.Duration // added for each sequence in the batch
-	StepPer1kTokens  time.Duration // added for each 1,000 tokens of context
-	PrefillRate  float64       // prompt tokens read a second
-	StepsPerPass       int           // decode steps of one pass
-	MeanPrompt   int           // tokens
-	MeanAnswer   int           // tokens
-	Layers       int
-	Chunks       int // pieces of the weights
-	ChunkBytes   int
-	LoadDuration time.Duration // from a load order to serving, when idle
+	Model           string
+	Slots           int           // requests decoded concurrently
+	Step            time.Duration // decode step with an empty batch
+	StepPerSeq      time.Duration // added for each sequence in the batch
+	StepPer1kTokens time.Duration // added for each 1,000 tokens of context
+	PrefillRate     float64       // prompt tokens per second
+	StepsPerPass    int           // decode steps per pass
+	MeanPrompt      int           // tokens
+	MeanAnswer      int           // tokens
+	Layers          int
+	Chunks          int // pieces of the weights
+	ChunkBytes      int
+	LoadDuration    time.Duration // from the load order to serving, on an idle engine
 }
 
-// Origin is where weights come from.
+// Origin is the origin server of weights.
 type Origin struct {
 	Addr     string
-	Domain   string // failure domain it stands in
-	MaxConns int    // connections that it accepts from all callers together; 0 if not known
+	Domain   string // failure domain of the origin
+	MaxConns int    // connections accepted from all callers together; 0 if unknown
 }
 
-// Service is a set of equal targets.
+// Service is a set of interchangeable targets.
 type Service struct {
 	Name     string
-	MaxConns int          // connections that one target accepts in all
+	MaxConns int          // connections that one target accepts in total
 	Engine   *EngineModel // nil for plain services
 	Origin   *Origin      // set if the service is the origin of weights
-	ColdRate float64      // requests a second that a cold target bears; 0 for any number
+	ColdRate float64      // requests per second that a cold target can sustain; 0 for no limit
 }
 
 // Team is a paying group of callers.
 type Team struct {
 	Name        string
 	Priority    int
-	HasPriority bool     // the team's priority goes before the route's
-	HomeRegions       []string // regions whose targets may run its requests; none is any
+	HasPriority bool     // the team's priority takes precedence over the route's
+	HomeRegions []string // regions whose targets may run its requests; empty for all
 }
 
-// Limits bound what a caller may send.
+// Limits bound the requests of callers.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -115,8 +115,8 @@
 	routes   map[string][]*Route // by host, longest prefix first
 }
 
-// NewConfig indexes routes and the teams of API keys. teams is nil if the
-// configuration knows no teams.
+// NewConfig indexes routes and teams. teams is keyed by API key and nil if the configuration
+// has no teams.
 func NewConfig(version int64, routes []*Route, services []*Service, teams map[string]*Team, limits Limits) *Config {
 	c := &Config{Version: version, Limits: limits, hasTeams: teams != nil, teams: teams,
 		Services: map[string]*Service{}, routes: map[string][]*Route{}}
@@ -142,8 +142,8 @@
 	return nil
 }
 
-// Authorize returns the team that holds key. The team is nil where none is
-// needed; ok is false if the key is required and unknown.
+// Authorize returns the team with the given API key. The team is nil if the route needs none;
+// ok is false if a key is required and key is unknown.
 func (c *Config) Authorize(r *Route, key string) (team *Team, ok bool) {
 	if t := c.teams[key]; t != nil {
 		return t, true
@@ -151,7 +151,7 @@
 	return nil, r.Public || !c.hasTeams
 }
 
-// FirstOrigin returns the first origin of weights, or nil.
+// FirstOrigin returns the origin of weights whose service name sorts first, or nil.
 func (c *Config) FirstOrigin() *Origin {
 	var first *Service
 	for _, s := range c.Services {
--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -2,39 +2,42 @@
 
 import "time"
 
-// ModelVersion is the weights of a model that an engine holds.
+// ModelVersion identifies the weights of a model that an engine holds. Its field names appear in
+// log records that list an instance's models.
 type ModelVersion struct {
 	Model   string
 	Version int
-	Layers  int // how many layers are held
+	Layers  int // number of layers held
 }
 
 // Instance is one incarnation of a target.
 type Instance struct {
 	ID string
-	// StartMs is the Unix time of its start in milliseconds; 0 if not known. A target
-	// may start again under its ID: it then knows nothing of before.
-	StartMs     int64
-	Service  string
-	Addr     string
-	Domain   string
-	Slots    int
-	Revision int64 // of its entry in the list
-	HeartbeatSeq     int64 // heartbeat that wrote the entry, counted from its start
-	Draining bool
-	Unlisted bool // its entry vanished from the list a moment ago
-	// ColdFor is how long it stays cold after its entry was written, ColdUntil when it is
-	// warm by the clock of this process.
+	// StartMs is its start time in Unix milliseconds; 0 if unknown. A target may restart under
+	// the same ID and then has none of its earlier state.
+	StartMs      int64
+	Service      string
+	Addr         string
+	Domain       string
+	Slots        int
+	Revision     int64 // of its list entry
+	HeartbeatSeq int64 // sequence number of the heartbeat that wrote the list entry, counted from the start
+	Draining     bool
+	Unlisted     bool // its list entry vanished a moment ago
+	// ColdFor is how long the instance stays cold after its list entry was written, and
+	// ColdUntil when it becomes warm by this process's clock.
 	ColdFor   time.Duration
 	ColdUntil time.Time
 	Models    []ModelVersion
 }
 
-// SameIncarnation reports whether two accounts of a target may be of one life of it.
-func SameIncarnation(born, other int64) bool { return born == other || born == 0 || other == 0 }
+// SameIncarnation reports whether two start times may be of the same incarnation of a target.
+func SameIncarnation(startMs, other int64) bool {
+	return startMs == other || startMs == 0 || other == 0
+}
 
-// LoadedVersion returns the version of m's model that the instance holds with all its
-// layers, or zero.
+// LoadedVersion returns the newest version of m's model of which the instance holds all layers,
+// or zero.
 func (i *Instance) LoadedVersion(m *EngineModel) int {
 	best := 0
 	for _, v := range i.Models {
