--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -54,10 +54,10 @@
 	idle := forecastEngine(m, Load{}, demand())
 	busy := forecastEngine(m, Load{Requests: 15}, demand())
 	full := forecastEngine(m, Load{Requests: 16}, demand())
-	reading := forecastEngine(m, Load{Requests: 8, PendingPrefill: 4000}, demand())
+	prefilling := forecastEngine(m, Load{Requests: 8, PendingPrefill: 4000}, demand())
 	assert.Assert(t, idle.FirstEvent < busy.FirstEvent)
 	assert.Assert(t, busy.FirstEvent < full.FirstEvent, "a full engine delays the request until a slot is free")
-	assert.Assert(t, reading.Gap > 200*time.Millisecond, "4,000 tokens are prefilled between two events of other streams")
+	assert.Assert(t, prefilling.Gap > 200*time.Millisecond, "4,000 tokens are prefilled between two events of other streams")
 }
 
 func TestPickTakesTheLeastLoaded(t *testing.T) {
@@ -227,22 +227,22 @@
 	assert.Assert(t, !b.Silent(later, first.Target))
 }
 
-// A target that one entry finds silent gets fewer requests from the others, without each of
-// them losing requests to it.
+// A target that one entry finds silent is avoided by the others, without each of them losing
+// requests to it.
 func TestSilenceIsShared(t *testing.T) {
 	a := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := a.Pick(start, testService, demand(), []string{"i-2"})
-	left := start.Add(700 * time.Millisecond)
-	assert.DeepEqual(t, a.SilentTargets(left), []string{"i-1"})
-	a.Finish(left, c.Target, Result{PendingPrefill: 1000, Failed: true, Silent: true})
-	assert.DeepEqual(t, a.SilentTargets(left.Add(100*time.Millisecond)), []string{"i-1"}) // still reported for a while after it was given up
-	assert.Equal(t, len(a.SilentTargets(left.Add(silenceReportDuration))), 0)
+	abandoned := start.Add(700 * time.Millisecond)
+	assert.DeepEqual(t, a.SilentTargets(abandoned), []string{"i-1"})
+	a.Finish(abandoned, c.Target, Result{PendingPrefill: 1000, Failed: true, Silent: true})
+	assert.DeepEqual(t, a.SilentTargets(abandoned.Add(100*time.Millisecond)), []string{"i-1"}) // still reported for a while after it was given up
+	assert.Equal(t, len(a.SilentTargets(abandoned.Add(silenceReportDuration))), 0)
 
 	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, PendingPrefill: 2000}})
-	assert.Assert(t, b.Suspect(left, "i-1"))
-	assert.Assert(t, !b.Suspect(left, "i-1"), "already suspected")
-	assert.Equal(t, picked(b, left), "i-2", "despite its higher load")
+	assert.Assert(t, b.Suspect(abandoned, "i-1"))
+	assert.Assert(t, !b.Suspect(abandoned, "i-1"), "already suspected")
+	assert.Equal(t, picked(b, abandoned), "i-2", "despite its higher load")
 }
 
 // Single lost responses do not make a target silent while other entries receive data from it.
@@ -295,9 +295,9 @@
 }
 
 func TestUnlistedTargetIsTheLastResort(t *testing.T) {
-	doubtful := plain(1)
-	doubtful.Unlisted = true
-	b := newTestBalancer(nil, Config{}, doubtful, plain(2))
+	unlisted := plain(1)
+	unlisted.Unlisted = true
+	b := newTestBalancer(nil, Config{}, unlisted, plain(2))
 	for range 5 {
 		assert.Equal(t, picked(b, start), "p-2")
 	}
@@ -315,17 +315,17 @@
 // each grant at once, so that it admits only as many requests as the engine can serve.
 func TestHomeGrantsOnlyWhatTheTargetCanServe(t *testing.T) {
 	home := newTestBalancer(engineModel(), Config{}, engine(1, 1))
-	usual := Admission{MaxWait: 200 * time.Millisecond, MaxGap: 320 * time.Millisecond}
+	limits := Admission{MaxWait: 200 * time.Millisecond, MaxGap: 320 * time.Millisecond}
 	granted := 0
 	for i := range 14 {
-		if home.Reserve(start, fmt.Sprintf("entry-%d", i), "i-1", demand().Prompt, usual).Granted {
+		if home.Reserve(start, fmt.Sprintf("entry-%d", i), "i-1", demand().Prompt, limits).Granted {
 			granted++
 		}
 	}
 	assert.Assert(t, granted >= 3 && granted <= 6, "granted %d reservations", granted)
 	home.SetLoads("entry-0", nil)
-	assert.Assert(t, home.Reserve(start, "entry-0", "i-1", demand().Prompt, usual).Granted, "a load report replaces the grant")
-	assert.Assert(t, home.Reserve(start, "entry-0", "unknown", demand().Prompt, usual).Granted)
+	assert.Assert(t, home.Reserve(start, "entry-0", "i-1", demand().Prompt, limits).Granted, "a load report replaces the grant")
+	assert.Assert(t, home.Reserve(start, "entry-0", "unknown", demand().Prompt, limits).Granted)
 }
 
 func TestCancelUndoesTheChoice(t *testing.T) {
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -27,8 +27,7 @@
 	// it, which spans several load reports.
 	silenceReportDuration = 500 * time.Millisecond
 	// activityWindow is how recently an entry must have received data from a target to report
-	// it as responsive. Streams send an event every 50 to 100 ms, and a pass takes up to 400
-	// ms.
+	// it as responsive. Streams send an event every 50 to 100 ms; a pass takes up to 400 ms.
 	activityWindow = 400 * time.Millisecond
 	// suspectDuration is how long a target gets no requests after another entry reported it
 	// silent. It then gets one request at a time until it has answered.
@@ -43,7 +42,7 @@
 	ejections    int
 	ejectedUntil time.Time
 	ejectedAt    time.Time
-	waitingSince time.Time // when requests were last in flight without data received; zero if idle
+	waitingSince time.Time // since when it has had requests in flight and sent nothing; zero if idle
 	activeAt     time.Time // when it last sent data to this entry
 	abandonedAt  time.Time // when this entry last gave up on it because it was silent
 	suspectedAt  time.Time // when another entry last reported it silent
--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -20,9 +20,9 @@
 	services := map[string]*fleet.Service{testService: {Name: testService}}
 	b := newTestBalancer(nil, Config{}, plain(1), plain(2))
 	recordLeaving(b, plain(1))
-	older, newer, doubtful := plain(1), plain(1), plain(1)
-	newer.Revision, doubtful.Unlisted = 99, true
-	for _, i := range []*fleet.Instance{older, newer, doubtful} {
+	older, newer, unlisted := plain(1), plain(1), plain(1)
+	newer.Revision, unlisted.Unlisted = 99, true
+	for _, i := range []*fleet.Instance{older, newer, unlisted} {
 		b.Apply([]*fleet.Instance{i, plain(2)}, services)
 		b.UpdateNotices(start)
 		assert.Equal(t, picked(b, start, "p-2"), "no_target")
--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -12,11 +12,11 @@
 func (b *Balancer) RecordStatement(now time.Time, i fleet.Instance, s notice.Statement, sent time.Time) notice.Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := notice.IncarnationOf(&i)
-	before := b.notices.StateOf(l).Limit
-	changed := b.notices.Record(now, l, s, sent)
+	inc := notice.IncarnationOf(&i)
+	before := b.notices.StateOf(inc).Limit
+	changed := b.notices.Record(now, inc, s, sent)
 	if changed.Limit {
-		b.applyLimitChange(now, l, before)
+		b.applyLimitChange(now, inc, before)
 	}
 	if changed.Leaving || changed.Backoff {
 		b.notifyChanged()
@@ -40,9 +40,9 @@
 }
 
 // applyLimitChange applies a changed limit of a target. The caller holds the lock.
-func (b *Balancer) applyLimitChange(now time.Time, l notice.Incarnation, before notice.Limit) {
-	t := b.byID[l.Target]
-	if t != nil && fleet.SameIncarnation(t.StartMs, l.StartMs) && !before.Declared {
+func (b *Balancer) applyLimitChange(now time.Time, inc notice.Incarnation, before notice.Limit) {
+	t := b.byID[inc.Target]
+	if t != nil && fleet.SameIncarnation(t.StartMs, inc.StartMs) && !before.Declared {
 		t.pace.exhaust(now, t.rate(now, b.stateOf(t).Limit), 0)
 	}
 	b.notifyChanged()
@@ -80,7 +80,9 @@
 }
 
 // stateOf returns the state that a target has declared. The caller holds the lock.
-func (b *Balancer) stateOf(t *Target) notice.State { return b.notices.StateOf(notice.IncarnationOf(&t.Instance)) }
+func (b *Balancer) stateOf(t *Target) notice.State {
+	return b.notices.StateOf(notice.IncarnationOf(&t.Instance))
+}
 
 // backoffOf returns the back-off that a target has requested from this entry. The caller holds
 // the lock.
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -39,13 +39,13 @@
 // engine prefills all new prompts and then decodes the tokens of one pass for each running
 // request. Refused callers retry after 1 to 2 s.
 type fleetSim struct {
-	book    *Balancer
-	model   *fleet.EngineModel
-	rng     *rand.Rand
-	kinds   []callerKind
-	retries int
-	// times draws a caller's timeout; if nil, refused callers retry after 1 to 2 s. guess
-	// detects retries; if nil, they are known.
+	balancer *Balancer
+	model    *fleet.EngineModel
+	rng      *rand.Rand
+	kinds    []callerKind
+	retries  int
+	// timeout draws a caller's timeout; if nil, refused callers retry after 1 to 2 s.
+	// detector detects retries; if nil, they are known.
 	timeout  func(*rand.Rand) time.Duration
 	detector *RetryDetector
 	burst    func(now time.Time) float64 // factor applied to the arrival rate
@@ -75,7 +75,7 @@
 		list = append(list, engine(i, 1))
 		s.engines[list[i].ID] = &simEngine{}
 	}
-	s.book = newTestBalancer(m, Config{}, list...)
+	s.balancer = newTestBalancer(m, Config{}, list...)
 	return s
 }
 
@@ -135,8 +135,8 @@
 			j.demand.Standing = Overdue
 		}
 	}
-	s.book.RecordArrival(s.now, testService, j.demand)
-	c, v := s.book.Pick(s.now, testService, j.demand, nil)
+	s.balancer.RecordArrival(s.now, testService, j.demand)
+	c, v := s.balancer.Pick(s.now, testService, j.demand, nil)
 	if v == Chosen {
 		j.target, j.pendingPrefill = c.Target, j.demand.Prompt
 		e := s.engines[c.Target.ID]
@@ -144,7 +144,7 @@
 		s.pass(e)
 		return
 	}
-	s.book.RecordRefusal(s.now, testService, j.demand)
+	s.balancer.RecordRefusal(s.now, testService, j.demand)
 	if j.retried < s.retries {
 		j.retried++
 		j.demand.Standing = Overdue
@@ -181,7 +181,7 @@
 	running := e.running[:0]
 	for _, j := range e.running {
 		if j.pendingPrefill > 0 {
-			s.book.RecordActivity(s.now, j.target, j.pendingPrefill)
+			s.balancer.RecordActivity(s.now, j.target, j.pendingPrefill)
 			j.pendingPrefill = 0
 			if s.now.Sub(j.arrived) <= j.demand.Objective {
 				s.tally(j).inTime++
@@ -191,7 +191,7 @@
 			running = append(running, j)
 			continue
 		}
-		s.book.Finish(s.now, j.target, Result{Latency: time.Second})
+		s.balancer.Finish(s.now, j.target, Result{Latency: time.Second})
 	}
 	e.running = running
 	s.pass(e)
@@ -265,20 +265,20 @@
 // get less than 0.6 of the overall fraction.
 func TestDetectedRetriesPerformLikeKnownOnes(t *testing.T) {
 	kinds := []callerKind{{400 * time.Millisecond, 1000, 90, 48}, {300 * time.Millisecond, 600, 60, 48}}
-	play := func(seed uint64, guess *RetryDetector) (byKind []float64, all float64) {
+	simulate := func(seed uint64, detector *RetryDetector) (byKind []float64, all float64) {
 		s := newFleetSim(seed, 6, kinds)
-		s.timeout, s.detector = firstAttemptTime, guess
+		s.timeout, s.detector = firstAttemptTime, detector
 		s.window = func(at time.Time) int { return min(int(at.Sub(start)/(4*time.Second)), 1) }
 		s.run(24 * time.Second)
 		return s.shares(1)
 	}
 	for seed := range uint64(4) {
-		_, known := play(seed, nil)
-		kinds, guessed := play(seed, NewRetryDetector(retryPart, retrySpread))
+		_, known := simulate(seed, nil)
+		kinds, detected := simulate(seed, NewRetryDetector(retryPart, retrySpread))
 		assert.Assert(t, known < 0.9, "no overload: %.3f in time", known)
-		assert.Assert(t, guessed >= 0.95*known, "seed %d: %.3f in time, %.3f with known retries", seed, guessed, known)
+		assert.Assert(t, detected >= 0.95*known, "seed %d: %.3f in time, %.3f with known retries", seed, detected, known)
 		for i, share := range kinds {
-			assert.Assert(t, share >= 0.6*guessed, "kind %d: %.3f in time, overall %.3f", i, share, guessed)
+			assert.Assert(t, share >= 0.6*detected, "kind %d: %.3f in time, overall %.3f", i, share, detected)
 		}
 	}
 }
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -129,7 +129,7 @@
 	assert.Equal(t, picked(b, start.Add(time.Second), "p-2"), "paced")
 }
 
-// A cancelled choice frees its quota for the next request.
+// A canceled choice frees its quota for the next request.
 func TestCancelRestoresQuota(t *testing.T) {
 	b := newTestBalancer(nil, Config{}, plain(1))
 	b.RecordStatement(start, *plain(1), limit(1), start)
@@ -167,18 +167,18 @@
 // of the first engine that serves. Each would then grant the full cold rate.
 func TestSimultaneousEntryStartsDoNotOverloadColdTarget(t *testing.T) {
 	const entries, perS, coldFor = 15, 26, 5 * time.Second
-	var books []*Balancer
+	var balancers []*Balancer
 	for range entries {
 		e := engine(1, 1)
 		e.ColdFor, e.ColdUntil = coldFor, start.Add(coldFor)
 		b := newTestBalancer(engineModel(), Config{AdmitFraction: 100, AdmitGapFraction: 100})
 		b.Apply([]*fleet.Instance{e}, map[string]*fleet.Service{testService: {Name: testService, Engine: engineModel(), ColdRate: perS}})
-		books = append(books, b)
+		balancers = append(balancers, b)
 	}
 	var sent []time.Time
 	for ms := 0; ms < 1000; ms += 5 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
-		for _, b := range books {
+		for _, b := range balancers {
 			if _, v := b.Pick(now, testService, demand(), nil); v == Chosen {
 				sent = append(sent, now)
 			}
@@ -186,5 +186,5 @@
 	}
 	assert.Assert(t, len(sent) <= perS*3/2+5, "%d requests sent", len(sent))
 	assert.Assert(t, len(sent) >= entries/2, "%d requests sent", len(sent))
-	assert.Equal(t, picked(books[0], start.Add(time.Second)), "i-1", "after one second the target is used normally")
+	assert.Equal(t, picked(balancers[0], start.Add(time.Second)), "i-1", "after one second the target is used normally")
 }
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -21,7 +21,7 @@
 	Granted bool
 	Known   bool          // the home knows the target
 	Wait    time.Duration // until the target accepts the next request; zero if its rate is not the reason
-	Report  notice.Report   // state of the target known to the home
+	Report  notice.Report // state of the target known to the home
 }
 
 // Reserve decides for another entry whether one more request with the given prompt may be sent
--- a/dispatch/returns_test.go
+++ b/dispatch/returns_test.go
@@ -32,7 +32,7 @@
 	for _, refused := range []float64{0, 0.1, 0.3} {
 		rng := rand.New(rand.NewPCG(7, 1))
 		r := NewRetryDetector(part, spread)
-		var first, mistaken, retried, known int
+		var first, mistaken, retried, detected int
 		for i := range callers {
 			left := firstAttemptTime(rng)
 			was := r.IsRetry("a", left)
@@ -48,11 +48,11 @@
 			}
 			retried++
 			if r.IsRetry("a", left-RetryAfter(left, 0, part, spread, rng.Float64())) {
-				known++
+				detected++
 			}
 		}
 		assert.Assert(t, mistaken <= first/20, "refused fraction %.1f: %d of %d first attempts mistaken for retries", refused, mistaken, first)
-		assert.Assert(t, known >= retried*95/100, "refused fraction %.1f: %d of %d retries detected", refused, known, retried)
+		assert.Assert(t, detected >= retried*95/100, "refused fraction %.1f: %d of %d retries detected", refused, detected, retried)
 	}
 }
 
