--- a/command/gateway.go
+++ b/command/gateway.go
@@ -43,7 +43,7 @@
 type entryProcess struct {
 	*onPlatform
 	gateway  *gateway.Gateway
-	book     *dispatch.Book
+	book     *dispatch.Balancer
 	conns    *targetconn.Pool
 	control  *gateway.Control
 	mesh     *mesh.Mesh
@@ -87,7 +87,7 @@
 	e := &entryProcess{onPlatform: p}
 	p.pool = peer.NewPool(p.hello(), e.servePeer, p.meter)
 	table := mirror.NewTable(platform.PrefixAll)
-	e.book = dispatch.NewBook(dispatch.Config{Off: off, Regions: s.Regions, VersionTimeout: s.VersionTimeout()}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	e.book = dispatch.NewBalancer(dispatch.Config{Off: off, Regions: s.Regions, VersionTimeout: s.VersionTimeout()}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	e.conns = targetconn.NewPool(targetconn.Config{})
 	crashes := quarantine.NewTable()
 	e.mesh = mesh.New(mesh.Options{Self: p.self, Seeds: s.Seeds, Pool: p.pool, Listener: e, Crashes: crashes,
@@ -129,7 +129,7 @@
 
 func (e *entryProcess) origin() *fleet.Origin {
 	if c := e.gateway.Config(); c != nil {
-		return c.OriginOf()
+		return c.FirstOrigin()
 	}
 	return nil
 }
@@ -143,7 +143,7 @@
 		select {
 		case <-ticker.C:
 			e.gateway.SetEntries(len(e.mesh.Entries()) + 1)
-			e.conns.Sweep(e.book.Knows)
+			e.conns.Sweep(e.book.HasAddr)
 		case <-ctx.Done():
 			return
 		}
--- a/dispatch/book_test.go
+++ b/dispatch/book_test.go
@@ -14,10 +14,11 @@
 
 const testService = "svc"
 
-// engineModel is an engine of 16 slots that reads 19,100 tokens a second.
+// engineModel returns the model of an engine with 16 slots and a prefill rate of 19,100 tokens
+// per second.
 func engineModel() *fleet.EngineModel {
 	return &fleet.EngineModel{Model: "m", Slots: 16, Step: 8870 * time.Microsecond, StepPerSeq: 39 * time.Microsecond,
-		StepPerKilo: 23 * time.Microsecond, PrefillRate: 19100, Stride: 5, MeanPrompt: 977, MeanAnswer: 94, Layers: 16}
+		StepPer1kTokens: 23 * time.Microsecond, PrefillRate: 19100, StepsPerPass: 5, MeanPrompt: 977, MeanAnswer: 94, Layers: 16}
 }
 
 func engine(i, version int) *fleet.Instance {
@@ -29,8 +30,8 @@
 	return &fleet.Instance{ID: fmt.Sprintf("p-%d", i), Service: testService, Addr: fmt.Sprintf("10.0.1.%d:80", i), Domain: "a", Slots: 6}
 }
 
-func book(m *fleet.EngineModel, cfg Config, instances ...*fleet.Instance) *Book {
-	b := NewBook(cfg, rand.New(rand.NewPCG(1, 2)))
+func newTestBalancer(m *fleet.EngineModel, cfg Config, instances ...*fleet.Instance) *Balancer {
+	b := NewBalancer(cfg, rand.New(rand.NewPCG(1, 2)))
 	b.Apply(instances, map[string]*fleet.Service{testService: {Name: testService, Engine: m}})
 	return b
 }
@@ -39,8 +40,8 @@
 	return Demand{Prompt: 1000, Objective: 400 * time.Millisecond, MaxGap: 400 * time.Millisecond, Domain: "a"}
 }
 
-// picked returns the id of the choice, or the verdict.
-func picked(b *Book, now time.Time, avoid ...string) string {
+// picked returns the ID of the chosen target, or the verdict.
+func picked(b *Balancer, now time.Time, avoid ...string) string {
 	c, v := b.Pick(now, testService, demand(), avoid)
 	if v != Chosen {
 		return v.String()
@@ -53,23 +54,23 @@
 	idle := forecastEngine(m, Load{}, demand())
 	busy := forecastEngine(m, Load{Requests: 15}, demand())
 	full := forecastEngine(m, Load{Requests: 16}, demand())
-	reading := forecastEngine(m, Load{Requests: 8, Unread: 4000}, demand())
+	prefilling := forecastEngine(m, Load{Requests: 8, PendingPrefill: 4000}, demand())
 	assert.Assert(t, idle.FirstEvent < busy.FirstEvent)
-	assert.Assert(t, busy.FirstEvent < full.FirstEvent, "a full engine makes it wait for a slot")
-	assert.Assert(t, reading.Gap > 200*time.Millisecond, "4,000 tokens are read between two events of others")
+	assert.Assert(t, busy.FirstEvent < full.FirstEvent, "a full engine delays the request until a slot is free")
+	assert.Assert(t, prefilling.Gap > 200*time.Millisecond, "4,000 tokens are prefilled between two events of other streams")
 }
 
 func TestPickTakesTheLeastLoaded(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
-	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5, Unread: 3000}})
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5, PendingPrefill: 3000}})
 	assert.Equal(t, picked(b, start), "i-2")
 }
 
-func TestPickLeavesOut(t *testing.T) {
+func TestPickSkipsUnusableTargets(t *testing.T) {
 	draining, empty := engine(1, 1), engine(2, 1)
 	draining.Draining = true
 	empty.Models = nil
-	b := book(engineModel(), Config{}, draining, empty, engine(3, 1), engine(4, 1))
+	b := newTestBalancer(engineModel(), Config{}, draining, empty, engine(3, 1), engine(4, 1))
 	b.SetState("10.0.0.3:80", EngineState{Version: 1, Loading: true})
 	for range 3 {
 		assert.Equal(t, picked(b, start), "i-4")
@@ -77,75 +78,75 @@
 	assert.Equal(t, picked(b, start, "i-4"), "no_target")
 }
 
-func TestAgentIsNewerThanTheList(t *testing.T) {
+func TestAgentStateOverridesTheList(t *testing.T) {
 	empty := engine(1, 1)
 	empty.Models = nil
-	b := book(engineModel(), Config{}, empty)
+	b := newTestBalancer(engineModel(), Config{}, empty)
 	assert.Equal(t, picked(b, start), "no_target")
 	b.SetState(empty.Addr, EngineState{Version: 1})
 	assert.Equal(t, picked(b, start), "i-1")
-	b.ForgetState(empty.Addr)
+	b.DeleteState(empty.Addr)
 	assert.Equal(t, picked(b, start), "no_target")
 }
 
-// A second version must not put the time of the first off.
-// An engine that started again under its ID knows nothing of before: neither what it
-// served, nor what was in flight or failed there, nor what its agent said until then.
-func TestNothingIsBelievedOfAnEarlierLife(t *testing.T) {
+// A restarted engine with the same ID has none of the earlier incarnation's state: neither its
+// versions, load and failures, nor what its agent reported before.
+func TestStateIsNotKeptAcrossIncarnations(t *testing.T) {
 	first, second, other := engine(1, 1), engine(1, 0), engine(2, 1)
-	first.Born, second.Born = 1000, 2000
-	b := book(engineModel(), Config{}, first)
-	b.SetState(first.Addr, EngineState{Version: 1, Born: 1000})
-	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5, Unread: 3000}})
+	first.StartMs, second.StartMs = 1000, 2000
+	b := newTestBalancer(engineModel(), Config{}, first)
+	b.SetState(first.Addr, EngineState{Version: 1, StartMs: 1000})
+	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5, PendingPrefill: 3000}})
 	c, v := b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
-	b.Finish(start, c.Target, Result{Gone: true})
+	b.Finish(start, c.Target, Result{Replaced: true})
 	services := map[string]*fleet.Service{testService: {Name: testService, Engine: engineModel()}}
 	b.Apply([]*fleet.Instance{second}, services)
-	assert.Equal(t, picked(b, start), "no_target", "it holds nothing yet, whatever its agent said before")
-	b.SetState(second.Addr, EngineState{Version: 1, Born: 2000})
+	assert.Equal(t, picked(b, start), "no_target", "the new incarnation has no version loaded, whatever the agent reported before")
+	b.SetState(second.Addr, EngineState{Version: 1, StartMs: 2000})
 	c, v = b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
-	assert.Equal(t, c.Load, Load{}, "no load of before")
-	b.SetState(second.Addr, EngineState{Version: 0, Born: 3000})
+	assert.Equal(t, c.Load, Load{}, "the load of the earlier incarnation must be dropped")
+	b.SetState(second.Addr, EngineState{Version: 0, StartMs: 3000})
 	b.Apply([]*fleet.Instance{second, other}, services)
-	assert.Equal(t, picked(b, start), "i-2", "the agent knows of a later life than the list")
+	assert.Equal(t, picked(b, start), "i-2", "the agent reports a later incarnation than the list")
 }
 
-// Targets that do not tell when they were started are known by their IDs alone.
-func TestLifeThatIsNotToldIsTheSame(t *testing.T) {
+// Targets that do not report their start time are identified by their ID alone.
+func TestUnknownStartTimeMatchesAnyIncarnation(t *testing.T) {
 	first, second := engine(1, 1), engine(1, 1)
-	second.Born = 2000
-	b := book(engineModel(), Config{}, first)
+	second.StartMs = 2000
+	b := newTestBalancer(engineModel(), Config{}, first)
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 5}})
 	b.Apply([]*fleet.Instance{second}, map[string]*fleet.Service{testService: {Name: testService, Engine: engineModel()}})
 	c, _ := b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, c.Load.Requests, 5)
 }
 
-func TestEachVersionKeepsItsTime(t *testing.T) {
+// A second version must not postpone the deadline of the first.
+func TestEachVersionKeepsItsDeadline(t *testing.T) {
 	cfg := Config{VersionTimeout: 8 * time.Second, VersionMargin: time.Second}
-	b := book(engineModel(), cfg, engine(1, 1), engine(2, 2), engine(3, 3))
+	b := newTestBalancer(engineModel(), cfg, engine(1, 1), engine(2, 2), engine(3, 3))
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, start)
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 3}, start.Add(2*time.Second))
 	assert.Equal(t, picked(b, start.Add(6*time.Second), "i-2", "i-3"), "i-1")
-	assert.Equal(t, picked(b, start.Add(7*time.Second), "i-2", "i-3"), "no_target", "version 1 is over")
+	assert.Equal(t, picked(b, start.Add(7*time.Second), "i-2", "i-3"), "no_target", "version 1 has expired")
 	assert.Equal(t, picked(b, start.Add(8*time.Second), "i-1", "i-3"), "i-2")
-	assert.Equal(t, picked(b, start.Add(9*time.Second), "i-1", "i-3"), "no_target", "version 2 is over")
+	assert.Equal(t, picked(b, start.Add(9*time.Second), "i-1", "i-3"), "no_target", "version 2 has expired")
 	assert.Equal(t, picked(b, start.Add(9*time.Second)), "i-3")
 }
 
-// A choice says until when the version that the target serves may be begun: the earliest
-// end that a newer version brings.
-func TestChoiceSaysUntilWhenItsVersionMayBeBegun(t *testing.T) {
+// A choice carries the time by which the request must have started on the target's version: the
+// earliest expiry that a newer version causes.
+func TestChoiceCarriesVersionExpiry(t *testing.T) {
 	cfg := Config{VersionTimeout: 8 * time.Second, VersionMargin: time.Second}
-	b := book(engineModel(), cfg, engine(1, 1), engine(2, 2), engine(3, 3))
+	b := newTestBalancer(engineModel(), cfg, engine(1, 1), engine(2, 2), engine(3, 3))
 	until := func(avoid ...string) time.Time {
 		c, v := b.Pick(start.Add(3*time.Second), testService, demand(), avoid)
 		assert.Equal(t, v, Chosen)
-		return c.Until
+		return c.StartBy
 	}
-	assert.Assert(t, until("i-2", "i-3").IsZero(), "no newer version is named")
+	assert.Assert(t, until("i-2", "i-3").IsZero(), "no newer version is wanted")
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, start)
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 3}, start.Add(2*time.Second))
 	assert.Equal(t, until("i-2", "i-3"), start.Add(8*time.Second))
@@ -153,23 +154,23 @@
 	assert.Assert(t, until("i-1", "i-2").IsZero())
 }
 
-func TestVersionsNeverGoBack(t *testing.T) {
-	b := book(engineModel(), Config{VersionTimeout: time.Second, VersionMargin: time.Millisecond}, engine(1, 1), engine(2, 2))
+func TestOlderVersionNeverReplacesNewer(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{VersionTimeout: time.Second, VersionMargin: time.Millisecond}, engine(1, 1), engine(2, 2))
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, start)
 	b.SetVersion(fleet.VersionTarget{Model: "m", Version: 1}, start.Add(time.Hour))
 	assert.Equal(t, picked(b, start.Add(2*time.Hour), "i-2"), "no_target")
 }
 
 func TestSaturatedWhenTheForecastIsTooLate(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1))
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1))
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 30}})
 	assert.Equal(t, picked(b, start), "saturated")
 	b.SetLoads("other", nil)
-	assert.Equal(t, picked(b, start), "i-1", "the other entry's load is forgotten")
+	assert.Equal(t, picked(b, start), "i-1", "the other entry's load is removed")
 }
 
-func TestFailingTargetIsLeftAndTriedAgain(t *testing.T) {
-	b := book(nil, Config{}, plain(1), plain(2))
+func TestFailingTargetIsEjectedAndRetried(t *testing.T) {
+	b := newTestBalancer(nil, Config{}, plain(1), plain(2))
 	for range 6 {
 		c, v := b.Pick(start, testService, demand(), []string{"p-2"})
 		assert.Equal(t, v, Chosen)
@@ -183,27 +184,27 @@
 	assert.Assert(t, !b.byID["p-1"].health.ejected(later))
 }
 
-func TestSilentTargetIsLeftUntilItSpeaks(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+func TestSilentTargetIsSkippedUntilItResponds(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := b.Pick(start, testService, demand(), []string{"i-2"})
-	later := start.Add(silentAfter + time.Millisecond)
+	later := start.Add(minSilence + time.Millisecond)
 	assert.Assert(t, b.Silent(later, c.Target))
 	assert.Equal(t, picked(b, later), "i-2")
-	b.Heard(later, c.Target, 1000)
+	b.RecordActivity(later, c.Target, 1000)
 	assert.Assert(t, !b.Silent(later, c.Target))
 }
 
-// Requests that are given up at a dead target do not make it look alive.
-// An engine that reads slowly sends nothing for as long as it reads.
-func TestSlowTargetsAreNotSilentTooSoon(t *testing.T) {
+// An engine with slow prefill sends nothing while it processes prompts. A plain target with a
+// high latency sends nothing for that time.
+func TestSlowTargetsAreNotReportedSilentTooEarly(t *testing.T) {
 	m := engineModel()
 	m.PrefillRate /= 20
-	slow := book(m, Config{}, engine(1, 1))
+	slow := newTestBalancer(m, Config{}, engine(1, 1))
 	c, v := slow.Pick(start, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
-	assert.Assert(t, !slow.Silent(start.Add(1500*time.Millisecond), c.Target), "1,000 tokens are read in 1.05 s")
+	assert.Assert(t, !slow.Silent(start.Add(1500*time.Millisecond), c.Target), "1,000 tokens take 1.05 s to prefill")
 	assert.Assert(t, slow.Silent(start.Add(4*time.Second), c.Target))
-	p := book(nil, Config{}, plain(1))
+	p := newTestBalancer(nil, Config{}, plain(1))
 	for range 2 {
 		c, _ = p.Pick(start, testService, demand(), nil)
 		p.Finish(start, c.Target, Result{Latency: 500 * time.Millisecond})
@@ -213,119 +214,122 @@
 	assert.Assert(t, p.Silent(start.Add(2*time.Second), c.Target))
 }
 
-func TestGivingUpDoesNotEndTheSilence(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1))
+// Giving up requests at a dead target must not make it look responsive.
+func TestAbandonedRequestDoesNotEndSilence(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1))
 	first, _ := b.Pick(start, testService, demand(), nil)
 	_, v := b.Pick(start, testService, demand(), nil)
 	assert.Equal(t, v, Chosen)
-	later := start.Add(silentAfter + time.Millisecond)
-	b.Finish(later, first.Target, Result{Failed: true, Silent: true, Unread: 1000})
+	later := start.Add(minSilence + time.Millisecond)
+	b.Finish(later, first.Target, Result{Failed: true, Silent: true, PendingPrefill: 1000})
 	assert.Assert(t, b.Silent(later, first.Target))
-	b.Heard(later, first.Target, 1000)
+	b.RecordActivity(later, first.Target, 1000)
 	assert.Assert(t, !b.Silent(later, first.Target))
 }
 
-// What one entry finds silent, the others need not find out by losing requests.
+// A target that one entry finds silent is avoided by the others, without each of them losing
+// requests to it.
 func TestSilenceIsShared(t *testing.T) {
-	a := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+	a := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := a.Pick(start, testService, demand(), []string{"i-2"})
-	left := start.Add(700 * time.Millisecond)
-	assert.DeepEqual(t, a.SilentTargets(left), []string{"i-1"})
-	a.Finish(left, c.Target, Result{Unread: 1000, Failed: true, Silent: true})
-	assert.DeepEqual(t, a.SilentTargets(left.Add(100*time.Millisecond)), []string{"i-1"}) // told for a while after it was left
-	assert.Equal(t, len(a.SilentTargets(left.Add(silentSaid))), 0)
-
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
-	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, Unread: 2000}})
-	assert.Assert(t, b.Suspect(left, "i-1"))
-	assert.Assert(t, !b.Suspect(left, "i-1"), "no news")
-	assert.Equal(t, picked(b, left), "i-2", "though it has more load")
+	abandoned := start.Add(700 * time.Millisecond)
+	assert.DeepEqual(t, a.SilentTargets(abandoned), []string{"i-1"})
+	a.Finish(abandoned, c.Target, Result{PendingPrefill: 1000, Failed: true, Silent: true})
+	assert.DeepEqual(t, a.SilentTargets(abandoned.Add(100*time.Millisecond)), []string{"i-1"}) // still reported for a while after it was given up
+	assert.Equal(t, len(a.SilentTargets(abandoned.Add(silenceReportDuration))), 0)
+
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, PendingPrefill: 2000}})
+	assert.Assert(t, b.Suspect(abandoned, "i-1"))
+	assert.Assert(t, !b.Suspect(abandoned, "i-1"), "already suspected")
+	assert.Equal(t, picked(b, abandoned), "i-2", "despite its higher load")
 }
 
-// Answers that get lost one by one are no silence: others hear the target.
-func TestTargetThatOthersHearIsNotSilent(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+// Single lost responses do not make a target silent while other entries receive data from it.
+func TestTargetResponsiveToOthersIsNotSilent(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := b.Pick(start, testService, demand(), []string{"i-2"})
-	b.SetLoads("x", map[string]Load{"i-1": {Requests: 1}, "i-2": {Requests: 8, Unread: 2000}})
-	b.SetHeard("x", "i-1", true)
+	b.SetLoads("x", map[string]Load{"i-1": {Requests: 1}, "i-2": {Requests: 8, PendingPrefill: 2000}})
+	b.SetResponsive("x", "i-1", true)
 	later := start.Add(700 * time.Millisecond)
 	assert.Equal(t, len(b.SilentTargets(later)), 0)
-	b.Finish(later, c.Target, Result{Unread: 1000, Failed: true, Silent: true})
+	b.Finish(later, c.Target, Result{PendingPrefill: 1000, Failed: true, Silent: true})
 	b.Suspect(later, "i-1")
 	assert.Equal(t, picked(b, later), "i-1")
 	b.SetLoads("x", nil)
-	assert.Equal(t, len(b.byID["i-1"].heard), 0, "an entry that is gone vouches for nothing")
+	assert.Equal(t, len(b.byID["i-1"].responsiveTo), 0, "a departed entry must not count as receiving data")
 }
 
-func TestHeardTargets(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+func TestResponsiveTargets(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := b.Pick(start, testService, demand(), nil)
-	assert.Equal(t, len(b.HeardTargets(start)), 0)
-	b.Heard(start, c.Target, 1000)
-	assert.Assert(t, b.HeardTargets(start.Add(heardFor - 1))[c.Target.ID])
-	assert.Equal(t, len(b.HeardTargets(start.Add(heardFor))), 0)
+	assert.Equal(t, len(b.ResponsiveTargets(start)), 0)
+	b.RecordActivity(start, c.Target, 1000)
+	assert.Assert(t, b.ResponsiveTargets(start.Add(activityWindow - 1))[c.Target.ID])
+	assert.Equal(t, len(b.ResponsiveTargets(start.Add(activityWindow))), 0)
 }
 
-// A target that was silent has no load and would draw more requests than all
-// others: one tries it.
-func TestSilentTargetIsTriedByOneRequest(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
-	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, Unread: 2000}})
+// A target that was silent has no load and would attract more requests than all others, so it
+// is probed with a single request.
+func TestSilentTargetIsProbedByOneRequest(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, PendingPrefill: 2000}})
 	b.Suspect(start, "i-1")
-	now := start.Add(suspectFor)
+	now := start.Add(suspectDuration)
 	c, _ := b.Pick(now, testService, demand(), nil)
 	assert.Equal(t, c.Target.ID, "i-1")
-	assert.Equal(t, picked(b, now), "i-2", "one is enough")
-	b.Heard(now.Add(50*time.Millisecond), c.Target, 1000)
+	assert.Equal(t, picked(b, now), "i-2", "a single probe is enough")
+	b.RecordActivity(now.Add(50*time.Millisecond), c.Target, 1000)
 	assert.Equal(t, picked(b, now.Add(60*time.Millisecond)), "i-1")
 }
 
-// An entry that hears a target believes its own ears.
-func TestOwnEvidenceGoesBeforeSuspicion(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1), engine(2, 1))
+// Data that this entry receives from a target overrides another entry's report that it is
+// silent.
+func TestOwnActivityOverridesSuspicion(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
 	c, _ := b.Pick(start, testService, demand(), []string{"i-2"})
-	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, Unread: 2000}})
+	b.SetLoads("x", map[string]Load{"i-2": {Requests: 8, PendingPrefill: 2000}})
 	b.Suspect(start, "i-1")
-	b.Heard(start.Add(10*time.Millisecond), c.Target, 1000)
+	b.RecordActivity(start.Add(10*time.Millisecond), c.Target, 1000)
 	assert.Equal(t, picked(b, start.Add(20*time.Millisecond)), "i-1")
 }
 
-func TestDoubtfulTargetIsTheLastResort(t *testing.T) {
-	doubtful := plain(1)
-	doubtful.Doubtful = true
-	b := book(nil, Config{}, doubtful, plain(2))
+func TestUnlistedTargetIsTheLastResort(t *testing.T) {
+	unlisted := plain(1)
+	unlisted.Unlisted = true
+	b := newTestBalancer(nil, Config{}, unlisted, plain(2))
 	for range 5 {
 		assert.Equal(t, picked(b, start), "p-2")
 	}
 	assert.Equal(t, picked(b, start, "p-2"), "p-1")
 }
 
-func TestAnotherInstanceAtTheAddressEndsTheTarget(t *testing.T) {
-	b := book(nil, Config{}, plain(1))
+func TestReplacedTargetIsNotChosen(t *testing.T) {
+	b := newTestBalancer(nil, Config{}, plain(1))
 	c, _ := b.Pick(start, testService, demand(), nil)
-	b.Finish(start, c.Target, Result{Gone: true})
+	b.Finish(start, c.Target, Result{Replaced: true})
 	assert.Equal(t, picked(b, start), "no_target")
 }
 
-// Entries that see the same free engine ask its home; the home counts each
-// grant at once, so that only as many are let in as it can serve.
+// Entries that see the same idle engine request reservations from its home. The home counts
+// each grant at once, so that it admits only as many requests as the engine can serve.
 func TestHomeGrantsOnlyWhatTheTargetCanServe(t *testing.T) {
-	home := book(engineModel(), Config{}, engine(1, 1))
-	usual := Admission{MaxWait: 200 * time.Millisecond, MaxGap: 320 * time.Millisecond}
+	home := newTestBalancer(engineModel(), Config{}, engine(1, 1))
+	limits := Admission{MaxWait: 200 * time.Millisecond, MaxGap: 320 * time.Millisecond}
 	granted := 0
 	for i := range 14 {
-		if home.Reserve(start, fmt.Sprintf("entry-%d", i), "i-1", demand().Prompt, usual).Granted {
+		if home.Reserve(start, fmt.Sprintf("entry-%d", i), "i-1", demand().Prompt, limits).Granted {
 			granted++
 		}
 	}
-	assert.Assert(t, granted >= 3 && granted <= 6, "granted %d", granted)
+	assert.Assert(t, granted >= 3 && granted <= 6, "granted %d reservations", granted)
 	home.SetLoads("entry-0", nil)
-	assert.Assert(t, home.Reserve(start, "entry-0", "i-1", demand().Prompt, usual).Granted, "an account replaces the grant")
-	assert.Assert(t, home.Reserve(start, "entry-0", "unknown", demand().Prompt, usual).Granted)
+	assert.Assert(t, home.Reserve(start, "entry-0", "i-1", demand().Prompt, limits).Granted, "a load report replaces the grant")
+	assert.Assert(t, home.Reserve(start, "entry-0", "unknown", demand().Prompt, limits).Granted)
 }
 
-func TestCancelTakesTheChoiceBack(t *testing.T) {
-	b := book(engineModel(), Config{}, engine(1, 1))
+func TestCancelUndoesTheChoice(t *testing.T) {
+	b := newTestBalancer(engineModel(), Config{}, engine(1, 1))
 	c, _ := b.Pick(start, testService, demand(), nil)
 	b.Cancel(c.Target, demand())
 	assert.Equal(t, len(b.OwnLoads()), 0)
@@ -338,7 +342,7 @@
 		for i := range n {
 			list = append(list, engine(i, 1))
 		}
-		bk := book(engineModel(), Config{}, list...)
+		bk := newTestBalancer(engineModel(), Config{}, list...)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
--- a/dispatch/place.go
+++ b/dispatch/place.go
@@ -6,74 +6,73 @@
 	"github.com/springgate/springgate/notice"
 )
 
-// Reservation is what became of the question for a place at a target.
+// Reservation is the outcome of a request for a reservation at a target.
 type Reservation uint8
 
-// Reservations.
+// Outcomes of a reservation.
 const (
-	PlaceGranted Reservation = iota
-	PlaceDenied              // the target is too loaded by now
-	PlaceHeld                // the target takes no more, or not yet, and is left alone meanwhile
+	ReservationGranted  Reservation = iota
+	ReservationDenied               // the target is now too loaded
+	ReservationDeferred             // the target accepts no requests for now and is backed off from
 )
 
-// Place is a home's answer to an entry that wants to send a request to a target.
-type Place struct {
+// ReserveResult is a home's answer to a reservation request of another entry.
+type ReserveResult struct {
 	Granted bool
 	Known   bool          // the home knows the target
-	Wait    time.Duration // until the target takes one more; zero if that is not why
-	Told    notice.Told   // what the home believes of the target
+	Wait    time.Duration // until the target accepts the next request; zero if its rate is not the reason
+	Report  notice.Report // state of the target known to the home
 }
 
-// Reserve decides for another entry whether one more request with so long a
-// prompt may go to a target, on the terms that the entry states. The grant counts
-// as that entry's load until its next account. A target that is not known here is
-// granted: the asker may know better. In a failure domain that is evacuated by now none
-// is granted.
-func (b *Book) Reserve(now time.Time, from, instance string, prompt int, a Admission) Place {
+// Reserve decides for another entry whether one more request with the given prompt may be sent
+// to a target, under the entry's admission limits. A granted request counts as that entry's
+// load until its next load report. A target that is unknown here is granted, since the
+// requesting entry may have a newer list. In an evacuated failure domain none is granted.
+func (b *Balancer) Reserve(now time.Time, from, instance string, prompt int, a Admission) ReserveResult {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.byID[instance]
 	if t == nil {
-		return Place{Granted: true}
+		return ReserveResult{Granted: true}
 	}
-	p := Place{Known: true, Told: notice.Told{Life: notice.LifeOf(&t.Instance), Belief: b.said(t)}}
-	p.Told.Leaving = b.leaving(t)
-	r := t.rate(now, p.Told.Limit)
+	p := ReserveResult{Known: true, Report: notice.Report{Incarnation: notice.IncarnationOf(&t.Instance), State: b.stateOf(t)}}
+	p.Report.Leaving = b.leaving(t)
+	r := t.rate(now, p.Report.Limit)
 	p.Wait = max(t.pace.next(now, r).Sub(now), 0)
-	if p.Wait > 0 || p.Told.Leaving || b.policy.Evacuated(t.Domain) || !a.admits(t.load, b.forecast(t, Demand{Prompt: prompt})) {
+	if p.Wait > 0 || p.Report.Leaving || b.policy.Evacuated(t.Domain) || !a.admits(t.load, b.forecast(t, Demand{Prompt: prompt})) {
 		return p
 	}
 	p.Granted = true
 	t.pace.count(now, r)
-	l := Load{Requests: 1, Unread: prompt}
-	t.others[from] = t.others[from].add(l)
+	l := Load{Requests: 1, PendingPrefill: prompt}
+	t.entryLoads[from] = t.entryLoads[from].add(l)
 	t.load = t.load.add(l)
 	return p
 }
 
-// Hold leaves a target alone for a time, because its home grants no place before.
-func (b *Book) Hold(now time.Time, instance string, wait time.Duration) {
+// BackOff sends a target no requests for a duration in which its home grants no reservations.
+func (b *Balancer) BackOff(now time.Time, instance string, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if t := b.byID[instance]; t != nil {
-		t.pace.heldUntil = now.Add(wait)
+		t.pace.blockedUntil = now.Add(wait)
 	}
 }
 
-// HoldUnanswered leaves a target with a bounded rate alone, because its home did not
-// answer: what others send there is not known.
-func (b *Book) HoldUnanswered(now time.Time, instance string) {
-	b.Hold(now, instance, holdUnanswered)
+// BackOffUnanswered backs off from a target with a limited rate because its home did not
+// answer: the requests of other entries are unknown.
+func (b *Balancer) BackOffUnanswered(now time.Time, instance string) {
+	b.BackOff(now, instance, unansweredBackoff)
 }
 
-// Cancel takes a choice back that was not followed.
-func (b *Book) Cancel(t *Target, d Demand) {
+// Cancel undoes a choice that was not used.
+func (b *Balancer) Cancel(t *Target, d Demand) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := Load{Requests: -1, Unread: -d.Prompt}
+	l := Load{Requests: -1, PendingPrefill: -d.Prompt}
 	t.own, t.load = t.own.add(l), t.load.add(l)
-	t.pace.takeBack()
-	b.notices.NotSent(notice.LifeOf(&t.Instance))
+	t.pace.undo()
+	b.notices.CancelSend(notice.IncarnationOf(&t.Instance))
 	if t.own.Requests == 0 {
 		t.health.waitingSince = time.Time{}
 	}
--- a/dispatch/residency_test.go
+++ b/dispatch/residency_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// spread returns a book with two engines in each of the failure domains a, b and c, which
-// are regions of their own.
-func spread(t *testing.T, evacuated ...string) *Book {
+// newRegionalBalancer returns a balancer with two engines in each of the failure domains a, b
+// and c, each in a region of its own.
+func newRegionalBalancer(t *testing.T, evacuated ...string) *Balancer {
 	t.Helper()
 	var list []*fleet.Instance
 	for i := range 6 {
@@ -19,15 +19,15 @@
 		e.Domain = string(rune('a' + i%3))
 		list = append(list, e)
 	}
-	b := book(engineModel(), Config{Regions: regions()}, list...)
+	b := newTestBalancer(engineModel(), Config{Regions: regions()}, list...)
 	b.SetEvacuated(evacuated)
 	return b
 }
 
 func regions() map[string]string { return map[string]string{"a": "A", "b": "B", "c": "C"} }
 
-// domainsOf returns the failure domains that 30 requests are sent to, one after the other.
-func domainsOf(t *testing.T, b *Book, d Demand, avoid ...string) map[string]bool {
+// domainsOf returns the failure domains that 30 consecutive requests are sent to.
+func domainsOf(t *testing.T, b *Balancer, d Demand, avoid ...string) map[string]bool {
 	t.Helper()
 	got := map[string]bool{}
 	for range 30 {
@@ -37,29 +37,29 @@
 			continue
 		}
 		got[c.Instance.Domain] = true
-		b.Finish(start, c.Target, Result{Unread: d.Prompt})
+		b.Finish(start, c.Target, Result{PendingPrefill: d.Prompt})
 	}
 	return got
 }
 
-func TestRequestStaysInItsHomes(t *testing.T) {
+func TestRequestStaysInHomeRegions(t *testing.T) {
 	for _, standing := range []Standing{Fresh, Overdue, Resumed} {
 		d := demand()
-		d.Standing, d.Homes = standing, residency.Homes{Route: []string{"B", "C"}, Team: []string{"C", "A"}}
-		b := spread(t)
+		d.Standing, d.HomeRegions = standing, residency.HomeRegions{Route: []string{"B", "C"}, Team: []string{"C", "A"}}
+		b := newRegionalBalancer(t)
 		assert.DeepEqual(t, domainsOf(t, b, d), map[string]bool{"c": true})
-		// The home alone is down or avoided: no other domain takes its place.
+		// If the targets in the home region are avoided, no other domain replaces it.
 		assert.DeepEqual(t, domainsOf(t, b, d, "i-2", "i-5"), map[string]bool{"no_target": true})
-		// The last resort is at home too.
-		b.Finish(start, b.byID["i-2"], Result{Down: true})
+		// A target of last resort must be in a home region too.
+		b.Finish(start, b.byID["i-2"], Result{ConnectFailed: true})
 		assert.DeepEqual(t, domainsOf(t, b, d, "i-5"), map[string]bool{"c": true})
-		d.Homes.Team = []string{"A"}
+		d.HomeRegions.Team = []string{"A"}
 		assert.DeepEqual(t, domainsOf(t, b, d), map[string]bool{"no_domain": true})
 	}
 }
 
 func TestEvacuatedDomainIsNotChosen(t *testing.T) {
-	b := spread(t, "a", "nowhere")
+	b := newRegionalBalancer(t, "a", "nowhere")
 	d := demand()
 	assert.Assert(t, !domainsOf(t, b, d)["a"])
 	assert.DeepEqual(t, domainsOf(t, b, d, "i-1", "i-2", "i-4", "i-5"), map[string]bool{"no_target": true})
@@ -68,19 +68,19 @@
 	b.SetEvacuated([]string{"a", "b", "c"})
 	assert.DeepEqual(t, domainsOf(t, b, d), map[string]bool{"no_domain": true})
 	b.SetEvacuated(nil)
-	assert.Assert(t, domainsOf(t, b, demand())["a"], "taken back")
+	assert.Assert(t, domainsOf(t, b, demand())["a"], "evacuation lifted")
 }
 
-// A home that knows of an evacuation grants no place there to an entry that does not.
-func TestHomeGrantsNothingInAnEvacuatedDomain(t *testing.T) {
-	b := spread(t, "a")
+// A home that knows of an evacuation grants no reservation there to an entry that does not.
+func TestHomeDeniesReservationInEvacuatedDomain(t *testing.T) {
+	b := newRegionalBalancer(t, "a")
 	a := Admission{MaxWait: time.Hour}
 	assert.Assert(t, !b.Reserve(start, "x", "i-0", 10, a).Granted)
 	assert.Assert(t, b.Reserve(start, "x", "i-1", 10, a).Granted)
 }
 
-// The sample that is looked at is of targets that may run the request.
-func TestSampleIsOfAllowedDomains(t *testing.T) {
+// Only targets that may run the request count towards the sample size.
+func TestSampleCountsAllowedTargetsOnly(t *testing.T) {
 	var list []*fleet.Instance
 	for i := range 60 {
 		e := engine(i, 1)
@@ -89,18 +89,19 @@
 	}
 	home := engine(99, 1)
 	home.Domain = "c"
-	b := book(engineModel(), Config{Sample: 2, Regions: regions()}, append(list, home)...)
+	b := newTestBalancer(engineModel(), Config{SampleSize: 2, Regions: regions()}, append(list, home)...)
 	d := demand()
-	d.Homes.Route = []string{"C"}
+	d.HomeRegions.Route = []string{"C"}
 	assert.DeepEqual(t, domainsOf(t, b, d), map[string]bool{"c": true})
 }
 
-// A cold target gets no more requests in a second than it bears, whoever sends them.
-func TestColdTargetGetsNoMoreThanItBears(t *testing.T) {
+// A cold target gets no more requests per second than its cold rate, whichever entry sends
+// them.
+func TestColdTargetStaysBelowColdRate(t *testing.T) {
 	const rate, coldFor = 3, 4 * time.Second
 	e := engine(1, 1)
 	e.ColdUntil = start.Add(coldFor)
-	b := book(engineModel(), Config{}, e)
+	b := newTestBalancer(engineModel(), Config{}, e)
 	b.Apply([]*fleet.Instance{e}, map[string]*fleet.Service{testService: {Name: testService, Engine: engineModel(), ColdRate: rate}})
 	var sent []time.Time
 	const step = 20 * time.Millisecond
@@ -116,7 +117,7 @@
 		c, v := b.Pick(now, testService, demand(), nil)
 		if v == Chosen {
 			sent = append(sent, now)
-			b.Finish(now, c.Target, Result{Unread: 1000})
+			b.Finish(now, c.Target, Result{PendingPrefill: 1000})
 		} else {
 			assert.Equal(t, v, Paced)
 		}
@@ -127,9 +128,9 @@
 			cold++
 		}
 		if i >= rate && sent[i-rate].Before(e.ColdUntil) && at.Before(e.ColdUntil) {
-			assert.Assert(t, at.Sub(sent[i-rate]) >= time.Second, "%v and %v", sent[i-rate], at)
+			assert.Assert(t, at.Sub(sent[i-rate]) >= time.Second, "requests at %v and %v exceed the cold rate", sent[i-rate], at)
 		}
 	}
-	assert.Equal(t, cold, rate*int(coldFor/time.Second), "and no fewer")
-	assert.Assert(t, len(sent)-cold > 100, "warm, it gets all")
+	assert.Equal(t, cold, rate*int(coldFor/time.Second), "the cold rate must be used up")
+	assert.Assert(t, len(sent)-cold > 100, "a warm target has no rate limit")
 }
--- a/gateway/announced.go
+++ b/gateway/announced.go
@@ -15,14 +15,14 @@
 // does not run; the other entries report what they observed in the meantime.
 func announcementAt(now time.Time, announced bool, timeout time.Duration) fleet.Announcement {
 	if !announced {
-		return fleet.Announcement{At: now.Add(-timeout), Guessed: true}
+		return fleet.Announcement{At: now.Add(-timeout), Estimated: true}
 	}
 	return fleet.Announcement{At: now}
 }
 
 // announcement returns when the version was announced, as far as this process knows.
 func (a *assignment) announcement() fleet.Announcement {
-	return fleet.Announcement{At: a.since, Guessed: a.guessed}
+	return fleet.Announcement{At: a.since, Estimated: a.guessed}
 }
 
 // Announced implements mesh.Listener. Guessed times are not sent: other entries may have
@@ -73,11 +73,11 @@
 	for _, newest := range c.assignments {
 		for a := newest; a != nil && a.explicit; a = a.previous {
 			old := a.announcement()
-			if a.model.Model != v.Model || a.version != v.Version || !reported.TellsMore(old) {
+			if a.model.Model != v.Model || a.version != v.Version || !reported.Supersedes(old) {
 				continue
 			}
-			if old.Guessed || old.At.Sub(reported.At) >= minDateCorrection {
-				a.since, a.guessed, changed = reported.At, reported.Guessed, true
+			if old.Estimated || old.At.Sub(reported.At) >= minDateCorrection {
+				a.since, a.guessed, changed = reported.At, reported.Estimated, true
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 		if a.previous != nil && a.previous.explicit && a.previous.version == v.Version {
 			continue
 		}
-		a.previous = &assignment{model: newest.model, version: v.Version, since: reported.At, guessed: reported.Guessed, explicit: true, previous: a.previous}
+		a.previous = &assignment{model: newest.model, version: v.Version, since: reported.At, guessed: reported.Estimated, explicit: true, previous: a.previous}
 		missed = true
 	}
 	if missed {
--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -67,9 +67,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControl(&fakeRelay{})
 		engine := *assignModel
-		engine.Slots, engine.Stride, engine.PrefillRate = 8, 1, 1000
+		engine.Slots, engine.StepsPerPass, engine.PrefillRate = 8, 1, 1000
 		services := map[string]*fleet.Service{"svc": {Name: "svc", Engine: &engine}}
-		c.book = dispatch.NewBook(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
+		c.book = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 		c.book.Apply(c.list, services)
 		announcedAt := time.Now()
 		time.Sleep(4600 * time.Millisecond)
@@ -103,7 +103,7 @@
 func TestGuessedAgeIsCorrectedByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControl(&fakeRelay{})
-		c.book = dispatch.NewBook(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
+		c.book = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 		c.assignVersion("svc", assignModel, 2, time.Now().Add(-8*time.Second), false)
 		assert.Equal(t, len(c.Announced(time.Now())), 0, "a guessed time must not be sent")
 		c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.SeenVersion{{Model: "m", Version: 2, AgeMs: 1500}}})
@@ -193,9 +193,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControl(&fakeRelay{})
 		engine := *assignModel
-		engine.Slots, engine.Stride, engine.PrefillRate = 8, 1, 1000
+		engine.Slots, engine.StepsPerPass, engine.PrefillRate = 8, 1, 1000
 		services := map[string]*fleet.Service{"svc": {Name: "svc", Engine: &engine}}
-		c.book = dispatch.NewBook(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
+		c.book = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 		c.book.Apply(c.list, services)
 		c.setAssignment("svc", &assignment{model: assignModel, version: 1, since: time.Now()})
 		second := time.Now()
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -69,10 +69,10 @@
 // target is not known when it is sent. Only a request that another target may run is
 // cancelled.
 func (a *attempt) expireWithVersion() {
-	if a.choice.Until.IsZero() || !a.x.route.Idempotent() {
+	if a.choice.StartBy.IsZero() || !a.x.route.Idempotent() {
 		return
 	}
-	left := clock.Until(a.choice.Until) - a.x.g.cfg.CancelLead
+	left := clock.Until(a.choice.StartBy) - a.x.g.cfg.CancelLead
 	a.expiry = clock.AfterFunc(left, func() { a.cancel(errVersionExpired) })
 }
 
@@ -149,15 +149,15 @@
 
 // finish records in the book how the attempt ended.
 func (a *attempt) finish(res result) {
-	r := dispatch.Result{Unread: a.unread, Latency: clock.Since(a.sentAt)}
+	r := dispatch.Result{PendingPrefill: a.unread, Latency: clock.Since(a.sentAt)}
 	switch res.reason {
 	case ReasonNone, ReasonTimeout, ReasonCallerGone, ReasonVersionOver:
 	case ReasonTargetRefused:
 		r.Latency = 0
 	case ReasonOtherInstance:
-		r.Gone = true
+		r.Replaced = true
 	case ReasonDialFailed:
-		r.Down = true
+		r.ConnectFailed = true
 	default:
 		r.Failed = true
 	}
@@ -165,6 +165,6 @@
 		r.Latency = 0
 	}
 	r.Silent = res.silent
-	r.Lost = res.reason == ReasonConnLost || res.reason == ReasonBrokenStream
+	r.ConnectionLost = res.reason == ReasonConnLost || res.reason == ReasonBrokenStream
 	a.x.g.book.Finish(clock.Now(), a.choice.Target, r)
 }
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -55,7 +55,7 @@
 	cfg     ControlConfig
 	addr    string // of this entry, sent to peers
 	gateway *Gateway
-	book    *dispatch.Book
+	book    *dispatch.Balancer
 	decoder Decoder
 	table   *mirror.Table
 	outage  func() (down bool, ended time.Time)
@@ -95,7 +95,7 @@
 	Config  ControlConfig
 	Addr    string
 	Gateway *Gateway
-	Book    *dispatch.Book
+	Book    *dispatch.Balancer
 	Decoder Decoder
 	Table   *mirror.Table
 	Outage  func() (down bool, ended time.Time)
@@ -199,12 +199,12 @@
 	announcement := announcementAt(now, announced, c.cfg.VersionTimeout)
 	c.versionRev[i.Key] = i.Revision
 	c.log.WithFields(logrus.Fields{"model": v.Model, "version": v.Version, "revision": i.Revision,
-		"age_ms": now.Sub(announcement.At).Milliseconds(), "guessed": announcement.Guessed}).Info("Version announced.")
+		"age_ms": now.Sub(announcement.At).Milliseconds(), "guessed": announcement.Estimated}).Info("Version announced.")
 	c.book.SetVersion(v, announcement.At)
 	c.notifyRelay(ctx, v, announced)
 	for name, s := range cfg.Services {
 		if s.Engine != nil && s.Engine.Model == v.Model {
-			c.assignVersion(name, s.Engine, v.Version, announcement.At, !announcement.Guessed)
+			c.assignVersion(name, s.Engine, v.Version, announcement.At, !announcement.Estimated)
 		}
 	}
 }
@@ -272,7 +272,7 @@
 	}
 	inst.ColdUntil = clock.Now().Add(inst.ColdFor)
 	c.log.WithFields(logrus.Fields{"target": inst.ID, "service": inst.Service, "addr": inst.Addr, "draining": inst.Draining,
-		"models": inst.Models, "revision": i.Revision, "beat": inst.Beat, "born": inst.Born, "copy": c.copyRevision}).Info("Target listed.")
+		"models": inst.Models, "revision": i.Revision, "beat": inst.HeartbeatSeq, "born": inst.StartMs, "copy": c.copyRevision}).Info("Target listed.")
 	return decodedInstance{i.Revision, inst}
 }
 
@@ -281,8 +281,8 @@
 		if _, ok := next[key]; ok || d.instance == nil {
 			continue
 		}
-		lost := c.book.LostAt(d.instance.ID)
-		leaving := d.instance.Draining || c.book.NoticeOf(d.instance.ID).Leaving
+		lost := c.book.ConnectionsLost(d.instance.ID)
+		leaving := d.instance.Draining || c.book.ReportOf(d.instance.ID).Leaving
 		if lost > 0 && !leaving {
 			c.endedWithRequests.Inc(1)
 		}
--- a/gateway/endings.go
+++ b/gateway/endings.go
@@ -35,7 +35,7 @@
 
 // incarnationOf returns the identity of a target's incarnation.
 func incarnationOf(i fleet.Instance) quarantine.Incarnation {
-	return quarantine.Incarnation{Target: i.ID, StartMs: i.Born}
+	return quarantine.Incarnation{Target: i.ID, StartMs: i.StartMs}
 }
 
 // crashSuspect is an incarnation of a target to which connections broke.
@@ -154,7 +154,7 @@
 	}
 	for _, i := range list {
 		for incarnation, x := range e.suspects {
-			same := i.ID == incarnation.Target && fleet.SameLife(i.Born, incarnation.StartMs)
+			same := i.ID == incarnation.Target && fleet.SameIncarnation(i.StartMs, incarnation.StartMs)
 			if !same && (i.ID == incarnation.Target || i.Addr == x.target.Addr) && i.Revision > x.target.Revision {
 				e.markEnded(x, "another incarnation is listed")
 			}
@@ -169,7 +169,7 @@
 	}
 	x.ended = true
 	t := x.target
-	e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.Born, "how": how, "lost": len(x.unreported)}).Warn("Target ended while running requests.")
+	e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.StartMs, "how": how, "lost": len(x.unreported)}).Warn("Target ended while running requests.")
 	e.report(x)
 }
 
@@ -196,7 +196,7 @@
 	delete(e.suspects, incarnation)
 	if x.ended {
 		e.table.RetractCrash(incarnation)
-		e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.Born}).Warn("Target answered again; crashes reported for it are retracted.")
+		e.log.WithFields(logrus.Fields{"target": t.ID, "born": t.StartMs}).Warn("Target answered again; crashes reported for it are retracted.")
 	}
 }
 
--- a/gateway/foreign_test.go
+++ b/gateway/foreign_test.go
@@ -39,7 +39,7 @@
 	log.SetLevel(logrus.InfoLevel)
 	discard := logrus.New()
 	discard.SetOutput(io.Discard)
-	book := dispatch.NewBook(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
+	book := dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
 	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), discard)
 	g.SetConfig(fleet.NewConfig(1, routes(), []*fleet.Service{{Name: "s"}}, nil, fleet.Limits{}))
 	c := NewControl(ControlOptions{Gateway: g, Book: book, Decoder: textDecoder{}, Log: log,
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -43,11 +43,11 @@
 	info := ResponseInfo{ID: h.Get("Id"), Signed: h.Get("Signed") != "", NotRun: h.Get("Not-Run") != "" || status == http.StatusMisdirectedRequest,
 		OtherInstance: status == http.StatusMisdirectedRequest}
 	if perS, err := strconv.ParseFloat(h.Get("Limit"), 64); err == nil {
-		info.Notice.Limit = notice.Limit{Named: true, PerS: perS}
+		info.Notice.Limit = notice.Limit{Declared: true, PerS: perS}
 	}
 	info.Notice.Leaving = h.Get("Leaving") != ""
 	restMs, _ := strconv.Atoi(h.Get("Rest-Ms"))
-	info.Notice.Rest = time.Duration(restMs) * time.Millisecond
+	info.Notice.Backoff = time.Duration(restMs) * time.Millisecond
 	return info
 }
 
@@ -55,7 +55,7 @@
 type grantAll struct{}
 
 func (grantAll) Reserve(context.Context, dispatch.Choice, int) dispatch.Reservation {
-	return dispatch.PlaceGranted
+	return dispatch.ReservationGranted
 }
 
 // target is a fake target that records the requests that reached it.
@@ -155,7 +155,7 @@
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	book := dispatch.NewBook(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
+	book := dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
 	var list []*fleet.Instance
 	for i, x := range targets {
 		// Targets after the first are in other failure domains, which makes them slightly
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -16,7 +16,7 @@
 	if s.Unreadable() {
 		g.stats.unreadableNotices.Inc(1)
 	}
-	changed := g.book.HearNotice(clock.Now(), t, s, a.sentAt)
+	changed := g.book.RecordStatement(clock.Now(), t, s, a.sentAt)
 	f := logrus.Fields{"target": t.ID, "request": a.x.call.ID}
 	if changed.Unreadable {
 		g.log.WithFields(f).Warn("Notice of the target is not readable.")
@@ -25,14 +25,14 @@
 		g.stats.notices.Inc(1)
 		g.log.WithFields(f).Info("Target announced that it is leaving.")
 	}
-	if changed.Rest {
+	if changed.Backoff {
 		g.stats.notices.Inc(1)
-		f["rest_ms"] = s.Rest.Milliseconds()
+		f["rest_ms"] = s.Backoff.Milliseconds()
 		g.log.WithFields(f).Info("Target requested a back-off.")
 	}
 	if changed.Limit {
 		g.stats.notices.Inc(1)
-		f["limited"], f["limit"] = s.Limit.Named, s.Limit.PerS
+		f["limited"], f["limit"] = s.Limit.Declared, s.Limit.PerS
 		g.log.WithFields(f).Info("Request rate limit of the target changed.")
 	}
 }
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -41,7 +41,7 @@
 	} {
 		f := newTestGateway(t, newTarget(t, withLimit(c.h)))
 		f.call(http.MethodPost, c.path, "")
-		assert.Equal(t, f.gateway.book.NoticeOf("i-0").Limit.PerS, c.want, name)
+		assert.Equal(t, f.gateway.book.ReportOf("i-0").Limit.PerS, c.want, name)
 	}
 }
 
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -27,8 +27,8 @@
 	loads := make(map[string]dispatch.Load, len(l.Targets))
 	shareSilence := !c.cfg.Off.Has(mechanism.SharedSilence)
 	for _, t := range l.Targets {
-		loads[t.Instance] = dispatch.Load{Requests: t.Requests, Unread: t.Unread}
-		c.book.SetHeard(from, t.Instance, t.Heard && shareSilence)
+		loads[t.Instance] = dispatch.Load{Requests: t.Requests, PendingPrefill: t.Unread}
+		c.book.SetResponsive(from, t.Instance, t.Heard && shareSilence)
 		if shareSilence && t.Silent && c.book.Suspect(clock.Now(), t.Instance) {
 			c.log.WithFields(logrus.Fields{"target": t.Instance, "peer": from}).Info("Another entry reports that the target is silent.")
 		}
@@ -39,7 +39,7 @@
 	if l.Full {
 		c.book.SetLoads(from, loads)
 	} else {
-		c.book.ChangeLoads(from, loads)
+		c.book.UpdateLoads(from, loads)
 	}
 }
 
@@ -50,7 +50,7 @@
 		if !ok {
 			continue
 		}
-		if c.book.Learn(clock.Now(), decoded) != (notice.Change{}) {
+		if c.book.MergeReport(clock.Now(), decoded) != (notice.Change{}) {
 			c.log.WithFields(logrus.Fields{"target": n.Instance, "peer": from, "limited": n.Limited, "limit": n.PerS, "leaving": n.Leaving}).Info("Notice of the target received from another entry.")
 		}
 	}
@@ -59,7 +59,7 @@
 // Notices implements mesh.Listener.
 func (c *Control) Notices() []peer.TargetNotice {
 	var out []peer.TargetNotice
-	for _, received := range c.book.Notices() {
+	for _, received := range c.book.Reports() {
 		out = append(out, peer.EncodeNotice(received))
 	}
 	slices.SortFunc(out, func(a, b peer.TargetNotice) int { return cmp.Compare(a.Instance, b.Instance) })
@@ -73,13 +73,13 @@
 func (c *Control) EngineState(agent peer.Presence, s *peer.EngineState) {
 	if s == nil {
 		c.log.WithField("addr", agent.Engine).Info("Agent no longer reachable.")
-		c.book.ForgetState(agent.Engine)
+		c.book.DeleteState(agent.Engine)
 		c.setHolder(agent, peer.EngineState{})
 		return
 	}
 	c.setHolder(agent, *s)
 	c.log.WithFields(logrus.Fields{"addr": s.Addr, "model": s.Model, "version": s.Version, "loading": s.Loading}).Info("Engine state received.")
-	c.book.SetState(s.Addr, dispatch.EngineState{Version: s.Version, Loading: s.Loading, Born: s.Born})
+	c.book.SetState(s.Addr, dispatch.EngineState{Version: s.Version, Loading: s.Loading, StartMs: s.Born})
 }
 
 // setHolder records which version an agent's engine holds.
@@ -110,11 +110,11 @@
 // entries.
 func (c *Control) OwnLoads() []peer.TargetLoad {
 	own := c.book.OwnLoads()
-	silent, heard := c.book.SilentTargets(clock.Now()), c.book.HeardTargets(clock.Now())
+	silent, heard := c.book.SilentTargets(clock.Now()), c.book.ResponsiveTargets(clock.Now())
 	out := make([]peer.TargetLoad, 0, len(own)+len(silent))
 	for id, l := range own {
 		_, isSilent := slices.BinarySearch(silent, id)
-		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, Unread: l.Unread, Silent: isSilent, Heard: heard[id]})
+		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, Unread: l.PendingPrefill, Silent: isSilent, Heard: heard[id]})
 	}
 	for _, id := range silent {
 		if _, listed := own[id]; !listed {
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -16,7 +16,7 @@
 	start := clock.Now()
 	defer func() { x.waited += clock.Since(start) }()
 	if x.sends == 0 {
-		x.tightest = x.g.book.Arrived(start, x.service, d)
+		x.tightest = x.g.book.RecordArrival(start, x.service, d)
 	}
 	maxWait := x.maxWait()
 	until := start.Add(maxWait)
@@ -67,12 +67,12 @@
 			return choice, verdict
 		}
 		reservation := x.g.reserver.Reserve(ctx, choice, d.Prompt)
-		if reservation == dispatch.PlaceGranted {
+		if reservation == dispatch.ReservationGranted {
 			return choice, dispatch.Chosen
 		}
 		x.g.book.Cancel(choice.Target, d)
 		x.denied++
-		retry := reservation == dispatch.PlaceHeld && (held < maxHeldTargets || clock.Now().Before(until))
+		retry := reservation == dispatch.ReservationDeferred && (held < maxHeldTargets || clock.Now().Before(until))
 		if !retry || ctx.Err() != nil {
 			return choice, dispatch.Saturated
 		}
@@ -84,11 +84,11 @@
 	x.logUnplaced(v, c, d)
 	switch v {
 	case dispatch.Saturated:
-		x.g.book.Refused(clock.Now(), x.service, d)
+		x.g.book.RecordRefusal(clock.Now(), x.service, d)
 		return ReasonSaturated
 	case dispatch.Paced:
 		x.nextFreeAt = c.FreeAt
-		x.g.book.Refused(clock.Now(), x.service, d)
+		x.g.book.RecordRefusal(clock.Now(), x.service, d)
 		return ReasonPaced
 	}
 	return ReasonNoTarget
@@ -97,7 +97,7 @@
 // demand returns what the request currently requires of a target.
 func (x *exchange) demand() dispatch.Demand {
 	d := dispatch.Demand{Prompt: x.call.Prompt, Objective: x.route.Objective, MaxGap: x.route.MaxGap, Domain: x.g.cfg.Domain,
-		Homes: x.homes()}
+		HomeRegions: x.homes()}
 	switch {
 	case x.started:
 		d.Standing = dispatch.Resumed
@@ -108,10 +108,10 @@
 }
 
 // homes returns the regions in which the request may run.
-func (x *exchange) homes() residency.Homes {
-	h := residency.Homes{Route: x.route.Homes}
+func (x *exchange) homes() residency.HomeRegions {
+	h := residency.HomeRegions{Route: x.route.HomeRegions}
 	if x.team != nil {
-		h.Team = x.team.Homes
+		h.Team = x.team.HomeRegions
 	}
 	return h
 }
@@ -120,7 +120,7 @@
 	f := logrus.Fields{"request": x.call.ID, "service": x.service, "verdict": v.String(), "avoid": len(x.avoid),
 		"standing": d.Standing.String()}
 	if c.Target != nil {
-		f["target"], f["load"], f["unread"] = c.Instance.ID, c.Load.Requests, c.Load.Unread
+		f["target"], f["load"], f["unread"] = c.Instance.ID, c.Load.Requests, c.Load.PendingPrefill
 		f["forecast_ms"], f["forecast_wait_ms"] = c.Forecast.FirstEvent.Milliseconds(), c.Forecast.Wait.Milliseconds()
 		f["max_wait_ms"], f["max_load"] = c.Admission.MaxWait.Milliseconds(), c.Admission.MaxLoad
 	}
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -53,7 +53,7 @@
 			continue
 		}
 		retained := *old
-		retained.Doubtful = true
+		retained.Unlisted = true
 		listed[id] = &retained
 		vanished[id] = listable
 		out = append(out, &retained)
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -155,12 +155,12 @@
 func (x *exchange) logSending(c dispatch.Choice) {
 	listed := x.g.cfg.Copy()
 	f := logrus.Fields{"request": x.call.ID, "target": c.Instance.ID, "addr": c.Instance.Addr, "load": c.Load.Requests,
-		"unread": c.Load.Unread, "forecast_ms": c.Forecast.FirstEvent.Milliseconds(), "wait_ms": x.waited.Milliseconds(),
-		"send": x.sends + 1, "content": x.content.String(), "entry": c.Entry, "copy": listed.Revision, "copy_age_ms": listed.Age.Milliseconds()}
-	if c.Doubtful {
+		"unread": c.Load.PendingPrefill, "forecast_ms": c.Forecast.FirstEvent.Milliseconds(), "wait_ms": x.waited.Milliseconds(),
+		"send": x.sends + 1, "content": x.content.String(), "entry": c.EntryRevision, "copy": listed.Revision, "copy_age_ms": listed.Age.Milliseconds()}
+	if c.Unlisted {
 		f["doubtful"] = true
 	}
-	if c.Limit.Named {
+	if c.Limit.Declared {
 		f["limit"] = c.Limit.PerS
 	}
 	x.g.log.WithFields(f).Info("Sending request to target.")
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -22,7 +22,7 @@
 type node struct {
 	mesh   *Mesh
 	table  *mirror.Table
-	book   *dispatch.Book
+	book   *dispatch.Balancer
 	homes  *Reserver
 	server *peer.Server
 
@@ -38,7 +38,7 @@
 	t.Helper()
 	n := &node{table: mirror.NewTable(""), loads: map[string]int{}, engines: map[string]*peer.EngineState{},
 		assignments: make(chan peer.Assignment, 16), changed: make(chan struct{}),
-		book: dispatch.NewBook(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))}
+		book: dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))}
 	hello, meter := peer.Hello{Host: name}, &peer.Meter{}
 	self := peer.Presence{Host: name, Domain: "a", Incarnation: incarnation}
 	if agent {
@@ -104,7 +104,7 @@
 		}
 		for _, x := range l.Notices {
 			if told, ok := x.Decode(); ok {
-				n.book.Learn(clock.Now(), told)
+				n.book.MergeReport(clock.Now(), told)
 			}
 		}
 	})
@@ -124,7 +124,7 @@
 
 func (n *node) Notices() []peer.TargetNotice {
 	var out []peer.TargetNotice
-	for _, told := range n.book.Notices() {
+	for _, told := range n.book.Reports() {
 		out = append(out, peer.EncodeNotice(told))
 	}
 	return out
@@ -197,7 +197,7 @@
 			id = candidate
 		}
 	}
-	model := &fleet.EngineModel{Model: "m", Slots: 1, Step: 10 * time.Millisecond, PrefillRate: 1000, Stride: 1, MeanAnswer: 100, Layers: 1}
+	model := &fleet.EngineModel{Model: "m", Slots: 1, Step: 10 * time.Millisecond, PrefillRate: 1000, StepsPerPass: 1, MeanAnswer: 100, Layers: 1}
 	instance := &fleet.Instance{ID: id, Service: "s", Domain: "a", Models: []fleet.ModelVersion{{Model: "m", Version: 1, Layers: 1}}}
 	services := map[string]*fleet.Service{"s": {Name: "s", Engine: model}}
 	for _, n := range []*node{a, b} {
@@ -205,8 +205,8 @@
 	}
 	b.homes.timeout = time.Minute
 	choice := dispatch.Choice{Instance: *instance, Admission: dispatch.Admission{MaxWait: 100 * time.Millisecond}}
-	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted)
-	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceDenied, "the home has granted its only place")
+	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationGranted)
+	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationDenied, "the home has granted its only place")
 	a.server.Close()
-	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted, "nobody to ask")
+	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationGranted, "nobody to ask")
 }
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -17,7 +17,7 @@
 // gateway.Reserver.
 type Reserver struct {
 	mesh *Mesh
-	book *dispatch.Book
+	book *dispatch.Balancer
 	// timeout bounds the question. The way to another region and back takes
 	// 6 ms; a home that is slower is not waited for.
 	timeout time.Duration
@@ -30,7 +30,7 @@
 const reserveTimeout = 25 * time.Millisecond
 
 // NewReserver returns a reserver that answers for this entry's book.
-func NewReserver(m *Mesh, b *dispatch.Book, off mechanism.Off) *Reserver {
+func NewReserver(m *Mesh, b *dispatch.Balancer, off mechanism.Off) *Reserver {
 	counter := func(name string) metrics.Counter { return metrics.NewRegisteredCounter("mesh.places_"+name, m.metrics) }
 	return &Reserver{mesh: m, book: b, timeout: reserveTimeout, off: off.Has(mechanism.Homes),
 		granted: counter("granted"), denied: counter("denied"), unanswered: counter("unanswered")}
@@ -41,7 +41,7 @@
 	t := c.Instance
 	home := r.mesh.home(t.ID, t.Domain)
 	if r.off || home == r.mesh.self.Addr {
-		return dispatch.PlaceGranted // the own book has decided
+		return dispatch.ReservationGranted // the own book has decided
 	}
 	reply, ok := r.ask(ctx, home, c, prompt)
 	if !ok {
@@ -49,34 +49,34 @@
 		return r.unsure(c)
 	}
 	if told, ok := reply.Notice.Decode(); ok {
-		r.book.Learn(clock.Now(), told)
+		r.book.MergeReport(clock.Now(), told)
 	}
 	switch {
 	case reply.Granted && !reply.Known:
 		return r.unsure(c)
 	case reply.Granted:
 		r.granted.Inc(1)
-		return dispatch.PlaceGranted
+		return dispatch.ReservationGranted
 	}
 	r.denied.Inc(1)
 	switch {
 	case reply.Notice.Leaving:
-		return dispatch.PlaceHeld
+		return dispatch.ReservationDeferred
 	case reply.WaitMs > 0:
-		r.book.Hold(clock.Now(), t.ID, time.Duration(reply.WaitMs)*time.Millisecond)
-		return dispatch.PlaceHeld
+		r.book.BackOff(clock.Now(), t.ID, time.Duration(reply.WaitMs)*time.Millisecond)
+		return dispatch.ReservationDeferred
 	}
-	return dispatch.PlaceDenied
+	return dispatch.ReservationDenied
 }
 
 // unsure decides on a target whose home says nothing of it. What others send to one that
 // takes a bounded rate must be known.
 func (r *Reserver) unsure(c dispatch.Choice) dispatch.Reservation {
 	if !c.Paced {
-		return dispatch.PlaceGranted
+		return dispatch.ReservationGranted
 	}
-	r.book.HoldUnanswered(clock.Now(), c.Instance.ID)
-	return dispatch.PlaceHeld
+	r.book.BackOffUnanswered(clock.Now(), c.Instance.ID)
+	return dispatch.ReservationDeferred
 }
 
 // ask asks a home for a place; ok is false if it does not answer in time.
@@ -85,7 +85,7 @@
 	defer cancel()
 	msg, err := r.mesh.pool.Call(ctx, home, peer.Traffic, &peer.Reserve{From: r.mesh.self.Addr, Instance: c.Instance.ID,
 		Prompt: prompt, MaxWaitMs: c.Admission.MaxWait.Milliseconds(), MaxGapMs: c.Admission.MaxGap.Milliseconds(),
-		MaxLoad: c.Admission.MaxLoad, Notice: peer.EncodeNotice(r.book.NoticeOf(c.Instance.ID))})
+		MaxLoad: c.Admission.MaxLoad, Notice: peer.EncodeNotice(r.book.ReportOf(c.Instance.ID))})
 	if err != nil {
 		return nil, false
 	}
@@ -96,13 +96,13 @@
 // Serve answers another entry.
 func (r *Reserver) Serve(ctx context.Context, s *peer.Stream, q *peer.Reserve) {
 	if told, ok := q.Notice.Decode(); ok {
-		r.book.Learn(clock.Now(), told)
+		r.book.MergeReport(clock.Now(), told)
 	}
 	p := r.book.Reserve(clock.Now(), q.From, q.Instance, q.Prompt, dispatch.Admission{
 		MaxWait: time.Duration(q.MaxWaitMs) * time.Millisecond, MaxGap: time.Duration(q.MaxGapMs) * time.Millisecond,
 		MaxLoad: q.MaxLoad})
 	// The asker does not wait long for an answer.
-	_ = s.SendLast(ctx, &peer.ReserveReply{Granted: p.Granted, Known: p.Known, WaitMs: milliseconds(p.Wait), Notice: peer.EncodeNotice(p.Told)})
+	_ = s.SendLast(ctx, &peer.ReserveReply{Granted: p.Granted, Known: p.Known, WaitMs: milliseconds(p.Wait), Notice: peer.EncodeNotice(p.Report)})
 }
 
 // home returns the entry that decides who may use a target.
--- a/mesh/reserve_test.go
+++ b/mesh/reserve_test.go
@@ -37,7 +37,7 @@
 
 func nameLimit(n *node, target *fleet.Instance, perS float64) {
 	now := clock.Now()
-	n.book.HearNotice(now, *target, notice.Statement{Limit: notice.Limit{Named: true, PerS: perS}}, now)
+	n.book.RecordStatement(now, *target, notice.Statement{Limit: notice.Limit{Declared: true, PerS: perS}}, now)
 }
 
 func paced(target *fleet.Instance) dispatch.Choice {
@@ -48,8 +48,8 @@
 func TestHomeLearnsALimitFromTheAsker(t *testing.T) {
 	home, asker, target := homeAndAsker(t)
 	nameLimit(asker, target, 1)
-	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(target), 10), dispatch.PlaceHeld)
-	assert.Equal(t, home.book.NoticeOf(target.ID).Limit.PerS, 1.0)
+	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(target), 10), dispatch.ReservationDeferred)
+	assert.Equal(t, home.book.ReportOf(target.ID).Limit.PerS, 1.0)
 }
 
 func TestAskerLearnsALimitFromTheHome(t *testing.T) {
@@ -57,8 +57,8 @@
 	nameLimit(home, target, 1)
 	choice := paced(target)
 	choice.Paced = false
-	assert.Equal(t, asker.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceHeld)
-	assert.Equal(t, asker.book.NoticeOf(target.ID).Limit.PerS, 1.0)
+	assert.Equal(t, asker.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationDeferred)
+	assert.Equal(t, asker.book.ReportOf(target.ID).Limit.PerS, 1.0)
 }
 
 // An entry that could not ask the home took a place as granted, also at a target whose
@@ -67,17 +67,17 @@
 	home, asker, target := homeAndAsker(t)
 	unknown := *target
 	unknown.ID = homedAt(asker, home, "unknown")
-	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(&unknown), 10), dispatch.PlaceHeld, "a home that does not know it")
+	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(&unknown), 10), dispatch.ReservationDeferred, "a home that does not know it")
 	home.server.Close()
-	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(target), 10), dispatch.PlaceHeld, "nobody to ask")
+	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(target), 10), dispatch.ReservationDeferred, "nobody to ask")
 	choice := paced(target)
 	choice.Paced = false
-	assert.Equal(t, asker.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted)
+	assert.Equal(t, asker.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationGranted)
 }
 
 // Entries tell each other of limits in their accounts.
 func TestFullAccountsTellOfLimits(t *testing.T) {
 	home, asker, target := homeAndAsker(t)
 	nameLimit(asker, target, 2)
-	home.until(t, "the limit", func() bool { return home.book.NoticeOf(target.ID).Limit.PerS == 2 })
+	home.until(t, "the limit", func() bool { return home.book.ReportOf(target.ID).Limit.PerS == 2 })
 }
--- a/residency/residency_test.go
+++ b/residency/residency_test.go
@@ -11,19 +11,19 @@
 	north, south := []string{"north"}, []string{"south"}
 	for name, c := range map[string]struct {
 		evacuated []string
-		homes     Homes
-		want      string // domains of a, b, c and x that may run it
+		homes     HomeRegions
+		want      string // those of the domains a, b, c and x that may run it
 	}{
-		"anywhere":                 {nil, Homes{}, "abcx"},
-		"home of the route":        {nil, Homes{Route: north}, "ab"},
-		"home of the team":         {nil, Homes{Team: south}, "c"},
-		"both bind":                {nil, Homes{Route: []string{"north", "south"}, Team: south}, "c"},
-		"homes without a region":   {nil, Homes{Route: north, Team: south}, ""},
-		"home that is not known":   {nil, Homes{Route: []string{"east"}}, ""},
-		"evacuated":                {[]string{"a"}, Homes{}, "bcx"},
-		"evacuated home":           {[]string{"c"}, Homes{Team: south}, ""},
-		"evacuation of no domain":  {[]string{"nowhere"}, Homes{}, "abcx"},
-		"evacuated and other home": {[]string{"a"}, Homes{Route: north}, "b"},
+		"anywhere":                        {nil, HomeRegions{}, "abcx"},
+		"home of the route":               {nil, HomeRegions{Route: north}, "ab"},
+		"home of the team":                {nil, HomeRegions{Team: south}, "c"},
+		"route and team both restrict":    {nil, HomeRegions{Route: []string{"north", "south"}, Team: south}, "c"},
+		"no common region":                {nil, HomeRegions{Route: north, Team: south}, ""},
+		"unknown home region":             {nil, HomeRegions{Route: []string{"east"}}, ""},
+		"evacuated":                       {[]string{"a"}, HomeRegions{}, "bcx"},
+		"evacuated home":                  {[]string{"c"}, HomeRegions{Team: south}, ""},
+		"evacuation of an unknown domain": {[]string{"nowhere"}, HomeRegions{}, "abcx"},
+		"evacuated, another home left":    {[]string{"a"}, HomeRegions{Route: north}, "b"},
 	} {
 		p, got := New(regions, c.evacuated), ""
 		for _, d := range []string{"a", "b", "c", "x"} {
@@ -35,10 +35,10 @@
 	}
 }
 
-// Without a policy a request with homes runs nowhere: no region is known.
-func TestNothingKnown(t *testing.T) {
+// Without a policy no region is known, so a request with home regions may not run anywhere.
+func TestNilPolicy(t *testing.T) {
 	var p *Policy
-	assert.Assert(t, p.Allows("a", Homes{}))
-	assert.Assert(t, !p.Allows("a", Homes{Route: []string{"north"}}))
+	assert.Assert(t, p.Allows("a", HomeRegions{}))
+	assert.Assert(t, !p.Allows("a", HomeRegions{Route: []string{"north"}}))
 	assert.Assert(t, !p.Evacuated("a"))
 }
--- a/sidecar/doubt.go
+++ b/sidecar/doubt.go
@@ -108,7 +108,7 @@
 // begins only one of all orders with the same precondition.
 func (d inDoubtOrder) settled(now time.Time, model string, r Report, serving int, grace time.Duration) string {
 	switch {
-	case !fleet.SameLife(d.startTimeMs, r.StartTimeMs):
+	case !fleet.SameIncarnation(d.startTimeMs, r.StartTimeMs):
 		return "engine_restarted"
 	case r.Sequence > d.sequence:
 		return "begun"
@@ -174,7 +174,7 @@
 // delayed order with precondition 0 is acceptable to it once more. If the staged version is
 // complete, it is loaded first, which settles this.
 func (s *Sidecar) reopenAfterRestart(now time.Time, r Report) {
-	newProcess := !fleet.SameLife(s.startTimeMs, r.StartTimeMs)
+	newProcess := !fleet.SameIncarnation(s.startTimeMs, r.StartTimeMs)
 	restarted := !s.up || newProcess || r.Sequence < s.sequence
 	s.sequence, s.startTimeMs = r.Sequence, r.StartTimeMs
 	if newProcess {
--- a/sidecar/wanted.go
+++ b/sidecar/wanted.go
@@ -26,7 +26,7 @@
 
 // supersedes reports whether av is better information about an announcement than old.
 func (av announcedVersion) supersedes(old announcedVersion) bool {
-	return fleet.Announcement{At: av.announced, Guessed: av.guessed}.TellsMore(fleet.Announcement{At: old.announced, Guessed: old.guessed})
+	return fleet.Announcement{At: av.announced, Estimated: av.guessed}.Supersedes(fleet.Announcement{At: old.announced, Estimated: old.guessed})
 }
 
 // assignmentState combines the assignments of all entries: the newest assignment, and the
