--- a/agent/agent.go
+++ b/agent/agent.go
@@ -209,7 +209,7 @@
 		if s.Send(ctx, st) != nil {
 			return
 		}
-		t := clock.NewTimer(a.cfg.StatusEvery)
+		t := clock.NewTimer(a.cfg.StatusInterval)
 		select {
 		case <-changed:
 			t.Stop()
--- a/agent/config.go
+++ b/agent/config.go
@@ -20,10 +20,10 @@
 	// TargetURL is the base URL of the target on this host.
 	TargetURL string
 
-	// StatusEvery is the longest time between two status messages to an
+	// StatusInterval is the longest time between two status messages to an
 	// entry. It must be well below the age at which entries stop choosing the
 	// host. Default 800 ms.
-	StatusEvery time.Duration
+	StatusInterval time.Duration
 	// DrainTimeout bounds how long a leaving agent waits for requests that
 	// run. Default 10 min.
 	DrainTimeout time.Duration
@@ -53,7 +53,7 @@
 }
 
 func (c Config) applyDefaults() Config {
-	c.StatusEvery = cmp.Or(c.StatusEvery, 800*time.Millisecond)
+	c.StatusInterval = cmp.Or(c.StatusInterval, 800*time.Millisecond)
 	c.DrainTimeout = cmp.Or(c.DrainTimeout, 10*time.Minute)
 	c.ResumeGrace = cmp.Or(c.ResumeGrace, 15*time.Second)
 	c.LoadTimeout = cmp.Or(c.LoadTimeout, 5*time.Minute)
