--- a/agent/config.go
+++ b/agent/config.go
@@ -43,9 +43,9 @@
 	// LinkRate paces weight transfer in each direction, in bytes a second.
 	// Zero means no pacing.
 	LinkRate float64
-	// HaveEvery is the time between two messages about chunks gained.
+	// HaveInterval is the time between two messages about chunks gained.
 	// Default 200 ms.
-	HaveEvery time.Duration
+	HaveInterval time.Duration
 
 	Idempotency idempotency.Config
 	Spread      spread.Config
@@ -59,7 +59,7 @@
 	c.LoadTimeout = cmp.Or(c.LoadTimeout, 5*time.Minute)
 	c.AnswerMemory = cmp.Or(c.AnswerMemory, 32<<20)
 	c.WeightMemory = cmp.Or(c.WeightMemory, 1<<30)
-	c.HaveEvery = cmp.Or(c.HaveEvery, 200*time.Millisecond)
+	c.HaveInterval = cmp.Or(c.HaveInterval, 200*time.Millisecond)
 	c.Idempotency.AtDate = clock.AtDate
 	c.Idempotency = c.Idempotency.ApplyDefaults()
 	c.Control.History = c.Idempotency.History()
--- a/agent/holdings.go
+++ b/agent/holdings.go
@@ -95,7 +95,7 @@
 		}
 		select {
 		case <-changed:
-			loop.Sleep(ctx, w.cfg.HaveEvery)
+			loop.Sleep(ctx, w.cfg.HaveInterval)
 		case <-ctx.Done():
 		}
 		if ctx.Err() != nil {
