--- a/agent/agent.go
+++ b/agent/agent.go
@@ -21,7 +21,7 @@
 	"github.com/springgate/springgate/telemetry"
 )
 
-// Agent is the process beside one target.
+// Agent is the process that runs next to one target and handles all requests to it.
 type Agent struct {
 	cfg        Config
 	log        *logrus.Entry
@@ -35,7 +35,7 @@
 	supervisor *supervisor
 	permits    *permits
 	target     *target.Client
-	active     sync.WaitGroup  // requests not yet ended and delivered
+	active     sync.WaitGroup  // requests that run or whose answer is not delivered yet
 	ctx        context.Context // of Run
 	cancel     context.CancelFunc
 
@@ -45,8 +45,8 @@
 	leaving bool
 }
 
-// New starts the listener of an agent. cfg.Control.Addr may end in port 0; the
-// address in use is then filled in. Run does the rest.
+// New returns an agent whose listener is started. If cfg.Control.Addr has port 0, a
+// free port is chosen, which Addr reports. The agent serves once Run is called.
 func New(cfg Config, service *configservice.Client, hosts *hostlist.Client, log logrus.FieldLogger) (*Agent, error) {
 	cfg = cfg.applyDefaults()
 	if cfg.Control.Incarnation == 0 {
@@ -90,10 +90,10 @@
 // Metrics returns the agent's metrics.
 func (a *Agent) Metrics() metrics.Registry { return a.metrics }
 
-// Ready reports whether the target takes requests.
+// Ready reports whether the target accepts requests.
 func (a *Agent) Ready() bool { return a.status().Ready }
 
-// Run serves until ctx is done. It does not drain; Drain does.
+// Run serves until ctx is done. It does not drain; call Drain first for that.
 func (a *Agent) Run(ctx context.Context) {
 	a.log.WithField("addr", a.Addr()).Info("Agent started.")
 	defer a.cancel()
@@ -109,7 +109,7 @@
 	wg.Wait()
 }
 
-// configure passes a new snapshot on to the parts. It runs on the control
+// configure passes a new snapshot to the components. It runs on the control
 // goroutine.
 func (a *Agent) configure(s *control.Snapshot) {
 	a.requests.loop.Post(func() { a.requests.configure(s) })
@@ -121,13 +121,13 @@
 	}
 }
 
-// Leave refuses new work from now on. It does not wait.
+// Leave makes the agent refuse new requests from now on. It does not wait for running ones.
 func (a *Agent) Leave() {
 	a.mu.Lock()
-	was := a.leaving
+	wasLeaving := a.leaving
 	a.leaving = true
 	a.mu.Unlock()
-	if was {
+	if wasLeaving {
 		return
 	}
 	a.log.Info("Leaving. No new work is taken.")
@@ -136,13 +136,13 @@
 	a.statusChanged()
 }
 
-// Drain leaves and waits until all requests have ended, at most for the drain
-// timeout.
+// Drain calls Leave and waits until all requests have ended and their answers are
+// delivered, at most for the drain time-out.
 func (a *Agent) Drain(ctx context.Context) {
 	a.Leave()
 	ctx, cancel := clock.WithTimeout(ctx, a.cfg.DrainTimeout)
 	defer cancel()
-	_ = a.requests.loop.Call(func() {}) // after leave, no request starts
+	_ = a.requests.loop.Call(func() {}) // runs after the posted leave, so no request starts any more
 	done := make(chan struct{})
 	go func() {
 		a.active.Wait()
@@ -189,7 +189,7 @@
 	}
 }
 
-// statusChanged makes watchers hear the new status at once.
+// statusChanged makes handleWatch send the new status immediately.
 func (a *Agent) statusChanged() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -197,7 +197,7 @@
 	a.changed = make(chan struct{})
 }
 
-// handleWatch tells an entry the agent's status, at once when it changes and
+// handleWatch sends the agent's status to an entry, immediately when it changes and
 // otherwise at the status interval.
 func (a *Agent) handleWatch(ctx context.Context, s *peer.Stream) {
 	for {
@@ -205,7 +205,7 @@
 		changed := a.changed
 		a.mu.Unlock()
 		st := a.status()
-		st.Host, st.Version = "", "" // the entry needs neither, and there are many
+		st.Host, st.Version = "", "" // not needed by the entry, and status messages are frequent
 		if s.Send(ctx, st) != nil {
 			return
 		}
@@ -213,7 +213,7 @@
 		select {
 		case <-changed:
 			t.Stop()
-			loop.Sleep(ctx, statusBatch)
+			loop.Sleep(ctx, minStatusInterval)
 		case <-t.C:
 		case <-ctx.Done():
 			t.Stop()
@@ -222,8 +222,9 @@
 	}
 }
 
-// statusBatch is the shortest time between two status messages.
-const statusBatch = 20 * time.Millisecond
+// minStatusInterval is the minimum time between two status messages. Changes within it
+// are sent together.
+const minStatusInterval = 20 * time.Millisecond
 
 func (a *Agent) status() *peer.Status {
 	service, kind, _ := a.supervisor.wanted()
--- a/agent/answer.go
+++ b/agent/answer.go
@@ -10,34 +10,35 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// Bounds of the memory of one answer.
+// Limits of the buffer of one answer.
 const (
-	// pieceSize is the length of a data frame in bytes.
-	pieceSize = 16 << 10
-	// retained is kept behind the last byte sent, so that an answer can be
-	// resumed: it covers all frames that can be on the way.
-	retained = 512 << 10
-	// ahead is how far the target may run ahead of the entry.
-	ahead = 256 << 10
+	// dataFrameSize is the maximum payload of a data frame, in bytes.
+	dataFrameSize = 16 << 10
+	// retainedBytes is how much of the answer is kept after it was sent, so that
+	// it can be resumed. It covers all frames that can be in transit.
+	retainedBytes = 512 << 10
+	// maxAheadBytes is how far the target may be ahead of the reader before the
+	// writer blocks.
+	maxAheadBytes = 256 << 10
 )
 
-// errGone means that the wanted part of an answer is no longer held.
-var errGone = errors.New("agent: part of the answer is no longer held")
+// errNotHeld is returned if the requested part of an answer is no longer buffered.
+var errNotHeld = errors.New("agent: part of the answer is no longer held")
 
-// answer buffers what a target answers to one attempt. One goroutine writes;
-// one at a time reads.
+// answer buffers the target's answer to one attempt. It supports one writer and one
+// reader at a time.
 type answer struct {
 	mu      sync.Mutex
 	changed chan struct{} // closed and replaced at each change
 	head    *peer.Head
 	buf     []byte
 	base    int64 // offset of buf[0]
-	sent    int64 // highest offset handed to a reader
+	sent    int64 // end offset of the data passed to a reader
 	sum     *xxhash.Digest
 	ended   bool
-	failure outcome.Reason // set if the answer broke off
+	failure outcome.Reason // set if the answer is incomplete
 
-	delivered chan struct{} // closed when a reader has got the end
+	delivered chan struct{} // closed when the end has been sent to a reader
 	once      sync.Once
 }
 
@@ -45,8 +46,8 @@
 	return &answer{changed: make(chan struct{}), sum: xxhash.New(), delivered: make(chan struct{})}
 }
 
-// deliver notes that a reader has got the end of the answer.
-func (a *answer) deliver() { a.once.Do(func() { close(a.delivered) }) }
+// markDelivered records that the end of the answer has been sent to a reader.
+func (a *answer) markDelivered() { a.once.Do(func() { close(a.delivered) }) }
 
 func (a *answer) notify() {
 	close(a.changed)
@@ -60,11 +61,12 @@
 	a.notify()
 }
 
-// write appends p. It blocks while the reader is too far behind.
+// write appends p. It blocks while the buffered data is more than maxAheadBytes ahead of
+// the reader.
 func (a *answer) write(ctx context.Context, p []byte) error {
 	for {
 		a.mu.Lock()
-		if a.base+int64(len(a.buf)) <= a.sent+ahead {
+		if a.base+int64(len(a.buf)) <= a.sent+maxAheadBytes {
 			a.append(p)
 			a.mu.Unlock()
 			return nil
@@ -82,14 +84,14 @@
 func (a *answer) append(p []byte) {
 	_, _ = a.sum.Write(p)
 	a.buf = append(a.buf, p...)
-	if drop := a.sent - retained - a.base; drop > pieceSize {
+	if drop := a.sent - retainedBytes - a.base; drop > dataFrameSize {
 		a.buf = append([]byte(nil), a.buf[drop:]...)
 		a.base += drop
 	}
 	a.notify()
 }
 
-// end marks the answer as whole.
+// end marks the answer as complete.
 func (a *answer) end() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -97,7 +99,7 @@
 	a.notify()
 }
 
-// fail marks the answer as broken off.
+// fail marks the answer as incomplete for the given reason.
 func (a *answer) fail(r outcome.Reason) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -107,7 +109,7 @@
 	}
 }
 
-// fromStart reports whether the answer can still be sent from its start.
+// fromStart reports whether the answer is still buffered from its first byte.
 func (a *answer) fromStart() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -120,16 +122,16 @@
 	return int64(cap(a.buf))
 }
 
-// piece is the next thing to send to the reader.
-type piece struct {
+// answerPart is the next part to send to the reader: the head, data, the end or a failure.
+type answerPart struct {
 	head    *peer.Head
 	data    []byte
 	end     *peer.End
 	failure outcome.Reason
 }
 
-// next returns what follows offset, waiting for it if needed.
-func (a *answer) next(ctx context.Context, offset int64, needHead bool) (piece, error) {
+// next returns the part of the answer at offset and waits until it is available.
+func (a *answer) next(ctx context.Context, offset int64, needHead bool) (answerPart, error) {
 	for {
 		a.mu.Lock()
 		p, ok, err := a.available(offset, needHead)
@@ -141,37 +143,37 @@
 		select {
 		case <-wait:
 		case <-ctx.Done():
-			return piece{}, ctx.Err()
+			return answerPart{}, ctx.Err()
 		}
 	}
 }
 
-func (a *answer) available(offset int64, needHead bool) (piece, bool, error) {
+func (a *answer) available(offset int64, needHead bool) (answerPart, bool, error) {
 	length := a.base + int64(len(a.buf))
 	switch {
 	case needHead && a.head != nil:
-		return piece{head: a.head}, true, nil
+		return answerPart{head: a.head}, true, nil
 	case a.failure != "":
-		return piece{failure: a.failure}, true, nil
+		return answerPart{failure: a.failure}, true, nil
 	case needHead:
-		return piece{}, false, nil
+		return answerPart{}, false, nil
 	case offset < a.base || offset > length:
-		return piece{}, false, errGone
+		return answerPart{}, false, errNotHeld
 	case offset < length:
-		return a.cut(offset), true, nil
+		return a.nextData(offset), true, nil
 	case a.ended:
-		return piece{end: &peer.End{Length: length, Sum: a.sum.Sum64()}}, true, nil
+		return answerPart{end: &peer.End{Length: length, Sum: a.sum.Sum64()}}, true, nil
 	}
-	return piece{}, false, nil
+	return answerPart{}, false, nil
 }
 
-// cut copies the next piece of data and lets the writer go on.
-func (a *answer) cut(offset int64) piece {
+// nextData copies the data of the next frame and unblocks the writer.
+func (a *answer) nextData(offset int64) answerPart {
 	from := a.buf[offset-a.base:]
-	data := append([]byte(nil), from[:min(len(from), pieceSize)]...)
+	data := append([]byte(nil), from[:min(len(from), dataFrameSize)]...)
 	if end := offset + int64(len(data)); end > a.sent {
 		a.sent = end
 		a.notify()
 	}
-	return piece{data: data}
+	return answerPart{data: data}
 }
--- a/agent/attach.go
+++ b/agent/attach.go
@@ -9,56 +9,55 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// attachment tracks whether an entry listens to a running request.
+// attachment tracks whether a stream to an entry is attached to a running request.
 type attachment struct {
-	mu      sync.Mutex
-	readers int
-	left    bool          // the caller left: the stream was reset
-	changed chan struct{} // closed and replaced at each change
+	mu         sync.Mutex
+	readers    int
+	callerLeft bool          // the entry reset the stream because the caller disconnected
+	changed    chan struct{} // closed and replaced at each change
 }
 
-func (t *attachment) signal() {
+func (t *attachment) notify() {
 	if t.changed != nil {
 		close(t.changed)
 	}
 	t.changed = make(chan struct{})
 }
 
-// attach notes that the stream with context ctx listens, until ctx ends. A
-// stream that the entry reset, while its connection lives, means that the
-// caller left.
+// attach records the stream with context ctx as attached until ctx ends. If the entry
+// reset the stream while its connection stayed up, the caller has disconnected.
 func (t *attachment) attach(ctx context.Context) {
 	t.mu.Lock()
 	t.readers++
-	t.signal()
+	t.notify()
 	t.mu.Unlock()
 	context.AfterFunc(ctx, func() {
 		t.mu.Lock()
 		defer t.mu.Unlock()
 		t.readers--
-		t.left = t.left || errors.Is(context.Cause(ctx), peer.ErrReset)
-		t.signal()
+		t.callerLeft = t.callerLeft || errors.Is(context.Cause(ctx), peer.ErrReset)
+		t.notify()
 	})
 }
 
-// state returns whether a reader is attached, whether the caller left, and a
-// channel that is closed at the next change.
-func (t *attachment) state() (attached, left bool, changed <-chan struct{}) {
+// state returns whether a reader is attached, whether the caller has disconnected, and
+// a channel that is closed at the next change.
+func (t *attachment) state() (attached, callerLeft bool, changed <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.changed == nil {
 		t.changed = make(chan struct{})
 	}
-	return t.readers > 0, t.left, t.changed
+	return t.readers > 0, t.callerLeft, t.changed
 }
 
-// waitDetached waits until no entry listens. It reports whether the caller
-// left for good.
-func (t *attachment) waitDetached(ctx context.Context) (left bool) {
+// waitDetached waits until no stream is attached. It reports whether the caller has
+// disconnected.
+func (t *attachment) waitDetached(ctx context.Context) (callerLeft bool) {
 	for {
-		attached, left, changed := t.state()
+		attached, callerLeft, changed := t.state()
 		if !attached {
-			return left
+			return callerLeft
 		}
 		select {
 		case <-changed:
@@ -68,8 +67,9 @@
 	}
 }
 
-// attached returns a channel that is closed when an entry listens again.
-func (t *attachment) attached() <-chan struct{} {
+// reattached returns a channel that is closed when a stream is attached again. It is
+// called while none is.
+func (t *attachment) reattached() <-chan struct{} {
 	_, _, changed := t.state()
 	return changed
 }
@@ -78,18 +78,18 @@
 type bodyReader struct {
 	ctx    context.Context
 	stream *peer.Stream
-	// received is told the length of each piece.
+	// received is called with the length of each frame's data.
 	received func(int)
-	rest     []byte
+	unread   []byte
 	last     bool
 }
 
-// errBody means that a frame of another kind came in the middle of a body.
-var errBody = errors.New("agent: unexpected frame in a request body")
+// errUnexpectedFrame is returned if a frame of another kind is received within a body.
+var errUnexpectedFrame = errors.New("agent: unexpected frame in a request body")
 
 // Read implements io.Reader.
 func (b *bodyReader) Read(p []byte) (int, error) {
-	for len(b.rest) == 0 {
+	for len(b.unread) == 0 {
 		if b.last {
 			return 0, io.EOF
 		}
@@ -102,12 +102,12 @@
 		}
 		body, ok := m.(*peer.Body)
 		if !ok {
-			return 0, errBody
+			return 0, errUnexpectedFrame
 		}
-		b.rest, b.last = body.Data, body.Last
+		b.unread, b.last = body.Data, body.Last
 		b.received(len(body.Data))
 	}
-	n := copy(p, b.rest)
-	b.rest = b.rest[n:]
+	n := copy(p, b.unread)
+	b.unread = b.unread[n:]
 	return n, nil
 }
--- a/agent/chunks.go
+++ b/agent/chunks.go
@@ -7,10 +7,10 @@
 	"github.com/springgate/springgate/digest"
 )
 
-// errWeightMemory means that a version does not fit in the memory allowed.
+// errWeightMemory is returned if a version exceeds the weight memory limit.
 var errWeightMemory = errors.New("agent: version does not fit in the weight memory")
 
-// chunks holds verified chunks and manifests by digest, in bounded memory.
+// chunks is a memory store of verified chunks and manifests by digest, with a size limit.
 type chunks struct {
 	limit int64
 
@@ -23,7 +23,7 @@
 	return &chunks{limit: limit, data: map[digest.Digest][]byte{}}
 }
 
-// get returns a chunk, or nil. The caller does not change it.
+// get returns a chunk, or nil. The caller must not modify it.
 func (c *chunks) get(d digest.Digest) []byte {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// keep discards all chunks but the wanted.
-func (c *chunks) keep(wanted map[digest.Digest]bool) {
+// retain discards all chunks except the wanted ones.
+func (c *chunks) retain(wanted map[digest.Digest]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for d, b := range c.data {
@@ -57,13 +57,13 @@
 	}
 }
 
-// holding is what this host holds of one version, as told to neighbours.
+// holding lists the chunks of one version that this host holds, for notifying neighbours.
 type holding struct {
 	mu      sync.Mutex
 	count   int
-	gained  []uint32 // in the order of arrival
+	added   []uint32 // in the order of arrival
 	changed chan struct{}
-	awaited map[int]chan struct{} // chunks that a peer has asked for
+	awaited map[int]chan struct{} // closed when a chunk that a peer has requested arrives
 }
 
 func newHolding(count int) *holding {
@@ -73,7 +73,7 @@
 func (h *holding) add(chunk int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.gained = append(h.gained, uint32(chunk))
+	h.added = append(h.added, uint32(chunk))
 	if c := h.awaited[chunk]; c != nil {
 		close(c)
 		delete(h.awaited, chunk)
@@ -94,10 +94,10 @@
 	return c
 }
 
-// since returns the chunks gained after the first n, and a channel that is
-// closed when there are more.
+// since returns the chunks added after the first n, and a channel that is closed when
+// more are added.
 func (h *holding) since(n int) ([]uint32, <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return append([]uint32(nil), h.gained[n:]...), h.changed
+	return append([]uint32(nil), h.added[n:]...), h.changed
 }
--- a/agent/config.go
+++ b/agent/config.go
@@ -1,6 +1,7 @@
-// Package agent is the process beside a target in the mode of `springgate serve`, in which it
-// is the only door to the target (package sidecar is the agent of the other mode): it runs requests, gives orders to the engine, holds and exchanges
-// weight chunks, and drains.
+// Package agent implements the process that runs next to a target in `springgate serve` mode,
+// in which all requests to the target pass through it. (Package sidecar implements the agent of
+// `springgate gateway` mode.) The agent runs requests, sends load orders to the engine, stores
+// and exchanges weight chunks, and drains the target.
 package agent
 
 import (
@@ -20,31 +21,31 @@
 	// TargetURL is the base URL of the target on this host.
 	TargetURL string
 
-	// StatusInterval is the longest time between two status messages to an
-	// entry. It must be well below the age at which entries stop choosing the
-	// host. Default 800 ms.
+	// StatusInterval is the maximum time between two status messages to an
+	// entry. It must be well below the status age at which entries stop
+	// selecting the host. Default 800 ms.
 	StatusInterval time.Duration
-	// DrainTimeout bounds how long a leaving agent waits for requests that
-	// run. Default 10 min.
+	// DrainTimeout bounds the wait of a leaving agent for running requests.
+	// Default 10 min.
 	DrainTimeout time.Duration
-	// ResumeGrace is how long a running request goes on without its entry.
-	// Default 15 s.
+	// ResumeGrace is how long a running request continues while no entry is
+	// attached to it. Default 15 s.
 	ResumeGrace time.Duration
-	// AnswerMemory bounds the held answers of finished requests, in bytes.
+	// AnswerMemory bounds the memory for answers of finished requests, in bytes.
 	// Default 32 MiB.
 	AnswerMemory int64
 
-	// LoadTimeout is how long an engine may take to report what it was told to
-	// load before it is told again. Default 5 min.
+	// LoadTimeout is how long an engine may take to report the ordered versions
+	// as loaded before the order is repeated. Default 5 min.
 	LoadTimeout time.Duration
 
-	// WeightMemory bounds the weight chunks held, in bytes. Default 1 GiB.
+	// WeightMemory bounds the memory for weight chunks, in bytes. Default 1 GiB.
 	WeightMemory int64
-	// LinkRate paces weight transfer in each direction, in bytes a second.
-	// Zero means no pacing.
+	// LinkRate limits weight transfer in each direction, in bytes per second.
+	// Zero means no limit.
 	LinkRate float64
-	// HaveInterval is the time between two messages about chunks gained.
-	// Default 200 ms.
+	// HaveInterval is the minimum time between two messages to a neighbour about
+	// newly held chunks. Default 200 ms.
 	HaveInterval time.Duration
 
 	Idempotency idempotency.Config
--- a/agent/fetch.go
+++ b/agent/fetch.go
@@ -14,14 +14,14 @@
 	"github.com/springgate/springgate/weightstore"
 )
 
-func (w *weights) pumpAll() {
+func (w *weights) scheduleAll() {
 	for _, t := range w.transfers {
-		w.pump(t)
+		w.schedule(t)
 	}
 }
 
-// pump starts as many fetches as the planner wants.
-func (w *weights) pump(t *transfer) {
+// schedule starts all fetches that the planner allows now.
+func (w *weights) schedule(t *transfer) {
 	if t.planner == nil || t.failed != nil {
 		return
 	}
@@ -42,7 +42,7 @@
 	}
 }
 
-// fetch gets one chunk, verifies it and reports to the planner.
+// fetch retrieves and verifies one chunk and posts the result to the loop.
 func (w *weights) fetch(ctx context.Context, t *transfer, f spread.Fetch, sources map[intent.SourceKind]*weightstore.Client) {
 	want := t.manifest.Chunks[f.Chunk]
 	b, err := w.read(ctx, t, f, want, sources)
@@ -53,12 +53,12 @@
 		err = w.down.wait(ctx, len(b))
 	}
 	if ctx.Err() != nil {
-		return // given up; the planner knows
+		return // cancelled by the loop, which updates the planner itself
 	}
-	w.loop.Post(func() { w.fetched(t, f, want, b, err) })
+	w.loop.Post(func() { w.handleFetched(t, f, want, b, err) })
 }
 
-// errCorrupt means that a chunk does not match its digest.
+// errCorrupt is returned if a chunk does not match its digest.
 var errCorrupt = errors.New("agent: chunk does not match its digest")
 
 func (w *weights) read(ctx context.Context, t *transfer, f spread.Fetch, want digest.Digest, sources map[intent.SourceKind]*weightstore.Client) ([]byte, error) {
@@ -76,12 +76,12 @@
 	return c.Chunk(ctx, want)
 }
 
-func (w *weights) chunkFromPeer(ctx context.Context, host string, ask *peer.GetChunk) ([]byte, error) {
+func (w *weights) chunkFromPeer(ctx context.Context, host string, req *peer.GetChunk) ([]byte, error) {
 	m, ok := w.node.Snapshot().Member(host)
 	if !ok {
 		return nil, weightstore.ErrUnavailable
 	}
-	reply, err := w.pool.Call(ctx, m.Addr, peer.Bulk, ask)
+	reply, err := w.pool.Call(ctx, m.Addr, peer.Bulk, req)
 	if err != nil {
 		return nil, err
 	}
@@ -96,11 +96,11 @@
 	return nil, weightstore.ErrMissing
 }
 
-// errComing means that the peer is still waiting for the chunk itself.
+// errComing is returned if the peer itself is still waiting for the chunk.
 var errComing = errors.New("agent: the peer does not have the chunk yet")
 
-// fetched takes the result of a fetch. It runs on the loop.
-func (w *weights) fetched(t *transfer, f spread.Fetch, want digest.Digest, b []byte, err error) {
+// handleFetched processes the result of a fetch. It runs on the loop.
+func (w *weights) handleFetched(t *transfer, f spread.Fetch, want digest.Digest, b []byte, err error) {
 	cancel, known := t.fetches[f]
 	if !known || t.ctx.Err() != nil {
 		return
@@ -114,43 +114,43 @@
 	var limited *httpclient.ErrLimited
 	switch {
 	case err == nil:
-		w.gained(t, f, len(b), now)
+		w.recordFetched(t, f, len(b), now)
 	case errors.Is(err, errWeightMemory):
 		w.fail(t, err)
 	case errors.Is(err, errCorrupt):
-		w.count.corrupt.Inc(1)
+		w.counters.corrupt.Inc(1)
 		w.log.WithField("chunk", f.Chunk).WithField("from", f.Kind.String()+" "+f.Peer).Warn("Chunk is corrupt.")
 		t.planner.Failed(now, f, spread.FaultCorrupt, 0)
 	case errors.As(err, &limited):
-		w.count.limited.Inc(1)
+		w.counters.limited.Inc(1)
 		t.planner.Failed(now, f, spread.FaultLimited, limited.RetryAfter)
 	case errors.Is(err, errComing):
 		t.planner.Failed(now, f, spread.FaultComing, 0)
 	case errors.Is(err, weightstore.ErrMissing):
 		t.planner.Failed(now, f, spread.FaultMissing, 0)
 	default:
-		w.count.failed.Inc(1)
+		w.counters.failed.Inc(1)
 		t.planner.Failed(now, f, spread.FaultUnreachable, 0)
 	}
-	w.pump(t)
+	w.schedule(t)
 }
 
-func (w *weights) gained(t *transfer, f spread.Fetch, n int, now time.Time) {
+func (w *weights) recordFetched(t *transfer, f spread.Fetch, n int, now time.Time) {
 	t.planner.Done(now, f)
 	t.holding.add(f.Chunk)
 	switch {
 	case f.Kind == spread.FromStore:
-		w.count.fromStore.Inc(int64(n))
+		w.counters.fromStore.Inc(int64(n))
 	case f.Kind == spread.FromOrigin:
-		w.count.fromOrigin.Inc(int64(n))
+		w.counters.fromOrigin.Inc(int64(n))
 	case f.Far:
-		w.count.fromFar.Inc(int64(n))
-		w.count.fromPeer.Inc(int64(n))
+		w.counters.fromFar.Inc(int64(n))
+		w.counters.fromPeer.Inc(int64(n))
 	default:
-		w.count.fromPeer.Inc(int64(n))
+		w.counters.fromPeer.Inc(int64(n))
 	}
 	if t.planner.Complete() {
 		w.log.WithField("version", t.id.Short()).Info("Version is whole.")
-		w.notify()
+		w.onComplete()
 	}
 }
--- a/agent/finish_test.go
+++ b/agent/finish_test.go
@@ -23,8 +23,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// runningAgent returns an agent whose requests run on the target; the rest of it stands still.
-func runningAgent(t *testing.T, target http.HandlerFunc) *Agent {
+// newTestAgent returns an agent that runs requests on the target. Its other loops are not
+// started.
+func newTestAgent(t *testing.T, target http.HandlerFunc) *Agent {
 	t.Helper()
 	log, err := telemetry.NewLogger(io.Discard, "error", telemetry.FormatText)
 	assert.NilError(t, err)
@@ -54,20 +55,20 @@
 }
 
 // dispatch admits an attempt with an idempotency key.
-func (a *Agent) dispatch(t *testing.T, try uint16, key string) begun {
+func (a *Agent) dispatch(t *testing.T, try uint16, key string) beginResult {
 	t.Helper()
 	now := clock.Now()
 	h := intake.Host{HasIntent: true, Awake: true, Ready: true, Service: "s", Past: idempotency.Past{Self: "h",
 		KnownSince: now.Add(-time.Hour), Current: []string{"h"}}}
 	d := &peer.Dispatch{Attempt: peer.Attempt{Try: try}, Service: "s", Team: "blue", Method: http.MethodPost, URI: "/x",
 		Key: key, TimeoutMs: time.Minute.Milliseconds()}
-	var b begun
+	var b beginResult
 	assert.NilError(t, a.requests.loop.Call(func() { b = a.requests.admit(h, d, false) }))
 	return b
 }
 
-// readAnswer reads an answer to its end and returns what the reader got last.
-func readAnswer(ctx context.Context, ans *answer) piece {
+// readAnswer reads an answer to its end and returns the last part.
+func readAnswer(ctx context.Context, ans *answer) answerPart {
 	offset, head := int64(0), true
 	for {
 		p, err := ans.next(ctx, offset, head)
@@ -79,10 +80,11 @@
 	}
 }
 
-// Whoever has the end of an answer and sends the request again gets that answer, or is told
-// why not; a record that is written later says that the request still runs.
-func TestAnswerEndsAfterItsRecord(t *testing.T) {
-	const record = 100 * time.Millisecond // how long the record waits for the loop
+// A caller that has received the end of an answer and repeats the request must get that
+// answer again or the reason why it is not available. If the record were written after the
+// answer's end, the repeat could be refused because the request seems to be running still.
+func TestRecordIsWrittenBeforeAnswerEnds(t *testing.T) {
+	const recordDelay = 100 * time.Millisecond // how long the loop is blocked, and the record with it
 	for name, c := range map[string]struct {
 		answer http.HandlerFunc
 		ends   outcome.Reason
@@ -103,25 +105,25 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			held, release := make(chan struct{}), make(chan struct{})
-			a := runningAgent(t, func(w http.ResponseWriter, r *http.Request) {
+			a := newTestAgent(t, func(w http.ResponseWriter, r *http.Request) {
 				<-held
 				c.answer(w, r)
 			})
 			key := uuid.Must(uuid.NewV7()).String()
 			first := a.dispatch(t, 1, key)
 			assert.Equal(t, first.Action, intake.Run)
-			go a.execute(nil, first.work)
+			go a.execute(nil, first.attempt)
 			a.requests.loop.Post(func() {
 				close(held)
 				<-release
 			})
-			got := make(chan piece, 1)
-			go func() { got <- readAnswer(t.Context(), first.work.answer) }()
+			got := make(chan answerPart, 1)
+			go func() { got <- readAnswer(t.Context(), first.attempt.answer) }()
 			select {
 			case p := <-got:
 				close(release)
 				t.Fatalf("the answer ended before its record: %+v", p)
-			case <-time.After(record):
+			case <-time.After(recordDelay):
 			}
 			close(release)
 			p := <-got
--- a/agent/holdings.go
+++ b/agent/holdings.go
@@ -13,38 +13,39 @@
 // wordBits is the number of chunks in one word of a bitmap.
 const wordBits = 64
 
-// subscribe keeps a stream open to each neighbour, on which it tells what it
-// holds. It runs on the loop.
+// subscribe keeps a stream open to each neighbour, on which the neighbour sends the
+// chunks that it holds. It runs on the loop.
 func (w *weights) subscribe(t *transfer) {
 	want := map[string]bool{}
 	for _, h := range t.planner.Neighbours() {
 		want[h] = true
-		if t.subs[h] == nil {
+		if t.subscriptions[h] == nil {
 			ctx, stop := context.WithCancel(t.ctx)
-			t.subs[h] = stop
-			go w.listen(ctx, t, h)
+			t.subscriptions[h] = stop
+			go w.followNeighbour(ctx, t, h)
 		}
 	}
-	for h, stop := range t.subs {
+	for h, stop := range t.subscriptions {
 		if !want[h] {
 			stop()
-			delete(t.subs, h)
+			delete(t.subscriptions, h)
 		}
 	}
 }
 
-// listen hears what one neighbour holds until the transfer ends.
-func (w *weights) listen(ctx context.Context, t *transfer, host string) {
+// followNeighbour receives the chunks that one neighbour holds until ctx ends, and
+// reconnects after errors.
+func (w *weights) followNeighbour(ctx context.Context, t *transfer, host string) {
 	for ctx.Err() == nil {
 		if m, ok := w.node.Snapshot().Member(host); ok {
-			w.listenOnce(ctx, t, host, m.Addr)
+			w.followOnce(ctx, t, host, m.Addr)
 			w.loop.Post(func() { t.planner.PeerGone(host) })
 		}
 		loop.Sleep(ctx, subscribeRetry)
 	}
 }
 
-func (w *weights) listenOnce(ctx context.Context, t *transfer, host, addr string) {
+func (w *weights) followOnce(ctx context.Context, t *transfer, host, addr string) {
 	c, err := w.pool.Get(ctx, addr, peer.Control)
 	if err != nil {
 		return
@@ -60,12 +61,12 @@
 			return
 		}
 		if have, ok := m.(*peer.Have); ok {
-			w.loop.Post(func() { w.neighbourHas(t, host, have) })
+			w.loop.Post(func() { w.applyHave(t, host, have) })
 		}
 	}
 }
 
-func (w *weights) neighbourHas(t *transfer, host string, m *peer.Have) {
+func (w *weights) applyHave(t *transfer, host string, m *peer.Have) {
 	if t.ctx.Err() != nil || m.Count != len(t.manifest.Chunks) {
 		return
 	}
@@ -74,11 +75,11 @@
 	} else {
 		t.planner.PeerGained(host, m.More)
 	}
-	w.pump(t)
+	w.schedule(t)
 }
 
-// handleHave tells a neighbour what this host holds of a version: first all
-// of it, then what it gains.
+// handleHave sends a neighbour the chunks of a version that this host holds: first all
+// of them, then those that are added.
 func (w *weights) handleHave(ctx context.Context, s *peer.Stream, m *peer.Have) {
 	h := w.awaitHolding(ctx, m.Manifest)
 	if h == nil {
@@ -104,7 +105,8 @@
 	}
 }
 
-// haveMessage returns a bitmap for the first message and a list after it.
+// haveMessage returns a message with a bitmap if it is the first one, and with a list
+// of the added chunks otherwise. It returns nil if there is nothing to send.
 func haveMessage(id digest.Digest, count, sent int, more []uint32) *peer.Have {
 	if len(more) == 0 {
 		return nil
@@ -119,36 +121,38 @@
 	return &peer.Have{Manifest: id, Count: count, Bits: bits}
 }
 
-// awaitHolding waits until this host knows the version, or returns nil.
+// awaitHolding waits until this host knows the version. It returns nil if ctx ends first.
 func (w *weights) awaitHolding(ctx context.Context, id digest.Digest) *holding {
 	for {
 		w.mu.Lock()
-		h, appeared := w.holdings[id], w.appeared
+		h, holdingAdded := w.holdings[id], w.holdingAdded
 		w.mu.Unlock()
 		if h != nil {
 			return h
 		}
 		select {
-		case <-appeared:
+		case <-holdingAdded:
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// handleGetChunk serves a chunk or manifest, paced by the link. A chunk that is
-// on its way here is waited for as long as the peer allows.
+// handleGetChunk serves a chunk or manifest at the rate of the link. If this host is
+// still fetching the chunk, the request is held for at most the time that the peer
+// allows.
 func (w *weights) handleGetChunk(ctx context.Context, s *peer.Stream, m *peer.GetChunk) {
 	b, coming := w.awaitChunk(ctx, m)
 	if b != nil && w.up.wait(ctx, len(b)) != nil {
 		return
 	}
-	w.count.served.Inc(int64(len(b)))
+	w.counters.served.Inc(int64(len(b)))
 	_ = s.SendLast(ctx, &peer.Blob{Found: b != nil, Coming: coming, Data: b})
 }
 
-// recheckEvery is how often a held question is looked at again.
-const recheckEvery = time.Second
+// recheckInterval is how often a held request is checked for whether the chunk is still
+// expected.
+const recheckInterval = time.Second
 
 func (w *weights) awaitChunk(ctx context.Context, m *peer.GetChunk) (b []byte, coming bool) {
 	limit := clock.NewTimer(time.Duration(m.HoldMs) * time.Millisecond)
@@ -161,7 +165,7 @@
 		if !w.coming(m) {
 			return nil, false
 		}
-		recheck := clock.NewTimer(recheckEvery)
+		recheck := clock.NewTimer(recheckInterval)
 		select {
 		case <-arrived:
 		case <-recheck.C:
@@ -176,18 +180,18 @@
 	}
 }
 
-// arrival returns a channel that is closed when the chunk arrives, or when
-// the version becomes known here.
+// arrival returns a channel that is closed when the chunk arrives or, if the version is
+// not known here yet, when one becomes known.
 func (w *weights) arrival(m *peer.GetChunk) <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if h := w.holdings[m.Manifest]; h != nil {
 		return h.arrival(m.Index)
 	}
-	return w.appeared
+	return w.holdingAdded
 }
 
-// coming reports whether a chunk that is not held is on its way here.
+// coming reports whether a chunk that is not held is expected to arrive here.
 func (w *weights) coming(m *peer.GetChunk) bool {
 	coming := false
 	_ = w.loop.Call(func() {
@@ -196,7 +200,7 @@
 		case t == nil || t.failed != nil:
 			coming = false
 		case t.planner == nil:
-			coming = true // the manifest is on its way
+			coming = true // the manifest is being fetched
 		default:
 			coming = m.Index >= 0 && m.Index < len(t.manifest.Chunks) && t.planner.Coming(clock.Now(), m.Index)
 		}
--- a/agent/link.go
+++ b/agent/link.go
@@ -7,22 +7,22 @@
 	"golang.org/x/time/rate"
 )
 
-// link paces weight transfer in one direction. Live traffic is never held
-// back: its bytes are taken out of the allowance, so that weights wait.
-type link struct{ limiter *rate.Limiter }
+// linkPacer limits the rate of weight transfer in one direction. Live traffic is never
+// delayed, but its bytes count against the rate, so that weight transfer yields to it.
+type linkPacer struct{ limiter *rate.Limiter }
 
-// burst is how many bytes may pass at once.
+// linkBurst is the burst size of the limiter, in bytes.
 const linkBurst = 256 << 10
 
-func newLink(bytesPerSecond float64) *link {
+func newLinkPacer(bytesPerSecond float64) *linkPacer {
 	if bytesPerSecond <= 0 {
-		return &link{rate.NewLimiter(rate.Inf, linkBurst)}
+		return &linkPacer{rate.NewLimiter(rate.Inf, linkBurst)}
 	}
-	return &link{rate.NewLimiter(rate.Limit(bytesPerSecond), linkBurst)}
+	return &linkPacer{rate.NewLimiter(rate.Limit(bytesPerSecond), linkBurst)}
 }
 
-// wait holds back n bytes of weights until they may pass.
-func (l *link) wait(ctx context.Context, n int) error {
+// wait blocks until n bytes of weights may be transferred.
+func (l *linkPacer) wait(ctx context.Context, n int) error {
 	for n > 0 {
 		part := min(n, linkBurst)
 		if err := l.limiter.WaitN(ctx, part); err != nil {
@@ -33,8 +33,8 @@
 	return nil
 }
 
-// live notes n bytes of live traffic that pass now.
-func (l *link) live(n int) {
+// recordLive counts n bytes of live traffic, without delaying them.
+func (l *linkPacer) recordLive(n int) {
 	now := time.Now()
 	for n > 0 {
 		part := min(n, linkBurst)
--- a/agent/manifest.go
+++ b/agent/manifest.go
@@ -15,8 +15,9 @@
 	"github.com/springgate/springgate/weightstore"
 )
 
-// fetchManifest gets a manifest: from peers first, in an order that all hosts
-// share, so that few read it from the source.
+// fetchManifest fetches a manifest and retries until it succeeds. All hosts derive the
+// same few readers of a manifest. Only these read it from a source first, and the other
+// hosts fetch it from them, so that sources receive few reads.
 func (w *weights) fetchManifest(t *transfer, goal intent.Spread) {
 	for t.ctx.Err() == nil {
 		m, b, err := w.readManifest(t)
@@ -30,7 +31,7 @@
 	}
 }
 
-// manifestReaders is how many hosts read a manifest from the source.
+// manifestReaders is the number of hosts that read a manifest from a source first.
 const manifestReaders = 2
 
 func (w *weights) readManifest(t *transfer) (*spread.Manifest, []byte, error) {
@@ -48,13 +49,13 @@
 	}); err != nil {
 		return nil, nil, err
 	}
-	first := membership.Rank("manifest/"+t.id.String(), nodes, manifestReaders)
-	duty := false
-	for _, h := range first {
-		duty = duty || h == w.self.Host
+	readers := membership.Rank("manifest/"+t.id.String(), nodes, manifestReaders)
+	isReader := false
+	for _, h := range readers {
+		isReader = isReader || h == w.self.Host
 	}
-	if !duty {
-		for _, h := range first {
+	if !isReader {
+		for _, h := range readers {
 			b, err := w.chunkFromPeer(ctx, h, &peer.GetChunk{Digest: t.id})
 			if err != nil {
 				continue
@@ -67,8 +68,8 @@
 	return manifestFromSources(ctx, sources, t.id)
 }
 
-// manifestFromSources reads a manifest from the store or, if that does not
-// have it whole, from the origin.
+// manifestFromSources reads a manifest from the store or, if the store does not return a
+// valid one, from the origin.
 func manifestFromSources(ctx context.Context, sources map[intent.SourceKind]*weightstore.Client, id digest.Digest) (*spread.Manifest, []byte, error) {
 	err := weightstore.ErrUnavailable
 	for _, k := range []intent.SourceKind{intent.Store, intent.Origin} {
--- a/agent/permits.go
+++ b/agent/permits.go
@@ -15,28 +15,28 @@
 // permitTimeout bounds a call to the issuer.
 const permitTimeout = time.Second
 
-// permits asks for permits to switch and, on the host that has the duty,
-// issues them.
+// permits acquires the permits to switch versions for this host's engine. On the host
+// that is the issuer of the service it also issues them.
 type permits struct {
 	cfg  Config
 	node *control.Node
 	pool *peer.Pool
 
-	mu      sync.Mutex
-	issuers map[string]*rollout.Issuer
-	down    map[string]time.Time // host -> since when it is not live
-	held    bool                 // a permit or a report is with the issuer
-	asked   time.Time
-	granted bool
+	mu         sync.Mutex
+	issuers    map[string]*rollout.Issuer
+	downSince  map[string]time.Time // by host: since when it is not live
+	registered bool                 // the issuer has a permit or an unavailability report of this host
+	renewedAt  time.Time
+	granted    bool
 }
 
 func newPermits(cfg Config, node *control.Node, pool *peer.Pool) *permits {
 	return &permits{cfg: cfg, node: node, pool: pool, issuers: map[string]*rollout.Issuer{},
-		down: map[string]time.Time{}}
+		downSince: map[string]time.Time{}}
 }
 
-// issuerOf returns the host that issues the permits of a service: the first by
-// rendezvous among its hosts that this process takes for live.
+// issuerOf returns the host that issues the permits of a service: the first one by
+// rendezvous hashing among the service's hosts that this process considers live.
 func issuerOf(s *control.Snapshot, service string) string {
 	svc := s.Fleet().Service(service)
 	if svc == nil {
@@ -51,11 +51,12 @@
 	return membership.First("permit/"+service, live)
 }
 
-// renewEvery is the part of a lease after which it is renewed.
-const renewEvery = 4
+// renewalsPerLease is the number of renewals within one lease.
+const renewalsPerLease = 4
 
-// ask asks for a permit or renews it. Between renewals the last answer holds.
-func (p *permits) ask(ctx context.Context, service string) bool {
+// acquire requests or renews a permit and reports whether it is granted. A granted
+// permit is assumed valid until the next renewal is due.
+func (p *permits) acquire(ctx context.Context, service string) bool {
 	p.mu.Lock()
 	fresh := p.fresh(p.granted)
 	p.mu.Unlock()
@@ -66,15 +67,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.granted = reply != nil && reply.Granted
-	p.renewed()
-	p.held = p.held || p.granted
+	p.recordRenewal()
+	p.registered = p.registered || p.granted
 	return p.granted
 }
 
-// out tells the issuer that the engine does not serve.
-func (p *permits) out(ctx context.Context, service string) {
+// reportUnavailable reports to the issuer that the engine does not serve.
+func (p *permits) reportUnavailable(ctx context.Context, service string) {
 	p.mu.Lock()
-	fresh := p.fresh(p.held)
+	fresh := p.fresh(p.registered)
 	p.mu.Unlock()
 	if fresh {
 		return
@@ -82,27 +83,28 @@
 	p.call(ctx, &peer.Permit{Service: service, Host: p.cfg.Control.Host, Out: true})
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.held = true
-	p.renewed()
+	p.registered = true
+	p.recordRenewal()
 }
 
-// done tells the issuer that the engine serves.
-func (p *permits) done(ctx context.Context, service string) {
+// release reports to the issuer that the engine serves and returns the permit.
+func (p *permits) release(ctx context.Context, service string) {
 	p.mu.Lock()
-	held := p.held
-	p.held, p.granted = false, false
+	registered := p.registered
+	p.registered, p.granted = false, false
 	p.mu.Unlock()
-	if held {
+	if registered {
 		p.call(ctx, &peer.Permit{Service: service, Host: p.cfg.Control.Host, Done: true})
 	}
 }
 
-// renewed notes that the issuer has just answered.
-func (p *permits) renewed() { p.asked = clock.Now() }
+// recordRenewal records the time of a renewal, whether or not the issuer has answered.
+func (p *permits) recordRenewal() { p.renewedAt = clock.Now() }
 
-// fresh reports whether what the issuer has said need not be renewed yet.
-func (p *permits) fresh(said bool) bool {
-	return said && clock.Since(p.asked) < p.lease()/renewEvery
+// fresh reports whether a permit or report that the issuer has, as given by known, is
+// not due for renewal yet.
+func (p *permits) fresh(known bool) bool {
+	return known && clock.Since(p.renewedAt) < p.lease()/renewalsPerLease
 }
 
 func (p *permits) lease() time.Duration {
@@ -132,7 +134,8 @@
 	return r
 }
 
-// issue answers a request for a permit if this host has the duty.
+// issue processes a permit request as the issuer. It grants no permit while this host is
+// not the active issuer.
 func (p *permits) issue(m *peer.Permit) *peer.PermitReply {
 	now := clock.Now()
 	s := p.node.Snapshot()
@@ -159,8 +162,8 @@
 	return &peer.PermitReply{Granted: d.Granted, LeaseMs: d.Lease.Milliseconds(), RetryMs: d.Retry.Milliseconds()}
 }
 
-// issuer returns the issuer of a service with its duty brought up to date.
-// The caller holds the lock.
+// issuer returns the issuer of a service after updating whether it is active. The caller
+// must hold the lock.
 func (p *permits) issuer(now time.Time, s *control.Snapshot, service string) *rollout.Issuer {
 	is := p.issuers[service]
 	if is == nil {
@@ -171,8 +174,8 @@
 	return is
 }
 
-// refresh brings the duty of this host up to date, so that the wait of a new
-// issuer starts when the duty does and not with the first request.
+// refresh updates whether this host is the active issuer of its service. So the initial
+// wait of a new issuer starts when it becomes one and not at the first request.
 func (p *permits) refresh(s *control.Snapshot) {
 	if s.Fleet() == nil {
 		return
@@ -189,13 +192,13 @@
 func (p *permits) targetState(now time.Time, s *control.Snapshot, host string) rollout.Target {
 	m, _ := s.Member(host)
 	if m.State == membership.Live {
-		delete(p.down, host)
+		delete(p.downSince, host)
 		return rollout.Target{Host: host}
 	}
-	if p.down[host].IsZero() {
-		p.down[host] = now
+	if p.downSince[host].IsZero() {
+		p.downSince[host] = now
 	}
-	return rollout.Target{Host: host, Down: true, DownSince: p.down[host]}
+	return rollout.Target{Host: host, Down: true, DownSince: p.downSince[host]}
 }
 
 func (p *permits) handle(ctx context.Context, s *peer.Stream, m *peer.Permit) {
--- a/agent/requests.go
+++ b/agent/requests.go
@@ -16,53 +16,53 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// expireEvery is how often old records are looked for.
-const expireEvery = time.Second
+// expireInterval is how often expired records are removed.
+const expireInterval = time.Second
 
-// work is one accepted attempt.
-type work struct {
+// attempt is one accepted attempt of a request.
+type attempt struct {
 	attachment
 
-	id       idempotency.AttemptID
-	dispatch *peer.Dispatch
-	deadline time.Time
-	answer   *answer
-	verdict  chan intake.Refusal // one value: a zero Reason means run
-	started  time.Time
-	ended    time.Time
-	heldSize int64 // bytes of the held answer
+	id              idempotency.AttemptID
+	dispatch        *peer.Dispatch
+	deadline        time.Time
+	answer          *answer
+	admissionResult chan intake.Refusal // receives one value: run if Reason is empty
+	started         time.Time
+	ended           time.Time
+	heldBytes       int64 // bytes of the held answer
 }
 
-// requests keeps the attempts of this agent. Its state is owned by one
-// goroutine; the decisions are made by package intake.
+// requests tracks the attempts of this agent. Its state is owned by the loop's
+// goroutine. The decisions are made by package intake.
 type requests struct {
-	cfg    Config
-	node   *control.Node
-	loop   *loop.Loop
-	serves func() readiness
-	active *sync.WaitGroup // requests that run or whose answer is not delivered
+	cfg             Config
+	node            *control.Node
+	loop            *loop.Loop
+	targetReadiness func() readiness
+	active          *sync.WaitGroup // requests that run or whose answer is not delivered
 
-	intake   *intake.Intake
-	works    map[idempotency.AttemptID]*work
-	plain    []*work // with whole answers, kept for a resume; oldest first
-	keyed    []*work // with whole answers, kept for their key; oldest first
-	heldSize int64   // bytes of both
-	revision intent.Ref
+	intake    *intake.Intake
+	attempts  map[idempotency.AttemptID]*attempt
+	plain     []*attempt // finished without a key, answer held for a resume; oldest first
+	keyed     []*attempt // finished with a key, answer held for repeats of the key; oldest first
+	heldBytes int64      // bytes of the answers in plain and keyed
+	revision  intent.Ref
 }
 
-// readiness is what the engine's supervisor says about the target.
+// readiness is the target's state as determined by the supervisor.
 type readiness struct {
 	ready   bool
-	loadout string // what an answer must name; empty for plain services
+	loadout string // loadout that answers must name; empty for plain services
 }
 
-func newRequests(cfg Config, node *control.Node, serves func() readiness, active *sync.WaitGroup) *requests {
-	return &requests{cfg: cfg, node: node, loop: loop.New(), serves: serves, active: active,
-		intake: intake.New(cfg.Idempotency, clock.Now()), works: map[idempotency.AttemptID]*work{}}
+func newRequests(cfg Config, node *control.Node, targetReadiness func() readiness, active *sync.WaitGroup) *requests {
+	return &requests{cfg: cfg, node: node, loop: loop.New(), targetReadiness: targetReadiness, active: active,
+		intake: intake.New(cfg.Idempotency, clock.Now()), attempts: map[idempotency.AttemptID]*attempt{}}
 }
 
 func (r *requests) run(ctx context.Context) {
-	go r.loop.Every(ctx, expireEvery, r.tick)
+	go r.loop.Every(ctx, expireInterval, r.tick)
 	r.loop.Run(ctx)
 }
 
@@ -72,7 +72,7 @@
 	r.dropAnswers(now)
 }
 
-// configure takes the limits of the revision in force.
+// configure applies the limits of the revision in force.
 func (r *requests) configure(s *control.Snapshot) {
 	f := s.Fleet()
 	if f == nil || s.Accepted.Head.Ref() == r.revision {
@@ -91,28 +91,28 @@
 	r.apply(now, r.intake.Configure(now, admission.Limits{Concurrency: svc.Limits.Concurrency, Queue: svc.Limits.Queue}, teams))
 }
 
-// apply tells waiting attempts what was decided about them.
+// apply passes the decisions on queued attempts to their goroutines.
 func (r *requests) apply(now time.Time, e intake.Effects) {
 	for _, id := range e.Started {
-		r.start(now, r.works[id])
+		r.start(now, r.attempts[id])
 	}
 	for _, x := range e.Refused {
-		w := r.works[x.ID]
-		delete(r.works, x.ID)
-		w.verdict <- x
+		att := r.attempts[x.ID]
+		delete(r.attempts, x.ID)
+		att.admissionResult <- x
 	}
 }
 
-func (r *requests) start(now time.Time, w *work) {
-	w.started = now
+func (r *requests) start(now time.Time, att *attempt) {
+	att.started = now
 	r.active.Add(1)
-	w.verdict <- intake.Refusal{}
+	att.admissionResult <- intake.Refusal{}
 }
 
-// host describes this agent for a decision.
-func (r *requests) host(service string) intake.Host {
+// hostState returns the state of this host that decisions depend on.
+func (r *requests) hostState(service string) intake.Host {
 	s := r.node.Snapshot()
-	h := intake.Host{Incarnation: r.cfg.Control.Incarnation, Awake: r.node.Awake(clock.Now()), Ready: r.serves().ready}
+	h := intake.Host{Incarnation: r.cfg.Control.Incarnation, Awake: r.node.Awake(clock.Now()), Ready: r.targetReadiness().ready}
 	var current []string
 	if f := s.Fleet(); f != nil {
 		h.HasIntent = true
@@ -131,33 +131,34 @@
 	return h
 }
 
-// begun is the result of begin.
-type begun struct {
+// beginResult is the result of begin.
+type beginResult struct {
 	intake.Decision
-	work   *work   // of Run and Wait
-	answer *answer // of Replay
+	attempt *attempt // set for Run and Wait
+	answer  *answer  // set for Replay
 }
 
-// begin decides on an attempt that has arrived.
-func (r *requests) begin(d *peer.Dispatch, fenced bool) begun {
-	return r.admit(r.host(d.Service), d, fenced)
+// begin decides on an attempt that has arrived. fenced is true once the earlier homes of
+// its key have fenced the key.
+func (r *requests) begin(d *peer.Dispatch, fenced bool) beginResult {
+	return r.admit(r.hostState(d.Service), d, fenced)
 }
 
-// admit decides on an attempt by what the host says of itself.
-func (r *requests) admit(h intake.Host, d *peer.Dispatch, fenced bool) begun {
+// admit decides on an attempt for a given state of the host.
+func (r *requests) admit(h intake.Host, d *peer.Dispatch, fenced bool) beginResult {
 	now := clock.Now()
-	w := &work{id: attemptID(d.Attempt), dispatch: d, answer: newAnswer(), verdict: make(chan intake.Refusal, 1),
+	att := &attempt{id: attemptID(d.Attempt), dispatch: d, answer: newAnswer(), admissionResult: make(chan intake.Refusal, 1),
 		deadline: now.Add(time.Duration(d.TimeoutMs) * time.Millisecond)}
-	dec, eff := r.intake.Arrive(now, h, attemptOf(d, w.deadline), fenced)
-	b := begun{Decision: dec}
+	dec, eff := r.intake.Arrive(now, h, attemptOf(d, att.deadline), fenced)
+	b := beginResult{Decision: dec}
 	switch dec.Action {
 	case intake.Run:
-		r.works[w.id] = w
-		r.start(now, w)
-		b.work = w
+		r.attempts[att.id] = att
+		r.start(now, att)
+		b.attempt = att
 	case intake.Wait:
-		r.works[w.id] = w
-		b.work = w
+		r.attempts[att.id] = att
+		b.attempt = att
 	case intake.Replay:
 		b.answer = r.heldAnswer(&b, dec.Source)
 	}
@@ -170,82 +171,82 @@
 		Key: d.Key, Print: d.Print, Urgency: int(d.Urgency), Deadline: deadline}
 }
 
-// heldAnswer returns the answer of a finished attempt, or turns the decision
-// into a refusal if it is gone.
-func (r *requests) heldAnswer(b *begun, id idempotency.AttemptID) *answer {
-	if w := r.works[id]; w != nil {
-		return w.answer
+// heldAnswer returns the answer of a finished attempt. If it is no longer held, it turns
+// the decision into a refusal.
+func (r *requests) heldAnswer(b *beginResult, id idempotency.AttemptID) *answer {
+	if att := r.attempts[id]; att != nil {
+		return att.answer
 	}
 	b.Decision = intake.Decision{Action: intake.Refuse, Reason: outcome.KeyAnswerGone, RetryAfter: intake.MinRetryAfter}
 	return nil
 }
 
-// cancelWaiting refuses a request that still waits because its entry is gone.
-// It reports false if the request runs already.
-func (r *requests) cancelWaiting(w *work) bool {
-	if !r.intake.Cancel(clock.Now(), w.id) {
+// cancelWaiting cancels a queued request whose stream has ended. It reports false if the
+// request is no longer queued.
+func (r *requests) cancelWaiting(att *attempt) bool {
+	if !r.intake.Cancel(clock.Now(), att.id) {
 		return false
 	}
-	delete(r.works, w.id)
+	delete(r.attempts, att.id)
 	return true
 }
 
-// notRun ends a request that was admitted but never reached the target.
-func (r *requests) notRun(w *work, reason outcome.Reason) {
+// recordNotRun records that an admitted request has ended without reaching the target.
+func (r *requests) recordNotRun(att *attempt, reason outcome.Reason) {
 	now := clock.Now()
-	delete(r.works, w.id)
-	r.apply(now, r.intake.NotRun(now, w.id, reason))
+	delete(r.attempts, att.id)
+	r.apply(now, r.intake.NotRun(now, att.id, reason))
 }
 
-// finished records that a request that ran has ended. whole is true if all of its answer
-// has been received.
-func (r *requests) finished(w *work, whole bool) {
+// recordFinished records that a request that ran has ended. complete is true if its whole
+// answer has been received.
+func (r *requests) recordFinished(att *attempt, complete bool) {
 	now := clock.Now()
-	w.ended = now
-	held := whole && w.answer.fromStart()
+	att.ended = now
+	held := complete && att.answer.fromStart()
 	if held {
-		r.hold(w)
+		r.holdAnswer(att)
 	} else {
-		delete(r.works, w.id)
+		delete(r.attempts, att.id)
 	}
-	r.apply(now, r.intake.Finished(now, w.id, held, now.Sub(w.started)))
+	r.apply(now, r.intake.Finished(now, att.id, held, now.Sub(att.started)))
 	r.dropAnswers(now)
 }
 
-// dropAnswers discards held answers that are old, and the oldest while there
-// are too many bytes of them: first those that are only kept for a resume.
-// Each answer is looked at once, when its turn has come.
+// dropAnswers discards expired answers and, while the held answers exceed AnswerMemory,
+// the oldest ones. Answers held only for a resume are discarded before those held for a
+// key. The lists are sorted by age, so that each call ends at the first answer to keep.
 func (r *requests) dropAnswers(now time.Time) {
 	r.plain = r.dropOldest(now, r.plain, r.cfg.ResumeGrace)
 	r.keyed = r.dropOldest(now, r.keyed, r.cfg.Idempotency.KeyWindow)
 }
 
-func (r *requests) dropOldest(now time.Time, held []*work, keep time.Duration) []*work {
+func (r *requests) dropOldest(now time.Time, held []*attempt, keep time.Duration) []*attempt {
 	n := 0
 	for ; n < len(held); n++ {
-		w := held[n]
-		if r.heldSize <= r.cfg.AnswerMemory && now.Sub(w.ended) <= keep {
+		att := held[n]
+		if r.heldBytes <= r.cfg.AnswerMemory && now.Sub(att.ended) <= keep {
 			break
 		}
-		r.heldSize -= w.heldSize
-		r.intake.Drop(w.id)
-		delete(r.works, w.id)
+		r.heldBytes -= att.heldBytes
+		r.intake.Drop(att.id)
+		delete(r.attempts, att.id)
 	}
 	return held[n:]
 }
 
-// hold keeps the whole answer of a request that has ended.
-func (r *requests) hold(w *work) {
-	w.heldSize = w.answer.size()
-	r.heldSize += w.heldSize
-	if w.dispatch.Key != "" {
-		r.keyed = append(r.keyed, w)
+// holdAnswer retains the complete answer of a finished request.
+func (r *requests) holdAnswer(att *attempt) {
+	att.heldBytes = att.answer.size()
+	r.heldBytes += att.heldBytes
+	if att.dispatch.Key != "" {
+		r.keyed = append(r.keyed, att)
 	} else {
-		r.plain = append(r.plain, w)
+		r.plain = append(r.plain, att)
 	}
 }
 
-// fence answers a query about an attempt.
+// fence returns the state of an attempt, and fences the attempt if it has not arrived yet.
 func (r *requests) fence(f *peer.Fence) *peer.FenceReply {
 	if f.Incarnation != r.cfg.Control.Incarnation {
 		return &peer.FenceReply{State: peer.AttemptUnknown}
@@ -268,7 +269,7 @@
 	return peer.AttemptGone
 }
 
-// leave refuses all that waits and all that comes.
+// leave refuses all queued requests and all that arrive from now on.
 func (r *requests) leave() {
 	now := clock.Now()
 	r.apply(now, r.intake.Leave(now))
--- a/agent/run.go
+++ b/agent/run.go
@@ -15,11 +15,11 @@
 	"github.com/springgate/springgate/target"
 )
 
-// readSize is how much is read from a target at once.
+// readSize is the size of the buffer for reads from a target, in bytes.
 const readSize = 16 << 10
 
-// askTimeout bounds the question to an earlier home of a key.
-const askTimeout = 2 * time.Second
+// keyFenceTimeout bounds the calls to all earlier homes of a key.
+const keyFenceTimeout = 2 * time.Second
 
 // handleDispatch serves one attempt from its arrival to its end.
 func (a *Agent) handleDispatch(ctx context.Context, s *peer.Stream, d *peer.Dispatch) {
@@ -29,14 +29,14 @@
 	case intake.Replay:
 		a.send(ctx, s, d.Attempt, b.answer, 0, true, true)
 	case intake.Run, intake.Wait:
-		a.serve(ctx, s, b.work)
+		a.serve(ctx, s, b.attempt)
 	}
 }
 
-// begin registers an attempt, asking the earlier homes of its key if needed.
-func (a *Agent) begin(ctx context.Context, d *peer.Dispatch) begun {
-	stopped := begun{Decision: intake.Decision{Action: intake.Refuse, Reason: outcome.ShuttingDown}}
-	var b begun
+// begin registers an attempt. If needed, it first fences the key at its earlier homes.
+func (a *Agent) begin(ctx context.Context, d *peer.Dispatch) beginResult {
+	stopped := beginResult{Decision: intake.Decision{Action: intake.Refuse, Reason: outcome.ShuttingDown}}
+	var b beginResult
 	if a.requests.loop.Call(func() { b = a.requests.begin(d, false) }) != nil {
 		return stopped
 	}
@@ -56,10 +56,10 @@
 	return b
 }
 
-// fenceEarlierHomes makes sure that the key neither ran nor can run at any
-// earlier home. It reports false if one cannot be asked or knows the key.
+// fenceEarlierHomes ensures that the key has not run and cannot run at any earlier home.
+// It reports false if a home cannot be reached or has a record of the key.
 func (a *Agent) fenceEarlierHomes(ctx context.Context, d *peer.Dispatch, homes []string) bool {
-	ctx, cancel := clock.WithTimeout(ctx, askTimeout)
+	ctx, cancel := clock.WithTimeout(ctx, keyFenceTimeout)
 	defer cancel()
 	for _, h := range homes {
 		m, ok := a.node.Snapshot().Member(h)
@@ -94,18 +94,18 @@
 	}
 }
 
-// handleResume sends the rest of an answer on a new connection.
+// handleResume sends the remaining part of an answer on a new stream.
 func (a *Agent) handleResume(ctx context.Context, s *peer.Stream, m *peer.Resume) {
-	var w *work
-	if a.requests.loop.Call(func() { w = a.requests.works[attemptID(m.Attempt)] }) != nil {
+	var att *attempt
+	if a.requests.loop.Call(func() { att = a.requests.attempts[attemptID(m.Attempt)] }) != nil {
 		return
 	}
-	if w == nil {
+	if att == nil {
 		a.refuse(ctx, s, m.Attempt, outcome.TargetFailed, 0)
 		return
 	}
-	w.attach(ctx)
-	a.send(ctx, s, m.Attempt, w.answer, m.Offset, m.NeedHead, false)
+	att.attach(ctx)
+	a.send(ctx, s, m.Attempt, att.answer, m.Offset, m.NeedHead, false)
 }
 
 func (a *Agent) refuse(ctx context.Context, s *peer.Stream, id peer.Attempt, reason outcome.Reason, after time.Duration) {
@@ -113,81 +113,83 @@
 	_ = s.SendLast(ctx, &peer.Refuse{Attempt: id, Reason: reason, RetryAfterMs: after.Milliseconds()})
 }
 
-// serve waits for an accepted attempt's turn, runs it and sends its answer.
-func (a *Agent) serve(ctx context.Context, s *peer.Stream, w *work) {
+// serve waits until a queued attempt may run, runs it and sends its answer.
+func (a *Agent) serve(ctx context.Context, s *peer.Stream, att *attempt) {
 	select {
-	case v := <-w.verdict:
+	case v := <-att.admissionResult:
 		if v.Reason != "" {
-			a.refuse(ctx, s, w.dispatch.Attempt, v.Reason, v.RetryAfter)
+			a.refuse(ctx, s, att.dispatch.Attempt, v.Reason, v.RetryAfter)
 			return
 		}
 	case <-ctx.Done():
 		waiting := false
-		_ = a.requests.loop.Call(func() { waiting = a.requests.cancelWaiting(w) })
+		_ = a.requests.loop.Call(func() { waiting = a.requests.cancelWaiting(att) })
 		if waiting {
 			return
 		}
-		if v := <-w.verdict; v.Reason != "" {
+		if v := <-att.admissionResult; v.Reason != "" {
 			return
 		}
 	}
-	w.attach(ctx)
-	go a.execute(s, w)
-	go a.awaitDelivery(w)
-	a.send(ctx, s, w.dispatch.Attempt, w.answer, 0, true, false)
+	att.attach(ctx)
+	go a.execute(s, att)
+	go a.awaitDelivery(att)
+	a.send(ctx, s, att.dispatch.Attempt, att.answer, 0, true, false)
 }
 
-// awaitDelivery keeps a draining agent alive until the answer has been sent
-// to its end, or no entry has asked for it for the resume grace.
-func (a *Agent) awaitDelivery(w *work) {
+// awaitDelivery delays the end of a drain until the answer has been delivered, at most
+// until the resume grace after the request's deadline.
+func (a *Agent) awaitDelivery(att *attempt) {
 	defer a.active.Done()
-	limit := clock.Until(w.deadline) + a.cfg.ResumeGrace
+	limit := clock.Until(att.deadline) + a.cfg.ResumeGrace
 	t := clock.NewTimer(limit)
 	defer t.Stop()
 	select {
-	case <-w.answer.delivered:
+	case <-att.answer.delivered:
 	case <-t.C:
 	}
 }
 
-// execute runs the request on the target and fills its answer. It goes on
-// without its stream until the resume grace has passed.
-func (a *Agent) execute(s *peer.Stream, w *work) {
-	ctx, cancel := clock.WithDeadline(a.ctx, w.deadline)
+// execute runs the request on the target and fills its answer. Without an attached
+// stream it continues until the resume grace has passed.
+func (a *Agent) execute(s *peer.Stream, att *attempt) {
+	ctx, cancel := clock.WithDeadline(a.ctx, att.deadline)
 	defer cancel()
-	go a.cancelAbandoned(ctx, cancel, w)
-	resp, err := a.target.Do(ctx, a.targetRequest(ctx, s, w.dispatch))
+	go a.cancelAbandoned(ctx, cancel, att)
+	resp, err := a.target.Do(ctx, a.targetRequest(ctx, s, att.dispatch))
 	if err != nil {
-		a.notAnswered(ctx, w, err)
+		a.handleTargetError(ctx, att, err)
 		return
 	}
 	defer resp.Body.Close()
-	a.finish(w, a.relay(ctx, w, resp))
+	a.finish(att, a.relay(ctx, att, resp))
 	a.statusChanged()
 }
 
-// finish ends a request that ran; broken says why its answer is not whole. The record is
-// written first: a caller that has the end may send its key again.
-func (a *Agent) finish(w *work, broken outcome.Reason) {
-	_ = a.requests.loop.Call(func() { a.requests.finished(w, broken == "") })
-	if broken != "" {
-		w.answer.fail(broken)
+// finish ends a request that ran. failure is the reason why its answer is incomplete, or
+// "". The record is written before the answer ends, because a caller that has received the
+// end may repeat its key immediately.
+func (a *Agent) finish(att *attempt, failure outcome.Reason) {
+	_ = a.requests.loop.Call(func() { a.requests.recordFinished(att, failure == "") })
+	if failure != "" {
+		att.answer.fail(failure)
 		return
 	}
-	w.answer.end()
+	att.answer.end()
 }
 
-func (a *Agent) notAnswered(ctx context.Context, w *work, err error) {
+func (a *Agent) handleTargetError(ctx context.Context, att *attempt, err error) {
 	if errors.Is(err, target.ErrNotConnected) && ctx.Err() == nil {
-		_ = a.requests.loop.Call(func() { a.requests.notRun(w, outcome.TargetUnreachable) })
-		w.answer.fail(outcome.TargetUnreachable)
+		_ = a.requests.loop.Call(func() { a.requests.recordNotRun(att, outcome.TargetUnreachable) })
+		att.answer.fail(outcome.TargetUnreachable)
 		return
 	}
-	a.finish(w, a.brokenBy(ctx))
+	a.finish(att, a.failureReason(ctx))
 }
 
-// brokenBy tells a deadline and a caller who left from a failing target.
-func (a *Agent) brokenBy(ctx context.Context) outcome.Reason {
+// failureReason distinguishes an exceeded deadline and a caller that disconnected from a
+// failure of the target.
+func (a *Agent) failureReason(ctx context.Context) outcome.Reason {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
 		return outcome.DeadlineExceededRan
@@ -203,54 +205,54 @@
 		req.Header = append(req.Header, target.Field(f))
 	}
 	if d.HasBody {
-		req.Body = &bodyReader{ctx: ctx, stream: s, received: a.weights.down.live}
+		req.Body = &bodyReader{ctx: ctx, stream: s, received: a.weights.down.recordLive}
 	}
 	return req
 }
 
-// relay copies the target's answer into the buffer. It returns why the answer is not
-// whole, or "".
-func (a *Agent) relay(ctx context.Context, w *work, resp *http.Response) outcome.Reason {
-	head := &peer.Head{Attempt: w.dispatch.Attempt, Status: resp.StatusCode, Version: resp.Header.Get(target.LoadoutHeader)}
+// relay copies the target's answer into the buffer. It returns the reason why the answer
+// is incomplete, or "".
+func (a *Agent) relay(ctx context.Context, att *attempt, resp *http.Response) outcome.Reason {
+	head := &peer.Head{Attempt: att.dispatch.Attempt, Status: resp.StatusCode, Version: resp.Header.Get(target.LoadoutHeader)}
 	if want := a.supervisor.readiness().loadout; want != "" && head.Version != "" && head.Version != want {
 		return outcome.VersionMixed
 	}
 	for _, f := range target.EndToEnd(resp.Header) {
 		head.Header = append(head.Header, peer.HeaderField(f))
 	}
-	w.answer.setHead(head)
+	att.answer.setHead(head)
 	buf := make([]byte, readSize)
 	for {
 		n, err := resp.Body.Read(buf)
-		if n > 0 && w.answer.write(ctx, buf[:n]) != nil {
-			return a.brokenBy(ctx)
+		if n > 0 && att.answer.write(ctx, buf[:n]) != nil {
+			return a.failureReason(ctx)
 		}
 		switch {
 		case errors.Is(err, io.EOF):
 			return ""
 		case ctx.Err() != nil:
-			return a.brokenBy(ctx)
+			return a.failureReason(ctx)
 		case err != nil:
 			return outcome.Truncated
 		}
 	}
 }
 
-// cancelAbandoned cancels a request whose caller left, or whose entry has been
-// gone for longer than the resume grace.
-func (a *Agent) cancelAbandoned(ctx context.Context, cancel context.CancelFunc, w *work) {
+// cancelAbandoned cancels a request whose caller has disconnected, or to which no entry
+// has been attached for longer than the resume grace.
+func (a *Agent) cancelAbandoned(ctx context.Context, cancel context.CancelFunc, att *attempt) {
 	for {
-		left := w.waitDetached(ctx)
+		callerLeft := att.waitDetached(ctx)
 		if ctx.Err() != nil {
 			return
 		}
-		if left {
+		if callerLeft {
 			cancel()
 			return
 		}
 		t := clock.NewTimer(a.cfg.ResumeGrace)
 		select {
-		case <-w.attached():
+		case <-att.reattached():
 			t.Stop()
 		case <-t.C:
 			cancel()
@@ -262,20 +264,20 @@
 	}
 }
 
-// send sends an answer from offset on a stream until it ends.
+// send sends an answer, starting at offset, on a stream until the answer ends.
 func (a *Agent) send(ctx context.Context, s *peer.Stream, id peer.Attempt, ans *answer, offset int64, needHead, replay bool) {
 	for {
 		p, err := ans.next(ctx, offset, needHead)
 		switch {
-		case errors.Is(err, errGone):
+		case errors.Is(err, errNotHeld):
 			a.refuse(ctx, s, id, outcome.TargetFailed, 0)
 			return
 		case err != nil:
 			return
 		}
-		done, err := a.sendPiece(ctx, s, id, p, offset, replay)
+		done, err := a.sendPart(ctx, s, id, p, offset, replay)
 		if err == nil && done {
-			ans.deliver()
+			ans.markDelivered()
 		}
 		if err != nil || done {
 			return
@@ -285,7 +287,7 @@
 	}
 }
 
-func (a *Agent) sendPiece(ctx context.Context, s *peer.Stream, id peer.Attempt, p piece, offset int64, replay bool) (bool, error) {
+func (a *Agent) sendPart(ctx context.Context, s *peer.Stream, id peer.Attempt, p answerPart, offset int64, replay bool) (bool, error) {
 	switch {
 	case p.head != nil:
 		h := *p.head
@@ -298,6 +300,6 @@
 		err := s.SendLast(ctx, &peer.End{Attempt: id, Length: p.end.Length, Sum: p.end.Sum})
 		return true, err
 	}
-	a.weights.up.live(len(p.data))
+	a.weights.up.recordLive(len(p.data))
 	return false, s.Send(ctx, &peer.Data{Attempt: id, Offset: offset, Data: p.data})
 }
--- a/agent/supervisor.go
+++ b/agent/supervisor.go
@@ -17,27 +17,27 @@
 	"github.com/springgate/springgate/target"
 )
 
-// Times of the supervisor.
+// Intervals and time-outs of the supervisor.
 const (
-	superviseEvery = 100 * time.Millisecond
-	// orderGrace is how long a new process waits before it orders an engine
-	// that does not check fences: an order of the process before it has then
-	// arrived or timed out.
+	superviseInterval = 100 * time.Millisecond
+	// orderGrace is how long a new process waits before it sends an order to an
+	// engine that does not check fencing tokens. By then an order of the previous
+	// process has arrived or timed out.
 	orderGrace = 6 * time.Second
-	// orderRetry is the wait after an order was refused.
+	// orderRetry is the back-off after an order has failed or timed out.
 	orderRetry = 2 * time.Second
-	// drainLimit bounds the wait for running requests before a switch.
+	// drainLimit bounds the wait for running requests before a version switch.
 	drainLimit = 2 * time.Minute
 )
 
-// stagedChunk names a chunk that was handed to the engine.
+// stagedChunk identifies a chunk that has been sent to the engine.
 type stagedChunk struct {
 	manifest digest.Digest
 	index    int
 }
 
-// supervisor keeps the engine on the versions in force. It is the only one to
-// give it orders, one at a time. Its steps run on one goroutine.
+// supervisor keeps the engine at the versions in force. All orders to the engine come
+// from it, one at a time. Its steps run on one goroutine.
 type supervisor struct {
 	cfg     Config
 	node    *control.Node
@@ -48,36 +48,37 @@
 	started time.Time
 	running func() int
 	changed func() // called when readiness has changed
-	kick    chan struct{}
+	wakeup  chan struct{}
 
 	orders, refusals, staged metrics.Counter
 
 	state    atomic.Pointer[readiness]
 	draining atomic.Bool
 
-	mu   sync.Mutex // guards kind and want, which others read
-	kind intent.Kind
-	want target.Loadout
-	svc  string
+	mu      sync.Mutex // guards kind, want and service, which other goroutines read
+	kind    intent.Kind
+	want    target.Loadout
+	service string
 
-	boot       string // engine start that the chunks were staged for
-	stagedFor  map[stagedChunk]bool
-	orderedAt  time.Time // of the order under way; zero if none
-	drainSince time.Time
-	notBefore  time.Time
+	boot         string // identifies the engine's process start for which chunks were staged
+	stagedChunks map[stagedChunk]bool
+	orderedAt    time.Time // time of the outstanding order; zero if none
+	drainSince   time.Time
+	notBefore    time.Time
 }
 
 func newSupervisor(cfg Config, node *control.Node, w *weights, p *permits, log *logrus.Entry, reg metrics.Registry, running func() int, changed func()) *supervisor {
 	c := func(name string) metrics.Counter { return metrics.NewRegisteredCounter("engine."+name, reg) }
 	s := &supervisor{cfg: cfg, node: node, engine: target.NewEngine(cfg.TargetURL), weights: w, permits: p, log: log,
-		started: clock.Now(), running: running, changed: changed, kick: make(chan struct{}, 1),
+		started: clock.Now(), running: running, changed: changed, wakeup: make(chan struct{}, 1),
 		orders: c("orders"), refusals: c("orders_refused"), staged: c("chunks_staged"),
-		stagedFor: map[stagedChunk]bool{}}
+		stagedChunks: map[stagedChunk]bool{}}
 	s.state.Store(&readiness{})
 	return s
 }
 
-// readiness says whether the target takes requests, and what its answers name.
+// readiness returns whether the target accepts requests, and the loadout that its answers
+// must name.
 func (s *supervisor) readiness() readiness {
 	r := *s.state.Load()
 	r.ready = r.ready && !s.draining.Load()
@@ -86,12 +87,12 @@
 
 func (s *supervisor) wake() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// configure takes the loadout that the fleet file in force asks for.
+// configure applies the loadout of the fleet file in force.
 func (s *supervisor) configure(snap *control.Snapshot) {
 	f := snap.Fleet()
 	if f == nil {
@@ -101,26 +102,26 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if svc == nil {
-		s.svc, s.kind = "", ""
+		s.service, s.kind = "", ""
 		return
 	}
-	s.svc, s.kind, s.want = svc.Name, svc.Kind, target.LoadoutOf(svc)
+	s.service, s.kind, s.want = svc.Name, svc.Kind, target.LoadoutOf(svc)
 }
 
 func (s *supervisor) wanted() (service string, kind intent.Kind, want target.Loadout) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.svc, s.kind, s.want
+	return s.service, s.kind, s.want
 }
 
 func (s *supervisor) run(ctx context.Context) {
-	t := time.NewTicker(superviseEvery)
+	t := time.NewTicker(superviseInterval)
 	defer t.Stop()
 	for {
 		s.step(ctx)
 		select {
 		case <-t.C:
-		case <-s.kick:
+		case <-s.wakeup:
 		case <-ctx.Done():
 			return
 		}
@@ -134,7 +135,7 @@
 	}
 }
 
-// step brings the engine one step closer to what is wanted.
+// step takes the next step towards the wanted loadout.
 func (s *supervisor) step(ctx context.Context) {
 	service, kind, want := s.wanted()
 	switch kind {
@@ -149,35 +150,36 @@
 	st, err := s.engine.Status(ctx)
 	if err != nil {
 		s.setReady(readiness{})
-		s.permits.out(ctx, service)
+		s.permits.reportUnavailable(ctx, service)
 		return
 	}
-	s.noteBoot(st)
+	s.resetOnRestart(st)
 	s.setReady(readiness{ready: st.Loadout != "" && !st.Loading, loadout: st.Loadout})
 	if st.Loadout == want.ID() && !st.Loading {
-		s.settled(ctx, service)
+		s.finishSwitch(ctx, service)
 		return
 	}
 	if st.Loadout == "" || st.Loading {
-		s.permits.out(ctx, service)
+		s.permits.reportUnavailable(ctx, service)
 	}
 	s.advance(ctx, service, want, st)
 }
 
-// noteBoot forgets what was staged if the engine has restarted.
-func (s *supervisor) noteBoot(st target.EngineStatus) {
+// resetOnRestart clears the record of staged chunks and the outstanding order if the
+// engine has restarted.
+func (s *supervisor) resetOnRestart(st target.EngineStatus) {
 	if st.Boot != s.boot {
 		s.boot = st.Boot
-		s.stagedFor = map[stagedChunk]bool{}
+		s.stagedChunks = map[stagedChunk]bool{}
 		s.orderedAt = time.Time{}
 	}
 }
 
-// settled ends a switch that has succeeded.
-func (s *supervisor) settled(ctx context.Context, service string) {
+// finishSwitch ends a version switch that has succeeded.
+func (s *supervisor) finishSwitch(ctx context.Context, service string) {
 	s.orderedAt = time.Time{}
 	s.stopDraining()
-	s.permits.done(ctx, service)
+	s.permits.release(ctx, service)
 }
 
 func (s *supervisor) stopDraining() {
@@ -187,10 +189,11 @@
 	}
 }
 
-// advance stages what is missing, then asks for a permit, drains and orders.
+// advance stages missing chunks, then acquires a permit, drains the target and sends the
+// load order.
 func (s *supervisor) advance(ctx context.Context, service string, want target.Loadout, st target.EngineStatus) {
 	now := clock.Now()
-	if s.underWay(ctx, service, now) || now.Before(s.notBefore) {
+	if s.orderInProgress(ctx, service, now) || now.Before(s.notBefore) {
 		return
 	}
 	if !s.stage(ctx, want) {
@@ -199,22 +202,23 @@
 	if !s.mayOrder(now) {
 		return
 	}
-	if st.Loadout != "" && !s.permits.ask(ctx, service) {
+	if st.Loadout != "" && !s.permits.acquire(ctx, service) {
 		return
 	}
-	if !s.drained(now) {
+	if !s.drain(now) {
 		return
 	}
 	s.order(ctx, service, want)
 }
 
-// underWay waits for an order that was given, up to the load timeout.
-func (s *supervisor) underWay(ctx context.Context, service string, now time.Time) bool {
+// orderInProgress reports whether a load order is outstanding. It abandons the order after
+// the load time-out.
+func (s *supervisor) orderInProgress(ctx context.Context, service string, now time.Time) bool {
 	if s.orderedAt.IsZero() {
 		return false
 	}
 	if now.Sub(s.orderedAt) < s.cfg.LoadTimeout {
-		s.permits.ask(ctx, service) // renew
+		s.permits.acquire(ctx, service) // renew
 		return true
 	}
 	s.log.Warn("Engine did not load what it was told.")
@@ -222,16 +226,18 @@
 	return true
 }
 
-// abandon gives up a switch for now; the engine goes on with what it has.
+// abandon aborts a version switch until the next retry. The engine keeps its current
+// versions.
 func (s *supervisor) abandon(ctx context.Context, service string) {
 	s.orderedAt = time.Time{}
 	s.notBefore = clock.Now().Add(orderRetry)
 	s.stopDraining()
-	s.permits.done(ctx, service)
+	s.permits.release(ctx, service)
 }
 
-// mayOrder is false after a pause, and for engines that check no fences while
-// an order of an earlier process may still be on its way.
+// mayOrder reports whether a load order may be sent now. It may not after a pause of the
+// process, until its state is up to date again. If the engine does not check fencing
+// tokens, it may not while an order of the previous process may still be in transit.
 func (s *supervisor) mayOrder(now time.Time) bool {
 	if !s.node.Awake(now) {
 		return false
@@ -241,8 +247,9 @@
 	return svc != nil && (svc.Fenced || now.Sub(s.started) >= orderGrace)
 }
 
-// drained stops new requests and reports whether none runs any more.
-func (s *supervisor) drained(now time.Time) bool {
+// drain stops the admission of new requests. It reports true once no request runs, or
+// drainLimit has passed.
+func (s *supervisor) drain(now time.Time) bool {
 	if !s.draining.Swap(true) {
 		s.drainSince = now
 		s.changed()
@@ -253,7 +260,7 @@
 func (s *supervisor) order(ctx context.Context, service string, want target.Loadout) {
 	snap := s.node.Snapshot()
 	if svc := snap.Fleet().ServiceOf(s.cfg.Control.Host); svc == nil || target.LoadoutOf(svc).ID() != want.ID() {
-		return // the fleet file has changed in between
+		return // the fleet file has changed in the meantime
 	}
 	s.orders.Inc(1)
 	o := target.Order{Loadout: want, ID: want.ID(), Fence: target.Fence(snap.Revision(), s.cfg.Control.Incarnation)}
@@ -267,41 +274,41 @@
 	s.refusals.Inc(1)
 	s.log.WithError(err).Warn("Load order failed.")
 	if errors.Is(err, target.ErrRefused) {
-		s.stagedFor = map[stagedChunk]bool{} // the engine may have lost chunks
+		s.stagedChunks = map[stagedChunk]bool{} // the engine may have lost chunks
 	}
 	s.abandon(ctx, service)
 }
 
-// stage hands chunks to the engine as they arrive. It reports whether all of
-// the loadout has been handed over.
+// stage sends the chunks that have arrived to the engine. It reports whether the complete
+// loadout is staged.
 func (s *supervisor) stage(ctx context.Context, want target.Loadout) bool {
 	manifests := s.weights.manifests(want)
-	whole := true
+	complete := true
 	for _, id := range want.Manifests() {
 		m := manifests[id]
 		if m == nil {
-			whole = false
+			complete = false
 			continue
 		}
-		whole = s.stageVersion(ctx, id, m) && whole
+		complete = s.stageVersion(ctx, id, m) && complete
 	}
-	return whole
+	return complete
 }
 
-// stageBatch bounds the chunks handed over in one step, so that a step ends
-// in time to look at the engine's status.
+// stageBatch is the maximum number of chunks that are staged in one step. It bounds the
+// time until the engine's status is checked again.
 const stageBatch = 64
 
 func (s *supervisor) stageVersion(ctx context.Context, id digest.Digest, m *spread.Manifest) bool {
-	left, sent := 0, 0
+	remaining, sent := 0, 0
 	for i, d := range m.Chunks {
 		key := stagedChunk{id, i}
-		if s.stagedFor[key] {
+		if s.stagedChunks[key] {
 			continue
 		}
 		b := s.weights.chunks.get(d)
 		if b == nil || sent == stageBatch {
-			left++
+			remaining++
 			continue
 		}
 		if err := s.engine.Stage(ctx, id, i, len(m.Chunks), b); err != nil {
@@ -310,10 +317,10 @@
 		}
 		sent++
 		s.staged.Inc(1)
-		s.stagedFor[key] = true
+		s.stagedChunks[key] = true
 	}
-	if left > 0 && sent > 0 {
+	if remaining > 0 && sent > 0 {
 		s.wake()
 	}
-	return left == 0
+	return remaining == 0
 }
--- a/agent/suspension_test.go
+++ b/agent/suspension_test.go
@@ -16,45 +16,46 @@
 	"gotest.tools/v3/assert"
 )
 
-// A host's machine was suspended for longer than its permit to switch lasts. The permit
-// had been given to another host meanwhile, and both engines were out of service at once.
-func TestSuspension(t *testing.T) {
+// Guards against a host that uses its permit to switch versions after its machine was
+// suspended for longer than the lease. The issuer has then granted the permit to another
+// host, and both engines would be out of service at the same time.
+func TestPermitExpiresDuringSuspension(t *testing.T) {
 	for _, d := range []time.Duration{rollout.DefaultLease, 60 * time.Second} {
 		machine := clocktest.New(t)
 		p := newPermits(Config{}, nil, nil)
-		p.granted, p.held = true, true
-		p.renewed()
+		p.granted, p.registered = true, true
+		p.recordRenewal()
 		assert.Assert(t, p.fresh(p.granted))
 		machine.Suspend(d)
 		assert.Check(t, !p.fresh(p.granted), "after %v", d)
 	}
 }
 
-// A request that waited for its turn while the machine was suspended began long after its
-// caller's time was over, and took the place of one that had time left. One that ran went
-// on as much too long.
-func TestCallersTimeCountsASuspension(t *testing.T) {
+// Guards against deadlines that do not include the time of a suspension of the machine. A
+// queued request would then start after its deadline and occupy the slot of one with time
+// left, and a running request would continue past its deadline.
+func TestDeadlineIncludesSuspension(t *testing.T) {
 	const timeout = 2 * time.Second
 	for _, d := range []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second} {
 		machine := clocktest.New(t)
 		r := newRequests(Config{}, nil, nil, &sync.WaitGroup{})
 		r.intake.Configure(clock.Now(), admission.Limits{Concurrency: 1, Queue: 10}, []admission.TeamLimits{{Name: "blue"}})
 		host := intake.Host{HasIntent: true, Awake: true, Ready: true, Service: "s"}
-		arrive := func(try uint16) begun {
+		arrive := func(try uint16) beginResult {
 			return r.admit(host, &peer.Dispatch{Attempt: peer.Attempt{Try: try}, Service: "s", Team: "blue", TimeoutMs: timeout.Milliseconds()}, false)
 		}
-		runs, waits := arrive(1), arrive(2)
-		assert.Equal(t, runs.Action, intake.Run)
-		assert.Equal(t, waits.Action, intake.Wait)
+		running, waiting := arrive(1), arrive(2)
+		assert.Equal(t, running.Action, intake.Run)
+		assert.Equal(t, waiting.Action, intake.Wait)
 		machine.Suspend(d)
 		r.tick()
 		select {
-		case refused := <-waits.work.verdict:
+		case refused := <-waiting.attempt.admissionResult:
 			assert.Check(t, refused.Reason == outcome.DeadlineExceeded, "%v", refused)
 		default:
 			t.Errorf("still waits after a suspension of %v", d)
 		}
-		assert.Check(t, r.works[idempotency.AttemptID{Try: 2}] == nil)
-		assert.Check(t, clock.Until(runs.work.deadline) <= 0, "runs on for %v", clock.Until(runs.work.deadline))
+		assert.Check(t, r.attempts[idempotency.AttemptID{Try: 2}] == nil)
+		assert.Check(t, clock.Until(running.attempt.deadline) <= 0, "runs on for %v", clock.Until(running.attempt.deadline))
 	}
 }
--- a/agent/weights.go
+++ b/agent/weights.go
@@ -20,12 +20,12 @@
 	"github.com/springgate/springgate/weightstore"
 )
 
-// Times of the weight transfer.
+// Intervals and time-outs of the weight transfer.
 const (
-	pumpEvery       = 50 * time.Millisecond
-	manifestRetry   = 300 * time.Millisecond
-	manifestTimeout = 5 * time.Second
-	subscribeRetry  = 500 * time.Millisecond
+	scheduleInterval = 50 * time.Millisecond
+	manifestRetry    = 300 * time.Millisecond
+	manifestTimeout  = 5 * time.Second
+	subscribeRetry   = 500 * time.Millisecond
 )
 
 type weightCounters struct {
@@ -40,63 +40,63 @@
 		corrupt: c("corrupt_chunks"), failed: c("failed_fetches"), limited: c("limited_fetches")}
 }
 
-// weights brings versions to this host and serves their chunks to others.
+// weights transfers versions of weights to this host and serves their chunks to other
+// hosts.
 type weights struct {
-	cfg    Config
-	self   spread.Node
-	node   *control.Node
-	pool   *peer.Pool
-	log    *logrus.Entry
-	count  weightCounters
-	chunks *chunks
-	up     *link
-	down   *link
-	loop   *loop.Loop
-	notify func() // called when a version is whole
+	cfg        Config
+	self       spread.Node
+	node       *control.Node
+	pool       *peer.Pool
+	log        *logrus.Entry
+	counters   weightCounters
+	chunks     *chunks
+	up         *linkPacer
+	down       *linkPacer
+	loop       *loop.Loop
+	onComplete func() // called when all chunks of a version are held
 
-	mu       sync.Mutex
-	holdings map[digest.Digest]*holding
-	appeared chan struct{} // closed and replaced when a holding is added
+	mu           sync.Mutex
+	holdings     map[digest.Digest]*holding
+	holdingAdded chan struct{} // closed and replaced when a holding is added
 
 	// The fields below are owned by the loop.
 	ctx       context.Context
 	wanted    target.Loadout
 	nodes     []spread.Node
-	nodesKey  string // of the nodes that the readers were computed for
+	nodesKey  string // identifies the nodes for which the readers were computed
 	sources   map[intent.SourceKind]*weightstore.Client
 	transfers map[digest.Digest]*transfer
 }
 
-// transfer is one version on its way.
+// transfer is the transfer of one version to this host.
 type transfer struct {
-	ctx      context.Context
-	stop     context.CancelFunc
-	id       digest.Digest
-	manifest *spread.Manifest // nil until known
-	planner  *spread.Planner
-	holding  *holding
-	subs     map[string]context.CancelFunc
-	fetches  map[spread.Fetch]context.CancelFunc
-	failed   error // set if the version cannot be held
+	ctx           context.Context
+	stop          context.CancelFunc
+	id            digest.Digest
+	manifest      *spread.Manifest // nil until known
+	planner       *spread.Planner
+	holding       *holding
+	subscriptions map[string]context.CancelFunc
+	fetches       map[spread.Fetch]context.CancelFunc
+	failed        error // set if the version does not fit in the weight memory
 }
 
-func newWeights(cfg Config, node *control.Node, pool *peer.Pool, log *logrus.Entry, reg metrics.Registry, notify func()) *weights {
+func newWeights(cfg Config, node *control.Node, pool *peer.Pool, log *logrus.Entry, reg metrics.Registry, onComplete func()) *weights {
 	return &weights{cfg: cfg, self: spread.Node{Host: cfg.Control.Host, Domain: cfg.Control.Domain},
-		node: node, pool: pool, log: log, count: newWeightCounters(reg), chunks: newChunks(cfg.WeightMemory),
-		up: newLink(cfg.LinkRate), down: newLink(cfg.LinkRate), loop: loop.New(), notify: notify,
-		holdings: map[digest.Digest]*holding{}, appeared: make(chan struct{}),
+		node: node, pool: pool, log: log, counters: newWeightCounters(reg), chunks: newChunks(cfg.WeightMemory),
+		up: newLinkPacer(cfg.LinkRate), down: newLinkPacer(cfg.LinkRate), loop: loop.New(), onComplete: onComplete,
+		holdings: map[digest.Digest]*holding{}, holdingAdded: make(chan struct{}),
 		sources: map[intent.SourceKind]*weightstore.Client{}, transfers: map[digest.Digest]*transfer{}}
 }
 
 func (w *weights) run(ctx context.Context) {
 	w.ctx = ctx
-	go w.loop.Every(ctx, pumpEvery, w.pumpAll)
+	go w.loop.Every(ctx, scheduleInterval, w.scheduleAll)
 	w.loop.Run(ctx)
 }
 
-// configure takes the versions that the fleet file in force asks for. A
-// transfer of a version that is no longer wanted stops; chunks that a wanted
-// version shares are kept.
+// configure applies the versions of the fleet file in force. It stops the transfers of
+// versions that are no longer wanted and keeps their chunks that a wanted version shares.
 func (w *weights) configure(s *control.Snapshot) {
 	f := s.Fleet()
 	if f == nil {
@@ -133,7 +133,7 @@
 	seen := map[intent.SourceKind]bool{}
 	for _, src := range f.Sources {
 		if seen[src.Kind] {
-			continue // the first of a kind is used
+			continue // the first one of each kind is used
 		}
 		seen[src.Kind] = true
 		if c := w.sources[src.Kind]; c == nil || c.Base() != src.URL {
@@ -147,7 +147,7 @@
 	}
 }
 
-// participants are the hosts that want the same versions and may be live.
+// participants returns the hosts of the service that are not known to be gone.
 func participants(s *control.Snapshot, svc *intent.Service) []spread.Node {
 	var out []spread.Node
 	for _, h := range svc.Hosts {
@@ -168,24 +168,24 @@
 	}
 }
 
-// readers says which of the hosts that take part now read which chunk.
+// readers assigns each chunk to the participating hosts that read it from a source.
 func (w *weights) readers(t *transfer) *spread.Readers {
 	return spread.Assign(t.id.String(), len(t.manifest.Chunks), w.nodes)
 }
 
-// discard frees chunks that no wanted version has.
+// discard frees chunks that belong to no wanted version.
 func (w *weights) discard() {
 	keep := map[digest.Digest]bool{}
 	for id, t := range w.transfers {
 		keep[id] = true
 		if t.manifest == nil {
-			return // it may share chunks with what is held
+			return // it may share chunks with those held
 		}
 		for _, d := range t.manifest.Chunks {
 			keep[d] = true
 		}
 	}
-	w.chunks.keep(keep)
+	w.chunks.retain(keep)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for id := range w.holdings {
@@ -200,14 +200,14 @@
 		return
 	}
 	ctx, stop := context.WithCancel(w.ctx)
-	t := &transfer{ctx: ctx, stop: stop, id: id, subs: map[string]context.CancelFunc{},
+	t := &transfer{ctx: ctx, stop: stop, id: id, subscriptions: map[string]context.CancelFunc{},
 		fetches: map[spread.Fetch]context.CancelFunc{}}
 	w.transfers[id] = t
 	w.log.WithField("version", id.Short()).Info("Transfer started.")
 	go w.fetchManifest(t, goal)
 }
 
-// begin starts planning once the manifest is known. It runs on the loop.
+// begin starts fetching chunks once the manifest is known. It runs on the loop.
 func (w *weights) begin(t *transfer, m *spread.Manifest, raw []byte, goal intent.Spread) {
 	if t.ctx.Err() != nil {
 		return
@@ -231,13 +231,13 @@
 	}
 	w.mu.Lock()
 	w.holdings[t.id] = t.holding
-	close(w.appeared)
-	w.appeared = make(chan struct{})
+	close(w.holdingAdded)
+	w.holdingAdded = make(chan struct{})
 	w.mu.Unlock()
 	w.subscribe(t)
-	w.pump(t)
+	w.schedule(t)
 	if t.planner.Complete() {
-		w.notify()
+		w.onComplete()
 	}
 }
 
@@ -248,25 +248,25 @@
 	}
 }
 
-// progress returns how many chunks of the wanted versions are held, and
-// whether all are.
-func (w *weights) progress() (have, want int, whole bool) {
+// progress returns how many chunks of the wanted versions are held and how many there
+// are in the versions with a known manifest. complete is true if all versions are held.
+func (w *weights) progress() (have, want int, complete bool) {
 	_ = w.loop.Call(func() {
-		whole = len(w.transfers) > 0
+		complete = len(w.transfers) > 0
 		for _, t := range w.transfers {
 			if t.planner == nil {
-				whole = false
+				complete = false
 				continue
 			}
 			have += t.planner.Held()
 			want += len(t.manifest.Chunks)
-			whole = whole && t.planner.Complete()
+			complete = complete && t.planner.Complete()
 		}
 	})
-	return have, want, whole
+	return have, want, complete
 }
 
-// manifests returns the manifests of the loadout if all are known.
+// manifests returns those manifests of the loadout that are known.
 func (w *weights) manifests(l target.Loadout) map[digest.Digest]*spread.Manifest {
 	out := map[digest.Digest]*spread.Manifest{}
 	_ = w.loop.Call(func() {
