--- a/agent/agent.go
+++ b/agent/agent.go
@@ -130,7 +130,7 @@
 	if wasLeaving {
 		return
 	}
-	a.log.Info("Leaving. No new work is taken.")
+	a.log.Info("Leaving. New requests are refused.")
 	a.requests.loop.Post(a.requests.leave)
 	a.node.Leave()
 	a.statusChanged()
--- a/agent/chunks.go
+++ b/agent/chunks.go
@@ -8,7 +8,7 @@
 )
 
 // errWeightMemory is returned if a version exceeds the weight memory limit.
-var errWeightMemory = errors.New("agent: version does not fit in the weight memory")
+var errWeightMemory = errors.New("agent: version exceeds the weight memory limit")
 
 // chunks is a memory store of verified chunks and manifests by digest, with a size limit.
 type chunks struct {
--- a/agent/fetch.go
+++ b/agent/fetch.go
@@ -97,7 +97,7 @@
 }
 
 // errComing is returned if the peer itself is still waiting for the chunk.
-var errComing = errors.New("agent: the peer does not have the chunk yet")
+var errComing = errors.New("agent: peer is still waiting for the chunk")
 
 // handleFetched processes the result of a fetch. It runs on the loop.
 func (w *weights) handleFetched(t *transfer, f spread.Fetch, want digest.Digest, b []byte, err error) {
@@ -150,7 +150,7 @@
 		w.counters.fromPeer.Inc(int64(n))
 	}
 	if t.planner.Complete() {
-		w.log.WithField("version", t.id.Short()).Info("Version is whole.")
+		w.log.WithField("version", t.id.Short()).Info("All chunks of version received.")
 		w.onComplete()
 	}
 }
--- a/agent/finish_test.go
+++ b/agent/finish_test.go
@@ -90,11 +90,11 @@
 		ends   outcome.Reason
 		again  intake.Decision
 	}{
-		"whole": {
+		"complete": {
 			answer: func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") },
 			again:  intake.Decision{Action: intake.Replay, Source: idempotency.AttemptID{Try: 1}},
 		},
-		"cut": {
+		"truncated": {
 			answer: func(w http.ResponseWriter, _ *http.Request) {
 				w.Header().Set("Content-Length", "10")
 				_, _ = io.WriteString(w, "cut")
@@ -122,7 +122,7 @@
 			select {
 			case p := <-got:
 				close(release)
-				t.Fatalf("the answer ended before its record: %+v", p)
+				t.Fatalf("answer ended before its record was written: %+v", p)
 			case <-time.After(recordDelay):
 			}
 			close(release)
--- a/agent/manifest.go
+++ b/agent/manifest.go
@@ -25,7 +25,7 @@
 			w.loop.Post(func() { w.begin(t, m, b, goal) })
 			return
 		}
-		w.log.WithField("version", t.id.Short()).WithError(err).Debug("Manifest not read.")
+		w.log.WithField("version", t.id.Short()).WithError(err).Debug("Could not read manifest. Retrying.")
 		jitter := time.Duration(rand.Int64N(int64(manifestRetry)))
 		loop.Sleep(t.ctx, manifestRetry/2+jitter)
 	}
--- a/agent/supervisor.go
+++ b/agent/supervisor.go
@@ -221,7 +221,7 @@
 		s.permits.acquire(ctx, service) // renew
 		return true
 	}
-	s.log.Warn("Engine did not load what it was told.")
+	s.log.Warn("Engine did not load the ordered versions in time.")
 	s.abandon(ctx, service)
 	return true
 }
@@ -312,7 +312,7 @@
 			continue
 		}
 		if err := s.engine.Stage(ctx, id, i, len(m.Chunks), b); err != nil {
-			s.log.WithError(err).Debug("Chunk not staged.")
+			s.log.WithError(err).Debug("Could not stage chunk.")
 			return false
 		}
 		sent++
--- a/agent/suspension_test.go
+++ b/agent/suspension_test.go
@@ -27,7 +27,7 @@
 		p.recordRenewal()
 		assert.Assert(t, p.fresh(p.granted))
 		machine.Suspend(d)
-		assert.Check(t, !p.fresh(p.granted), "after %v", d)
+		assert.Check(t, !p.fresh(p.granted), "permit still valid after a suspension of %v", d)
 	}
 }
 
@@ -51,11 +51,11 @@
 		r.tick()
 		select {
 		case refused := <-waiting.attempt.admissionResult:
-			assert.Check(t, refused.Reason == outcome.DeadlineExceeded, "%v", refused)
+			assert.Check(t, refused.Reason == outcome.DeadlineExceeded, "refused with %v", refused)
 		default:
-			t.Errorf("still waits after a suspension of %v", d)
+			t.Errorf("request still queued after a suspension of %v", d)
 		}
 		assert.Check(t, r.attempts[idempotency.AttemptID{Try: 2}] == nil)
-		assert.Check(t, clock.Until(running.attempt.deadline) <= 0, "runs on for %v", clock.Until(running.attempt.deadline))
+		assert.Check(t, clock.Until(running.attempt.deadline) <= 0, "request may run for another %v", clock.Until(running.attempt.deadline))
 	}
 }
--- a/agent/weights.go
+++ b/agent/weights.go
@@ -244,7 +244,7 @@
 func (w *weights) fail(t *transfer, err error) {
 	if t.failed == nil {
 		t.failed = err
-		w.log.WithField("version", t.id.Short()).WithError(err).Error("Transfer given up.")
+		w.log.WithField("version", t.id.Short()).WithError(err).Error("Transfer aborted.")
 	}
 }
 
