--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -124,7 +124,7 @@
 	x.endpoint = c.Endpoint
 	x.host = membership.Member{Listed: membership.Listed{Host: c.Endpoint.Host, Addr: c.Endpoint.Addr, Domain: c.Endpoint.Domain}}
 	x.tried = append(x.tried, x.host.Host)
-	return x.machine.Chosen()
+	return x.machine.HostChosen()
 }
 
 // pick prefers the engine of the conversation, if the service asks for it.
@@ -144,7 +144,7 @@
 		return x.machine.NoHost(outcome.HomeUnreachable, time.Second)
 	}
 	x.host, x.endpoint = m, nil
-	return x.machine.Chosen()
+	return x.machine.HostChosen()
 }
 
 // dispatch sends the request to the chosen host.
--- a/submission/replay_test.go
+++ b/submission/replay_test.go
@@ -114,7 +114,7 @@
 		}
 	case "chosen":
 		r.agent, r.inc = e.A, a.inc
-		r.last = r.m.Chosen()
+		r.last = r.m.HostChosen()
 	case "no-host":
 		r.last = r.m.NoHost(outcome.NoCandidate, time.Second)
 	case "not-sent":
--- a/submission/submission.go
+++ b/submission/submission.go
@@ -108,8 +108,8 @@
 // Done reports whether the outcome is final.
 func (m *Machine) Done() bool { return m.phase == done }
 
-// Chosen reports the host for the next attempt.
-func (m *Machine) Chosen() Action {
+// HostChosen reports the host for the next attempt.
+func (m *Machine) HostChosen() Action {
 	if m.phase != choosing {
 		return Action{}
 	}
--- a/submission/submission_test.go
+++ b/submission/submission_test.go
@@ -25,7 +25,7 @@
 		"missing":   {9, 0, submission.Fence, ""},
 	} {
 		m, _ := submission.New(submission.Request{})
-		m.Chosen()
+		m.HostChosen()
 		m.Head(1)
 		assert.Equal(t, m.Data(1, 0, body).Kind, submission.Forward, name)
 		a := m.End(1, c.length, c.sum)
@@ -40,7 +40,7 @@
 	tries := func(reason outcome.Reason) int {
 		m, _ := submission.New(submission.Request{Repeatable: true})
 		for n := 1; ; n++ {
-			m.Chosen()
+			m.HostChosen()
 			if a := m.Refused(m.Try(), reason, 0); a.Kind == submission.Finish {
 				assert.Equal(t, a.Outcome, outcome.NotRun)
 				return n
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -195,7 +195,7 @@
 	hosts := w.revisions[w.entries[s.entry].revision]
 	if s.key != "" {
 		s.host = idempotency.Home(idempotency.KeyID{Service: service, Team: simTeam, Key: s.key}, hosts)
-		return s.m.Chosen()
+		return s.m.HostChosen()
 	}
 	h := rapid.SampledFrom(hosts).Draw(t, "host")
 	if s.tried[h] {
@@ -203,7 +203,7 @@
 	}
 	s.tried[h] = true
 	s.host = h
-	return s.m.Chosen()
+	return s.m.HostChosen()
 }
 
 func (w *world) dispatch(s *sub) submission.Action {
