--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -161,7 +161,7 @@
 	x.candInc = c.Remote().Incarnation
 	x.stream, err = c.Open(ctx, x.dispatchMessage())
 	if err != nil {
-		return x.machine.Lost()
+		return x.machine.ConnectionLost()
 	}
 	if x.body.present() {
 		x.bodyErr = make(chan outcome.Reason, 1)
@@ -219,7 +219,7 @@
 	if act, over := x.over(ctx); over {
 		return act
 	}
-	return x.machine.Lost()
+	return x.machine.ConnectionLost()
 }
 
 // over reports that the caller left or that the deadline has passed.
@@ -281,14 +281,14 @@
 func (x *exchange) resume(ctx context.Context, offset int64) submission.Action {
 	c, err := x.entry.pool.Get(ctx, x.host.Addr, peer.Traffic)
 	if err != nil {
-		return x.machine.Lost()
+		return x.machine.ConnectionLost()
 	}
 	if x.endpoint != nil {
 		x.endpoint.Started()
 	}
 	x.stream, err = c.Open(ctx, &peer.Resume{Attempt: x.attempt(), Offset: offset, NeedHead: x.status == 0})
 	if err != nil {
-		return x.machine.Lost()
+		return x.machine.ConnectionLost()
 	}
 	x.entry.count.resumed.Inc(1)
 	return x.next(ctx)
--- a/submission/oracle_test.go
+++ b/submission/oracle_test.go
@@ -56,7 +56,7 @@
 			if s.outcome != "" {
 				t.Skip("ended")
 			}
-			w.act(t, s, s.m.Lost())
+			w.act(t, s, s.m.ConnectionLost())
 		},
 		"fence fails": func(t *rapid.T) {
 			if len(w.subs) == 0 {
--- a/submission/replay_test.go
+++ b/submission/replay_test.go
@@ -128,7 +128,7 @@
 	case "refusal":
 		r.last = r.m.Refused(r.m.Try(), r.said.Reason, r.said.RetryAfter)
 	case "lost":
-		r.last = r.m.Lost()
+		r.last = r.m.ConnectionLost()
 	case "fence":
 		p.fence(r, a)
 	case "no-answer":
--- a/submission/submission.go
+++ b/submission/submission.go
@@ -210,8 +210,8 @@
 	return Action{Kind: Finish, Outcome: outcome.Completed}
 }
 
-// Lost reports that the connection of the current attempt broke.
-func (m *Machine) Lost() Action {
+// ConnectionLost reports that the connection of the current attempt broke.
+func (m *Machine) ConnectionLost() Action {
 	if m.phase != running && m.phase != resuming {
 		return Action{}
 	}
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -339,7 +339,7 @@
 func (w *world) resume(s *sub, offset int64) submission.Action {
 	a := w.agents[s.host]
 	if a.dead || a.inc != s.inc {
-		return s.m.Lost()
+		return s.m.ConnectionLost()
 	}
 	c := &conn{agent: a}
 	s.conn = c
