--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -228,7 +228,7 @@
 	case x.r.Context().Err() != nil:
 		return x.machine.Abandon(outcome.CallerLeft), true
 	case ctx.Err() != nil:
-		return x.machine.Deadline(), true
+		return x.machine.DeadlineExceeded(), true
 	}
 	return submission.Action{}, false
 }
--- a/submission/oracle_test.go
+++ b/submission/oracle_test.go
@@ -71,7 +71,7 @@
 			}
 			s := w.subs[one(t, "sub", len(w.subs))]
 			if rapid.Bool().Draw(t, "deadline") {
-				w.act(t, s, s.m.Deadline())
+				w.act(t, s, s.m.DeadlineExceeded())
 			} else {
 				w.act(t, s, s.m.Abandon(outcome.CallerLeft))
 			}
--- a/submission/submission.go
+++ b/submission/submission.go
@@ -292,8 +292,8 @@
 	return Action{Kind: Choose, Try: m.try}
 }
 
-// Deadline reports that the caller's deadline has passed.
-func (m *Machine) Deadline() Action {
+// DeadlineExceeded reports that the caller's deadline has passed.
+func (m *Machine) DeadlineExceeded() Action {
 	switch m.phase {
 	case done:
 		return Action{}
