--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -299,7 +299,7 @@
 	x.release(false)
 	if !x.entry.budget(x.svc.Name).Spend(clock.Now()) {
 		x.entry.reasons.Refused(outcome.RetryBudget)
-		return x.machine.Waited(false)
+		return x.machine.BackoffElapsed(false)
 	}
 	x.retries++
 	x.entry.reasons.Retried(reason)
@@ -307,7 +307,7 @@
 	if act, over := x.over(ctx); over {
 		return act
 	}
-	return x.machine.Waited(true)
+	return x.machine.BackoffElapsed(true)
 }
 
 // forward passes the head or a piece of the answer on to the caller.
--- a/submission/replay_test.go
+++ b/submission/replay_test.go
@@ -153,7 +153,7 @@
 		p.t.Fatalf("unknown event %q", e.Do)
 	}
 	if r != nil && r.last.Kind == submission.Wait {
-		r.last = r.m.Waited(true)
+		r.last = r.m.BackoffElapsed(true)
 	}
 }
 
--- a/submission/submission.go
+++ b/submission/submission.go
@@ -279,9 +279,9 @@
 // unresolved handles an attempt whose result cannot be learned.
 func (m *Machine) unresolved(reason outcome.Reason) Action { return m.failed(reason) }
 
-// Waited reports the end of a back-off. budget is false if the retry budget
+// BackoffElapsed reports the end of a back-off. budget is false if the retry budget
 // does not allow another try.
-func (m *Machine) Waited(budget bool) Action {
+func (m *Machine) BackoffElapsed(budget bool) Action {
 	if m.phase != backoff {
 		return Action{}
 	}
--- a/submission/submission_test.go
+++ b/submission/submission_test.go
@@ -45,7 +45,7 @@
 				assert.Equal(t, a.Outcome, outcome.NotRun)
 				return n
 			}
-			m.Waited(true)
+			m.BackoffElapsed(true)
 		}
 	}
 	assert.Equal(t, tries(outcome.QueueFull), 2)
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -164,7 +164,7 @@
 		case submission.Resume:
 			a = w.resume(s, a.Offset)
 		case submission.Wait:
-			a = s.m.Waited(rapid.IntRange(0, 9).Draw(t, "budget") > 0)
+			a = s.m.BackoffElapsed(rapid.IntRange(0, 9).Draw(t, "budget") > 0)
 		case submission.Finish:
 			s.outcome, s.reason, s.aborted = a.Outcome, a.Reason, a.Abort
 			s.keyRan = w.keyRuns[s.key]
