--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -90,7 +90,7 @@
 		return x.fence(ctx)
 	case submission.Resume:
 		return x.resume(ctx, act.Offset)
-	case submission.Wait:
+	case submission.Backoff:
 		return x.wait(ctx, act.Reason)
 	case submission.Forward:
 		if err := x.forward(); err != nil {
--- a/submission/replay_test.go
+++ b/submission/replay_test.go
@@ -152,7 +152,7 @@
 	default:
 		p.t.Fatalf("unknown event %q", e.Do)
 	}
-	if r != nil && r.last.Kind == submission.Wait {
+	if r != nil && r.last.Kind == submission.Backoff {
 		r.last = r.m.BackoffElapsed(true)
 	}
 }
--- a/submission/submission.go
+++ b/submission/submission.go
@@ -54,8 +54,8 @@
 	Fence
 	// Resume means ask the same agent incarnation for the answer from Offset.
 	Resume
-	// Wait means back off, then report Waited.
-	Wait
+	// Backoff means back off, then report Waited.
+	Backoff
 	// Forward means pass the head or the data of the event to the caller.
 	Forward
 	// Finish means the submission has its outcome. If Abort is set, a part of
@@ -322,7 +322,7 @@
 		return m.finishNotRun(reason, after)
 	}
 	m.phase = backoff
-	return Action{Kind: Wait, Reason: reason}
+	return Action{Kind: Backoff, Reason: reason}
 }
 
 // giveUp ends a submission that is at no host. Only the home of a key can say
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -163,7 +163,7 @@
 			a = w.fence(s)
 		case submission.Resume:
 			a = w.resume(s, a.Offset)
-		case submission.Wait:
+		case submission.Backoff:
 			a = s.m.BackoffElapsed(rapid.IntRange(0, 9).Draw(t, "budget") > 0)
 		case submission.Finish:
 			s.outcome, s.reason, s.aborted = a.Outcome, a.Reason, a.Abort
