--- a/submission/oracle_test.go
+++ b/submission/oracle_test.go
@@ -21,13 +21,13 @@
 			f(t, live[one(t, "agent", len(live))])
 		}
 	}
-	deliver := func(keep bool) func(*rapid.T) {
+	deliver := func(duplicate bool) func(*rapid.T) {
 		return func(t *rapid.T) {
 			at := w.deliverable()
 			if len(at) == 0 {
 				t.Skip("nothing on its way")
 			}
-			w.deliver(at[one(t, "packet", len(at))], keep)
+			w.deliver(at[one(t, "packet", len(at))], duplicate)
 		}
 	}
 	produce := withLive(func(t *rapid.T, a *agentSim) {
@@ -42,59 +42,59 @@
 	m := map[string]func(*rapid.T){
 		"submit": w.submit, "deliver": deliver(false), "double": deliver(true), "produce": produce,
 		"drop": func(t *rapid.T) {
-			if len(w.net) == 0 {
+			if len(w.inTransit) == 0 {
 				t.Skip("nothing on its way")
 			}
-			i := one(t, "packet", len(w.net))
-			w.net = append(w.net[:i:i], w.net[i+1:]...)
+			i := one(t, "packet", len(w.inTransit))
+			w.inTransit = append(w.inTransit[:i:i], w.inTransit[i+1:]...)
 		},
 		"break": func(t *rapid.T) {
-			if len(w.subs) == 0 {
+			if len(w.submissions) == 0 {
 				t.Skip("no submission")
 			}
-			s := w.subs[one(t, "sub", len(w.subs))]
+			s := w.submissions[one(t, "sub", len(w.submissions))]
 			if s.outcome != "" {
 				t.Skip("ended")
 			}
 			w.act(t, s, s.m.ConnectionLost())
 		},
 		"fence fails": func(t *rapid.T) {
-			if len(w.subs) == 0 {
+			if len(w.submissions) == 0 {
 				t.Skip("no submission")
 			}
-			s := w.subs[one(t, "sub", len(w.subs))]
+			s := w.submissions[one(t, "sub", len(w.submissions))]
 			w.act(t, s, s.m.FenceFailed())
 		},
 		"leave": func(t *rapid.T) {
-			if len(w.subs) == 0 {
+			if len(w.submissions) == 0 {
 				t.Skip("no submission")
 			}
-			s := w.subs[one(t, "sub", len(w.subs))]
+			s := w.submissions[one(t, "sub", len(w.submissions))]
 			if rapid.Bool().Draw(t, "deadline") {
 				w.act(t, s, s.m.DeadlineExceeded())
 			} else {
 				w.act(t, s, s.m.Abandon(outcome.CallerLeft))
 			}
 		},
-		"cross": func(t *rapid.T) { // frames of another submission reach this one
-			if len(w.subs) < 2 {
+		"cross": func(t *rapid.T) { // frames of another submission are delivered to this one
+			if len(w.submissions) < 2 {
 				t.Skip("no other submission")
 			}
-			s, o := w.subs[one(t, "sub", len(w.subs))], w.subs[one(t, "other", len(w.subs))]
+			s, o := w.submissions[one(t, "sub", len(w.submissions))], w.submissions[one(t, "other", len(w.submissions))]
 			if s == o || s.outcome != "" {
 				t.Skip("nothing to cross")
 			}
-			b := content(o.name())
-			w.act(t, s, s.m.Head(foreign))
-			if a := s.m.Data(foreign, 0, b); a.Kind != submission.None {
+			b := answerContent(o.answerID())
+			w.act(t, s, s.m.Head(foreignTry))
+			if a := s.m.Data(foreignTry, 0, b); a.Kind != submission.None {
 				t.Fatal("a crossed frame was passed on")
 			}
-			w.act(t, s, s.m.End(foreign, int64(len(b)), xxhash.Sum64(b)))
-			w.act(t, s, s.m.Refused(foreign, outcome.QueueFull, 0))
+			w.act(t, s, s.m.End(foreignTry, int64(len(b)), xxhash.Sum64(b)))
+			w.act(t, s, s.m.Refused(foreignTry, outcome.QueueFull, 0))
 		},
 		"agent leaves": withLive(func(t *rapid.T, a *agentSim) {
 			if rapid.IntRange(0, 3).Draw(t, "really") == 0 {
-				w.apply(a, a.k.Leave(w.now))
+				w.apply(a, a.intake.Leave(w.now))
 			}
 		}),
 		"kill":  withLive(func(_ *rapid.T, a *agentSim) { a.dead = true }),
@@ -107,14 +107,14 @@
 		"restart": func(t *rapid.T) {
 			name := hostName(one(t, "host", simHosts))
 			w.agents[name].dead = true
-			w.spawn(name, w.learn(name), w.now)
+			w.spawn(name, w.initialView(name), w.now)
 		},
 		"ask": withLive(func(t *rapid.T, a *agentSim) {
-			if len(a.asks) == 0 {
+			if len(a.keyFences) == 0 {
 				t.Skip("no question")
 			}
-			f := a.asks[0]
-			a.asks = a.asks[1:]
+			f := a.keyFences[0]
+			a.keyFences = a.keyFences[1:]
 			f(rapid.IntRange(0, 3).Draw(t, "reachable") > 0)
 		}),
 		"publish": func(t *rapid.T) {
@@ -150,14 +150,14 @@
 			w.advance(time.Duration(rapid.SampledFrom([]int{100, 3000, 20000, 61000}).Draw(t, "ms")) * time.Millisecond)
 		},
 	}
-	// Common steps are given several names, so that they are drawn more often.
+	// Common actions are registered under several names, so that they are drawn more often.
 	for _, n := range []string{"a", "b", "c"} {
 		m["deliver "+n], m["produce "+n] = m["deliver"], m["produce"]
 	}
 	m["submit a"] = m["submit"]
 	for name, f := range m {
 		m[name] = func(t *rapid.T) {
-			entryT = t
+			stepT = t
 			w.steps++
 			f(t)
 			w.check(t)
@@ -166,32 +166,33 @@
 	return m
 }
 
-// learn is what a new process hears of the past from a peer, if any.
-func (w *world) learn(name string) view {
+// initialView is the view of a restarted process. It copies the history from a live peer,
+// if there is one.
+func (w *world) initialView(name string) view {
 	newest := len(w.revisions) - 1
 	for _, p := range w.live() {
 		if p.name == name {
 			continue
 		}
-		v := view{revision: p.view.revision, proof: p.view.proof, knownSince: p.view.knownSince}
+		v := view{revision: p.view.revision, headConfirmed: p.view.headConfirmed, knownSince: p.view.knownSince}
 		v.past = append(v.past, p.view.past...)
 		if v.revision < newest {
-			// It reads the newest itself and replaces what the peer had.
+			// The process reads the newest revision itself and adopts it over the peer's.
 			w.adopt(&v, newest)
 		}
 		return v
 	}
-	return view{revision: newest, proof: w.now, knownSince: w.now}
+	return view{revision: newest, headConfirmed: w.now, knownSince: w.now}
 }
 
-// TestOracleRequests holds every promise about requests against the oracle.
+// TestOracleRequests checks all guarantees about requests against the oracle.
 func TestOracleRequests(t *testing.T) {
 	total := 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld()
 		t.Repeat(w.actions())
-		// All that is still on its way may yet arrive.
-		entryT = t
+		// Deliver what is still in transit, and let the targets finish.
+		stepT = t
 		for range 200 {
 			at := w.deliverable()
 			if len(at) == 0 {
--- a/submission/replay_test.go
+++ b/submission/replay_test.go
@@ -14,40 +14,40 @@
 	"gotest.tools/v3/assert"
 )
 
-// A trace is a recorded course of events at one entry and its agents, one JSON
-// object a line, with the outcome that was stated for each request. Events
-// name a request r and, where it matters, the agent a.
+// traceEvent is one event of a trace. A trace is a recorded sequence of events at one entry
+// and its agents, one JSON object per line, with the expected outcome of each request.
+// Events name a request r and, where needed, an agent a.
 type traceEvent struct {
 	// Do is the event:
 	//   start     a request arrives at the entry (repeatable, key)
-	//   home      agent a becomes known, as an earlier home does if past is set
-	//   chosen    the entry picks agent a and sends the dispatch
+	//   home      agent a joins, if it has not yet; past adds an earlier home that it knows
+	//   chosen    the entry chooses agent a and sends the dispatch
 	//   no-host   the entry finds no host
-	//   not-sent  the agent cannot be dialled
+	//   not-sent  the connection to the agent cannot be established
 	//   arrive    the dispatch reaches agent a
 	//   run       the target of agent a runs the request
-	//   answer    the agent's answer reaches the entry (part: only a piece)
+	//   answer    the agent's answer reaches the entry (part: only the first data)
 	//   refusal   the agent's refusal reaches the entry
-	//   lost      the entry's connection breaks
-	//   fence     the entry's question is answered by agent a
-	//   no-answer the entry's question is not answered
-	//   finish    the target of agent a ends
-	//   restart   agent a is replaced by a new incarnation
-	//   leave     agent a leaves
-	//   current   agent a has current as the only host in force
-	//   cut-off   agent a last knew the head to be current ms ago
-	//   young     agent a knows the revisions of the last ms only
-	//   sleep     time passes
-	//   outcome   what the caller must have been told (want, reason, runs)
+	//   lost      the entry's connection to the agent is lost
+	//   fence     agent a answers the entry's fence
+	//   no-answer the entry's fence is not answered
+	//   finish    the target of agent a finishes the request
+	//   restart   agent a restarts as a new incarnation
+	//   leave     agent a refuses new requests from now on
+	//   current   agent a has a revision in force whose only host is current
+	//   cut-off   agent a last confirmed its revision as the newest ms ago
+	//   young     agent a knows only the revisions of the last ms
+	//   sleep     ms pass
+	//   outcome   expected outcome at the caller (want, reason, runs, abort)
 	Do         string
 	R          string
 	A          string
 	Repeatable bool
-	Key        string // "now" for a key issued now
+	Key        string // "now" for a key issued at this time
 	Part       bool
 	Past       string
 	Current    string
-	Cross      string // the frame belongs to this request
+	Cross      string // the request that the frame belongs to
 	Ms         int
 	Want       outcome.Outcome
 	Reason     outcome.Reason
@@ -56,49 +56,49 @@
 }
 
 type traceRequest struct {
-	m     *submission.Machine
-	id    [16]byte
-	key   string
-	agent string
-	inc   uint64
-	last  submission.Action
-	said  intake.Decision // the agent's last word
-	runs  int
+	machine     *submission.Machine
+	id          [16]byte
+	key         string
+	agent       string
+	incarnation uint64
+	lastAction  submission.Action
+	decision    intake.Decision // the agent's latest decision
+	runs        int
 }
 
 type traceAgent struct {
-	k    *intake.Intake
-	inc  uint64
-	past [][]string
-	self string
-	born time.Time
-
-	current []string
-	headAge time.Duration
-	known   time.Duration
+	intake      *intake.Intake
+	incarnation uint64
+	past        [][]string
+	name        string
+	start       time.Time
+
+	current  []string
+	headAge  time.Duration
+	knownFor time.Duration
 }
 
-type player struct {
-	t        *testing.T
-	now      time.Time
-	requests map[string]*traceRequest
-	agents   map[string]*traceAgent
-	incs     uint64
-	outcomes int
+type replayer struct {
+	t               *testing.T
+	now             time.Time
+	requests        map[string]*traceRequest
+	agents          map[string]*traceAgent
+	lastIncarnation uint64
+	outcomes        int
 }
 
 const traceBody = "a whole answer"
 
-func (p *player) spawn(name string, born time.Time) {
-	p.incs++
-	a := &traceAgent{inc: p.incs, self: name, born: born,
-		k:       intake.New(idempotency.Config{KeyWindow: simWindow, ClockSkew: simSkew}, born),
-		current: []string{name}, known: time.Hour}
-	a.k.Configure(p.now, admission.Limits{Concurrency: 1, Queue: 1}, []admission.TeamLimits{{Name: simTeam, Weight: 1}})
+func (p *replayer) spawn(name string, start time.Time) {
+	p.lastIncarnation++
+	a := &traceAgent{incarnation: p.lastIncarnation, name: name, start: start,
+		intake:  intake.New(idempotency.Config{KeyWindow: simWindow, ClockSkew: simSkew}, start),
+		current: []string{name}, knownFor: time.Hour}
+	a.intake.Configure(p.now, admission.Limits{Concurrency: 1, Queue: 1}, []admission.TeamLimits{{Name: simTeam, Weight: 1}})
 	p.agents[name] = a
 }
 
-func (p *player) play(e traceEvent) {
+func (p *replayer) play(e traceEvent) {
 	r := p.requests[e.R]
 	a := p.agents[e.A]
 	switch e.Do {
@@ -113,38 +113,38 @@
 			a.past = append(a.past, []string{e.Past})
 		}
 	case "chosen":
-		r.agent, r.inc = e.A, a.inc
-		r.last = r.m.HostChosen()
+		r.agent, r.incarnation = e.A, a.incarnation
+		r.lastAction = r.machine.HostChosen()
 	case "no-host":
-		r.last = r.m.NoHost(outcome.NoCandidate, time.Second)
+		r.lastAction = r.machine.NoHost(outcome.NoCandidate, time.Second)
 	case "not-sent":
-		r.last = r.m.NotSent(outcome.ConnectFailed)
+		r.lastAction = r.machine.NotSent(outcome.ConnectFailed)
 	case "arrive":
-		r.said = p.arrive(r, a, false)
+		r.decision = p.arrive(r, a, false)
 	case "run":
 		r.runs++
 	case "answer":
 		p.answer(r, e)
 	case "refusal":
-		r.last = r.m.Refused(r.m.Try(), r.said.Reason, r.said.RetryAfter)
+		r.lastAction = r.machine.Refused(r.machine.Try(), r.decision.Reason, r.decision.RetryAfter)
 	case "lost":
-		r.last = r.m.ConnectionLost()
+		r.lastAction = r.machine.ConnectionLost()
 	case "fence":
 		p.fence(r, a)
 	case "no-answer":
-		r.last = r.m.FenceFailed()
+		r.lastAction = r.machine.FenceFailed()
 	case "finish":
-		a.k.Finished(p.now, r.attempt(), true, time.Second)
+		a.intake.Finished(p.now, r.attempt(), true, time.Second)
 	case "restart":
 		p.spawn(e.A, p.now)
 	case "leave":
-		a.k.Leave(p.now)
+		a.intake.Leave(p.now)
 	case "current":
 		a.current = []string{e.Current}
 	case "cut-off":
 		a.headAge = time.Duration(e.Ms) * time.Millisecond
 	case "young":
-		a.known = time.Duration(e.Ms) * time.Millisecond
+		a.knownFor = time.Duration(e.Ms) * time.Millisecond
 	case "sleep":
 		p.now = p.now.Add(time.Duration(e.Ms) * time.Millisecond)
 	case "outcome":
@@ -152,85 +152,86 @@
 	default:
 		p.t.Fatalf("unknown event %q", e.Do)
 	}
-	if r != nil && r.last.Kind == submission.Backoff {
-		r.last = r.m.BackoffElapsed(true)
+	if r != nil && r.lastAction.Kind == submission.Backoff {
+		r.lastAction = r.machine.BackoffElapsed(true)
 	}
 }
 
-func (p *player) start(e traceEvent) {
+func (p *replayer) start(e traceEvent) {
 	r := &traceRequest{key: e.Key}
 	r.id[0] = byte(len(p.requests) + 1)
 	if e.Key == "now" {
 		r.key = keyAt(p.now, 1)
 	}
-	r.m, r.last = submission.New(submission.Request{Repeatable: e.Repeatable, Keyed: r.key != ""})
+	r.machine, r.lastAction = submission.New(submission.Request{Repeatable: e.Repeatable, Keyed: r.key != ""})
 	p.requests[e.R] = r
 }
 
 func (r *traceRequest) attempt() idempotency.AttemptID {
-	return idempotency.AttemptID{ID: r.id, Try: r.m.Try()}
+	return idempotency.AttemptID{ID: r.id, Try: r.machine.Try()}
 }
 
-// arrive brings a dispatch to an agent, which asks the earlier homes of a key
-// that still run.
-func (p *player) arrive(r *traceRequest, a *traceAgent, fenced bool) intake.Decision {
-	att := intake.Attempt{ID: r.attempt(), Incarnation: r.inc, Service: service, Team: simTeam, Key: r.key,
+// arrive delivers a dispatch to an agent. If the agent needs to fence the key at earlier
+// homes, this is done at once. The attempt is refused if a home does not exist or has a
+// record of the key.
+func (p *replayer) arrive(r *traceRequest, a *traceAgent, fenced bool) intake.Decision {
+	att := intake.Attempt{ID: r.attempt(), Incarnation: r.incarnation, Service: service, Team: simTeam, Key: r.key,
 		Urgency: 3, Deadline: p.now.Add(time.Hour)}
-	h := intake.Host{Incarnation: a.inc, Awake: true, HasIntent: true, Service: service, Ready: true,
-		Past: idempotency.Past{Self: a.self, Current: a.current, Hosts: a.past, HeadAge: a.headAge, KnownSince: p.now.Add(-a.known)}}
-	d, _ := a.k.Arrive(p.now, h, att, fenced)
+	h := intake.Host{Incarnation: a.incarnation, Awake: true, HasIntent: true, Service: service, Ready: true,
+		Past: idempotency.Past{Self: a.name, Current: a.current, Hosts: a.past, HeadAge: a.headAge, KnownSince: p.now.Add(-a.knownFor)}}
+	d, _ := a.intake.Arrive(p.now, h, att, fenced)
 	if d.Action != intake.Ask {
 		return d
 	}
 	for _, home := range d.Homes {
 		o := p.agents[home]
-		if o == nil || o.k.FenceKey(p.now, idempotency.KeyID{Service: service, Team: simTeam, Key: r.key}) {
-			return a.k.PutAside(p.now, att)
+		if o == nil || o.intake.FenceKey(p.now, idempotency.KeyID{Service: service, Team: simTeam, Key: r.key}) {
+			return a.intake.PutAside(p.now, att)
 		}
 	}
 	return p.arrive(r, a, true)
 }
 
-func (p *player) answer(r *traceRequest, e traceEvent) {
-	try := r.m.Try()
+func (p *replayer) answer(r *traceRequest, e traceEvent) {
+	try := r.machine.Try()
 	if e.Cross != "" {
 		try = 0 // a frame of another request
 	}
 	b := []byte(traceBody)
-	r.m.Head(try)
-	r.m.Data(try, 0, b[:5])
+	r.machine.Head(try)
+	r.machine.Data(try, 0, b[:5])
 	if e.Part {
 		return
 	}
-	r.m.Data(try, 5, b[5:])
-	if a := r.m.End(try, int64(len(b)), xxhash.Sum64(b)); a.Kind != submission.None {
-		r.last = a
+	r.machine.Data(try, 5, b[5:])
+	if a := r.machine.End(try, int64(len(b)), xxhash.Sum64(b)); a.Kind != submission.None {
+		r.lastAction = a
 	}
 }
 
-func (p *player) fence(r *traceRequest, a *traceAgent) {
-	if a.inc != r.inc {
-		r.last = r.m.FenceResult(r.m.Try(), submission.FenceGone, "")
+func (p *replayer) fence(r *traceRequest, a *traceAgent) {
+	if a.incarnation != r.incarnation {
+		r.lastAction = r.machine.FenceResult(r.machine.Try(), submission.FenceGone, "")
 		return
 	}
-	s, reason := a.k.Fence(p.now, r.attempt())
-	r.last = r.m.FenceResult(r.m.Try(), fenceState(s), reason)
+	s, reason := a.intake.Fence(p.now, r.attempt())
+	r.lastAction = r.machine.FenceResult(r.machine.Try(), fenceState(s), reason)
 }
 
-func (p *player) outcome(r *traceRequest, e traceEvent) {
+func (p *replayer) outcome(r *traceRequest, e traceEvent) {
 	p.t.Helper()
 	p.outcomes++
-	assert.Equal(p.t, r.last.Kind, submission.Finish, "request %s has not ended", e.R)
-	assert.Equal(p.t, r.last.Outcome, e.Want, "request %s (%s)", e.R, r.last.Reason)
-	assert.Equal(p.t, r.last.Reason, e.Reason, "request %s", e.R)
-	assert.Equal(p.t, r.last.Abort, e.Abort, "request %s", e.R)
+	assert.Equal(p.t, r.lastAction.Kind, submission.Finish, "request %s has not ended", e.R)
+	assert.Equal(p.t, r.lastAction.Outcome, e.Want, "request %s (%s)", e.R, r.lastAction.Reason)
+	assert.Equal(p.t, r.lastAction.Reason, e.Reason, "request %s", e.R)
+	assert.Equal(p.t, r.lastAction.Abort, e.Abort, "request %s", e.R)
 	assert.Equal(p.t, r.runs, e.Runs, "request %s", e.R)
 }
 
-// TestReplayTraces plays every recorded trace against its stated outcomes.
+// TestReplayTraces replays every recorded trace and checks the expected outcomes.
 func TestReplayTraces(t *testing.T) {
 	trace.Replay(t, "testdata/replay/*.jsonl", 12, func(t *testing.T) func(traceEvent) {
-		p := &player{t: t, now: time.Unix(1_800_000_000, 0), requests: map[string]*traceRequest{}, agents: map[string]*traceAgent{}}
+		p := &replayer{t: t, now: time.Unix(1_800_000_000, 0), requests: map[string]*traceRequest{}, agents: map[string]*traceAgent{}}
 		t.Cleanup(func() { assert.Assert(t, p.outcomes > 0, "a trace must state an outcome") })
 		return p.play
 	})
--- a/submission/submission.go
+++ b/submission/submission.go
@@ -1,6 +1,7 @@
-// Package submission is the life of one request at an entry of `springgate serve`, from its
-// arrival to its one final outcome. It is a pure state machine: it takes events and
-// returns actions, and knows neither sockets nor clocks.
+// Package submission implements the state machine of one request at an entry of `springgate
+// serve`, from its arrival to its single final outcome. The machine is pure: it takes events,
+// returns actions, and uses neither sockets nor clocks. The code that drives it, the driver,
+// carries out the actions and reports the events.
 package submission
 
 import (
@@ -10,13 +11,14 @@
 	"github.com/springgate/springgate/outcome"
 )
 
-// Request is what the machine needs to know of a request.
+// Request holds the properties of a request that the machine depends on.
 type Request struct {
 	// Repeatable is true if the request may run more than once.
 	Repeatable bool
-	// Keyed is true if the request has an idempotency key, and so one home.
+	// Keyed is true if the request has an idempotency key. It may then run only
+	// at one host, the home of the key.
 	Keyed bool
-	// MaxTries bounds the dispatches. Default 4.
+	// MaxTries is the maximum number of dispatches. Default 4.
 	MaxTries int
 }
 
@@ -26,44 +28,46 @@
 	maxResumes      = 5 // resumes of one attempt
 )
 
-// phase is where a submission stands.
+// phase is the state of a submission.
 type phase uint8
 
 const (
-	choosing phase = iota + 1 // waits for a host
-	running                   // dispatched
-	fencing                   // asks what became of the attempt
-	resuming                  // asks for the rest of the answer
-	backoff                   // waits before another try
+	choosing   phase = iota + 1 // waiting for a host
+	running                     // dispatched
+	fencing                     // waiting for the agent's answer to a fence
+	resuming                    // waiting for the remaining part of the answer
+	backingOff                  // waiting before the next attempt
 	done
 )
 
-// ActionKind is what the shell must do next.
+// ActionKind is what the driver must do next.
 type ActionKind uint8
 
 // Actions.
 const (
 	// None means wait for the next event.
 	None ActionKind = iota
-	// Choose means pick a host that is not in Tried (the home, if keyed) and
-	// report Chosen or NoHost.
+	// Choose means pick a host that has not been tried yet (the home, if keyed)
+	// and report HostChosen or NoHost.
 	Choose
 	// Dispatch means send the request to the chosen host as attempt Try.
 	Dispatch
-	// Fence means ask the same agent incarnation what became of attempt Try.
+	// Fence means query the state of attempt Try at the same agent incarnation,
+	// which then bars the attempt from running if it has not arrived.
 	Fence
-	// Resume means ask the same agent incarnation for the answer from Offset.
+	// Resume means request the answer from Offset on from the same agent
+	// incarnation.
 	Resume
-	// Backoff means back off, then report Waited.
+	// Backoff means back off, then report BackoffElapsed.
 	Backoff
 	// Forward means pass the head or the data of the event to the caller.
 	Forward
-	// Finish means the submission has its outcome. If Abort is set, a part of
-	// the answer was passed on and the caller's connection must be aborted.
+	// Finish means that the outcome is final. If Abort is set, a part of the
+	// answer was forwarded and the caller's connection must be aborted.
 	Finish
 )
 
-// Action is one instruction to the shell.
+// Action is one instruction to the driver.
 type Action struct {
 	Kind       ActionKind
 	Try        uint16
@@ -74,20 +78,20 @@
 	Abort      bool
 }
 
-// Machine is one submission.
+// Machine is the state machine of one submission.
 type Machine struct {
-	req     Request
-	phase   phase
-	try     uint16
-	fences  int
-	resumes int
-	mayRun  bool  // an earlier attempt ran or may have run
-	headOut bool  // the head was passed on
-	offset  int64 // bytes passed on
-	sum     *xxhash.Digest
-	last    outcome.Reason // why the last try did not run
-	after   time.Duration
-	dropped int
+	req           Request
+	phase         phase
+	try           uint16
+	fences        int
+	resumes       int
+	mayHaveRun    bool  // an earlier attempt ran or may have run
+	headForwarded bool  // the head was forwarded
+	offset        int64 // bytes forwarded
+	sum           *xxhash.Digest
+	lastReason    outcome.Reason // why the last attempt was refused or failed
+	retryAfter    time.Duration
+	dropped       int
 }
 
 // New returns a machine and its first action.
@@ -102,13 +106,13 @@
 // Try returns the number of the current attempt, from 1.
 func (m *Machine) Try() uint16 { return m.try }
 
-// Dropped returns how many late, crossed or doubled frames were ignored.
+// Dropped returns the number of late, misrouted or duplicate frames that were ignored.
 func (m *Machine) Dropped() int { return m.dropped }
 
 // Done reports whether the outcome is final.
 func (m *Machine) Done() bool { return m.phase == done }
 
-// HostChosen reports the host for the next attempt.
+// HostChosen reports that a host was chosen for the next attempt.
 func (m *Machine) HostChosen() Action {
 	if m.phase != choosing {
 		return Action{}
@@ -120,18 +124,18 @@
 }
 
 // NoHost reports that no host can take the request.
-func (m *Machine) NoHost(reason outcome.Reason, after time.Duration) Action {
+func (m *Machine) NoHost(reason outcome.Reason, retryAfter time.Duration) Action {
 	if m.phase != choosing {
 		return Action{}
 	}
-	if m.last != "" {
-		reason = m.last
+	if m.lastReason != "" {
+		reason = m.lastReason
 	}
-	return m.giveUp(reason, max(after, m.after))
+	return m.finishUnplaced(reason, max(retryAfter, m.retryAfter))
 }
 
 // NotSent reports that the attempt could not be sent at all, for instance
-// because the agent could not be dialled.
+// because the connection to the agent could not be established.
 func (m *Machine) NotSent(reason outcome.Reason) Action {
 	if m.phase != running {
 		return Action{}
@@ -142,31 +146,32 @@
 	return m.retry(reason, 0)
 }
 
-// Refused reports the agent's refusal of an attempt.
-func (m *Machine) Refused(try uint16, reason outcome.Reason, after time.Duration) Action {
-	if !m.current(try) {
+// Refused reports that the agent refused an attempt.
+func (m *Machine) Refused(try uint16, reason outcome.Reason, retryAfter time.Duration) Action {
+	if !m.isCurrent(try) {
 		return Action{}
 	}
 	info := outcome.Lookup(reason)
 	if info.Outcome != outcome.NotRun {
-		return m.failed(reason)
+		return m.failPossiblyRun(reason)
 	}
-	if m.headOut {
+	if m.headForwarded {
 		return m.finish(outcome.Unknown, reason)
 	}
 	if m.req.Keyed && reason == outcome.Fenced {
 		return m.finish(outcome.Unknown, outcome.ConnectionLost)
 	}
 	if !info.Retryable || m.req.Keyed {
-		return m.finishNotRun(reason, after)
+		return m.finishNotRun(reason, retryAfter)
 	}
-	return m.retry(reason, after)
+	return m.retry(reason, retryAfter)
 }
 
-// failed handles an attempt that ran, or may have, without an answer.
-func (m *Machine) failed(reason outcome.Reason) Action {
-	m.mayRun = true
-	if m.req.Repeatable && !m.req.Keyed && !m.headOut {
+// failPossiblyRun handles an attempt that ran or may have run, and whose complete answer
+// is not available.
+func (m *Machine) failPossiblyRun(reason outcome.Reason) Action {
+	m.mayHaveRun = true
+	if m.req.Repeatable && !m.req.Keyed && !m.headForwarded {
 		return m.retry(reason, 0)
 	}
 	return m.finish(outcome.Unknown, reason)
@@ -174,18 +179,18 @@
 
 // Head reports the status line and header of an answer.
 func (m *Machine) Head(try uint16) Action {
-	if !m.current(try) || m.headOut {
+	if !m.isCurrent(try) || m.headForwarded {
 		m.dropped++
 		return Action{}
 	}
-	m.headOut = true
+	m.headForwarded = true
 	return Action{Kind: Forward}
 }
 
-// Data reports a piece of the answer that starts at offset. Only the next
-// piece in order is passed on.
+// Data reports a part of the answer that starts at offset. Only the next part
+// in order is forwarded.
 func (m *Machine) Data(try uint16, offset int64, b []byte) Action {
-	if !m.current(try) || !m.headOut || offset != m.offset {
+	if !m.isCurrent(try) || !m.headForwarded || offset != m.offset {
 		m.dropped++
 		return Action{}
 	}
@@ -196,12 +201,12 @@
 
 // End reports the end of an answer with its length and checksum.
 func (m *Machine) End(try uint16, length int64, sum uint64) Action {
-	if !m.current(try) || !m.headOut {
+	if !m.isCurrent(try) || !m.headForwarded {
 		m.dropped++
 		return Action{}
 	}
 	if length > m.offset {
-		return m.lost() // pieces are missing: ask for them
+		return m.startFencing() // data is missing: resume the answer
 	}
 	if length != m.offset || sum != m.sum.Sum64() {
 		return m.finish(outcome.Unknown, outcome.Truncated)
@@ -210,15 +215,15 @@
 	return Action{Kind: Finish, Outcome: outcome.Completed}
 }
 
-// ConnectionLost reports that the connection of the current attempt broke.
+// ConnectionLost reports that the connection of the current attempt was lost.
 func (m *Machine) ConnectionLost() Action {
 	if m.phase != running && m.phase != resuming {
 		return Action{}
 	}
-	return m.lost()
+	return m.startFencing()
 }
 
-func (m *Machine) lost() Action {
+func (m *Machine) startFencing() Action {
 	m.phase = fencing
 	return m.fence()
 }
@@ -231,7 +236,7 @@
 	return Action{Kind: Fence, Try: m.try}
 }
 
-// FenceFailed reports that a fence got no answer.
+// FenceFailed reports that a fence was not answered.
 func (m *Machine) FenceFailed() Action {
 	if m.phase != fencing {
 		return Action{}
@@ -244,10 +249,10 @@
 
 // Answers to a fence.
 const (
-	FenceNotRun  FenceState = iota + 1 // never ran and never will
-	FenceRunning                       // runs or has finished with the answer held
+	FenceNotRun  FenceState = iota + 1 // has not run and cannot run any more
+	FenceRunning                       // runs, or has finished and its answer is held
 	FenceFailed                        // ran; the answer is not available
-	FenceGone                          // another incarnation: it cannot know
+	FenceGone                          // the agent has restarted and has no record of the attempt
 )
 
 // FenceResult reports the answer to a fence of attempt try.
@@ -276,17 +281,17 @@
 	return Action{Kind: Resume, Try: m.try, Offset: m.offset}
 }
 
-// unresolved handles an attempt whose result cannot be learned.
-func (m *Machine) unresolved(reason outcome.Reason) Action { return m.failed(reason) }
+// unresolved handles an attempt whose result cannot be determined.
+func (m *Machine) unresolved(reason outcome.Reason) Action { return m.failPossiblyRun(reason) }
 
 // BackoffElapsed reports the end of a back-off. budget is false if the retry budget
-// does not allow another try.
+// does not allow another attempt.
 func (m *Machine) BackoffElapsed(budget bool) Action {
-	if m.phase != backoff {
+	if m.phase != backingOff {
 		return Action{}
 	}
 	if !budget {
-		return m.finishNotRun(m.last, m.after)
+		return m.finishNotRun(m.lastReason, m.retryAfter)
 	}
 	m.phase = choosing
 	return Action{Kind: Choose, Try: m.try}
@@ -297,14 +302,14 @@
 	switch m.phase {
 	case done:
 		return Action{}
-	case choosing, backoff:
-		return m.giveUp(outcome.DeadlineExceeded, 0)
+	case choosing, backingOff:
+		return m.finishUnplaced(outcome.DeadlineExceeded, 0)
 	}
 	return m.finish(outcome.Unknown, outcome.DeadlineExceededRan)
 }
 
-// Abandon ends the submission from the caller's side, for instance because the
-// caller closed its connection. Nothing is proven about what ran.
+// Abandon ends the submission on the caller's side, for instance because the
+// caller closed its connection. The outcome is unknown, since an attempt may have run.
 func (m *Machine) Abandon(reason outcome.Reason) Action {
 	if m.phase == done {
 		return Action{}
@@ -312,48 +317,49 @@
 	return m.finish(outcome.Unknown, reason)
 }
 
-func (m *Machine) current(try uint16) bool {
+func (m *Machine) isCurrent(try uint16) bool {
 	return (m.phase == running || m.phase == resuming) && try == m.try
 }
 
-func (m *Machine) retry(reason outcome.Reason, after time.Duration) Action {
-	m.last, m.after = reason, after
-	if int(m.try) >= m.req.MaxTries || full(reason) && m.try >= maxFullTries {
-		return m.finishNotRun(reason, after)
+func (m *Machine) retry(reason outcome.Reason, retryAfter time.Duration) Action {
+	m.lastReason, m.retryAfter = reason, retryAfter
+	if int(m.try) >= m.req.MaxTries || atCapacity(reason) && m.try >= maxCapacityTries {
+		return m.finishNotRun(reason, retryAfter)
 	}
-	m.phase = backoff
+	m.phase = backingOff
 	return Action{Kind: Backoff, Reason: reason}
 }
 
-// giveUp ends a submission that is at no host. Only the home of a key can say
-// that the key never ran.
-func (m *Machine) giveUp(reason outcome.Reason, after time.Duration) Action {
-	a := m.finishNotRun(reason, after)
+// finishUnplaced ends a submission that has no attempt in progress. For a keyed request
+// the outcome is unknown, since only the home of the key knows whether the key has run.
+func (m *Machine) finishUnplaced(reason outcome.Reason, retryAfter time.Duration) Action {
+	a := m.finishNotRun(reason, retryAfter)
 	if m.req.Keyed {
 		a.Outcome = outcome.Unknown
 	}
 	return a
 }
 
-// maxFullTries is how many hosts may refuse for lack of room before the fleet
-// is taken for full and the caller told when to come back.
-const maxFullTries = 2
+// maxCapacityTries is the number of attempts after which a refusal for lack of capacity is
+// final. The fleet is then assumed to be at capacity, and the caller gets a time to retry
+// after.
+const maxCapacityTries = 2
 
-func full(r outcome.Reason) bool { return r == outcome.QueueFull || r == outcome.TeamLimit }
+func atCapacity(r outcome.Reason) bool { return r == outcome.QueueFull || r == outcome.TeamLimit }
 
 // finishNotRun ends a submission whose last attempt did not run. If an earlier
 // attempt may have run, the submission as a whole is unknown.
-func (m *Machine) finishNotRun(reason outcome.Reason, after time.Duration) Action {
+func (m *Machine) finishNotRun(reason outcome.Reason, retryAfter time.Duration) Action {
 	o := outcome.NotRun
-	if m.mayRun {
+	if m.mayHaveRun {
 		o = outcome.Unknown
 	}
 	a := m.finish(o, reason)
-	a.RetryAfter = after
+	a.RetryAfter = retryAfter
 	return a
 }
 
 func (m *Machine) finish(o outcome.Outcome, reason outcome.Reason) Action {
 	m.phase = done
-	return Action{Kind: Finish, Outcome: o, Reason: reason, Abort: m.headOut && o != outcome.Completed}
+	return Action{Kind: Finish, Outcome: o, Reason: reason, Abort: m.headForwarded && o != outcome.Completed}
 }
--- a/submission/submission_test.go
+++ b/submission/submission_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// An answer is whole only if its length and its checksum are those that the
-// agent states.
-func TestEndIsChecked(t *testing.T) {
+// Guards against incomplete or corrupt answers that are reported as completed: the length
+// and the checksum must equal those in the agent's end frame.
+func TestEndVerifiesLengthAndChecksum(t *testing.T) {
 	body := []byte("whole")
 	for name, c := range map[string]struct {
 		length int64
@@ -35,8 +35,9 @@
 	}
 }
 
-// Two hosts without room end a request; other refusals are tried on.
-func TestFullFleetRefusesFast(t *testing.T) {
+// Guards against retries that burden a fleet at capacity. A second refusal for lack of
+// capacity must end the request, while other refusals are retried on further hosts.
+func TestCapacityRefusalIsRetriedOnce(t *testing.T) {
 	tries := func(reason outcome.Reason) int {
 		m, _ := submission.New(submission.Request{Repeatable: true})
 		for n := 1; ; n++ {
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -14,10 +14,10 @@
 	"pgregory.net/rapid"
 )
 
-// The oracle test runs the decisions of entries and agents over a network
-// that drops, delays, doubles, reorders and crosses frames, while processes
-// are killed, restarted and paused and the homes of keys move. The oracle
-// knows what the targets really ran and what the callers really got.
+// The oracle test simulates entries and agents, with their real decision code, over a
+// network that drops, delays, duplicates, reorders and misroutes frames. Processes are
+// killed, restarted and paused, and the homes of keys change. The oracle records what the
+// targets actually ran and what the callers actually received.
 
 const (
 	simHosts  = 4
@@ -26,69 +26,69 @@
 	simTTL    = 5 * time.Minute
 	simTeam   = "team"
 	service   = "service"
-	// foreign is the try number that the shell gives to a frame of another
+	// foreignTry is the try number that the driver reports for a frame of another
 	// submission.
-	foreign = 0
+	foreignTry = 0
 )
 
-// sub is one submission as its caller sees it.
+// sub is one submission with what its caller has received.
 type sub struct {
-	index   int
-	id      [16]byte
-	repeat  bool
-	key     string // "" if none
-	entry   int
-	m       *submission.Machine
-	host    string
-	inc     uint64
-	conn    *conn
-	tried   map[string]bool
-	got     []byte
-	outcome outcome.Outcome
-	reason  outcome.Reason
-	aborted bool
-	keyRan  int // how often the key had run when the outcome was told
-}
-
-// name is what the target's answer is made of: repeats of a key get the answer
-// of the key.
-func (s *sub) name() string {
+	index            int
+	id               [16]byte
+	repeatable       bool
+	key              string // "" if none
+	entry            int
+	m                *submission.Machine
+	host             string
+	incarnation      uint64
+	conn             *conn
+	tried            map[string]bool
+	received         []byte
+	outcome          outcome.Outcome
+	reason           outcome.Reason
+	aborted          bool
+	keyRunsAtOutcome int // how often the key had run when the outcome was reported
+}
+
+// answerID determines the content of the target's answer. All submissions with the same
+// key have the same answer.
+func (s *sub) answerID() string {
 	if s.key != "" {
 		return s.key
 	}
 	return fmt.Sprintf("sub-%d", s.index)
 }
 
-func content(name string) []byte { return []byte("answer of " + name + " in several pieces") }
+func answerContent(name string) []byte { return []byte("answer of " + name + " in several pieces") }
 
 // conn is one connection of a submission to an agent incarnation.
 type conn struct {
 	agent *agentSim
 }
 
-// packet is a frame on its way.
+// packet is a frame in transit.
 type packet struct {
 	sub     *sub
 	conn    *conn
 	sent    time.Time
 	toAgent bool
-	do      func()
+	handle  func()
 }
 
 type agentSim struct {
-	name   string
-	inc    uint64
-	k      *intake.Intake
-	start  time.Time
-	dead   bool
-	paused bool
-	view   view
-	works  map[idempotency.AttemptID]*workSim
-	order  []*workSim
-	asks   []func(reachable bool)
-}
-
-type workSim struct {
+	name        string
+	incarnation uint64
+	intake      *intake.Intake
+	start       time.Time
+	dead        bool
+	paused      bool
+	view        view
+	attempts    map[idempotency.AttemptID]*attemptSim
+	order       []*attemptSim
+	keyFences   []func(reachable bool)
+}
+
+type attemptSim struct {
 	id      idempotency.AttemptID
 	sub     *sub
 	conn    *conn
@@ -99,12 +99,12 @@
 	sent    int
 }
 
-// view is which revision a process has in force and what it knows of others.
+// view is the revision that a process has in force and what it knows about earlier ones.
 type view struct {
-	revision   int
-	proof      time.Time
-	knownSince time.Time
-	past       []pastSim
+	revision      int
+	headConfirmed time.Time
+	knownSince    time.Time
+	past          []pastSim
 }
 
 type pastSim struct {
@@ -113,17 +113,17 @@
 }
 
 type world struct {
-	now       time.Time
-	incs      uint64
-	revisions [][]string // hosts of the service by revision
-	agents    map[string]*agentSim
-	entries   []view
-	subs      []*sub
-	net       []*packet
-	runs      map[int]int    // by submission
-	keyRuns   map[string]int // by key
-	keys      []string
-	steps     int
+	now             time.Time
+	lastIncarnation uint64
+	revisions       [][]string // hosts of the service by revision
+	agents          map[string]*agentSim
+	entries         []view
+	submissions     []*sub
+	inTransit       []*packet
+	runs            map[int]int    // by submission
+	keyRuns         map[string]int // by key
+	keys            []string
+	steps           int
 }
 
 func hostName(i int) string { return fmt.Sprintf("h%d", i) }
@@ -133,25 +133,25 @@
 	w.revisions = [][]string{{"h0", "h1", "h2"}}
 	old := w.now.Add(-time.Hour)
 	for i := range simHosts {
-		w.spawn(hostName(i), view{proof: w.now, knownSince: old}, old)
+		w.spawn(hostName(i), view{headConfirmed: w.now, knownSince: old}, old)
 	}
-	w.entries = []view{{proof: w.now}, {proof: w.now}}
+	w.entries = []view{{headConfirmed: w.now}, {headConfirmed: w.now}}
 	return w
 }
 
 func (w *world) spawn(name string, v view, start time.Time) {
-	w.incs++
-	a := &agentSim{name: name, inc: w.incs, start: start, view: v, works: map[idempotency.AttemptID]*workSim{}}
-	a.k = intake.New(idempotency.Config{KeyWindow: simWindow, ClockSkew: simSkew, AttemptTTL: simTTL}, start)
-	a.k.Configure(w.now, admission.Limits{Concurrency: 2, Queue: 2}, []admission.TeamLimits{{Name: simTeam, Weight: 1}})
+	w.lastIncarnation++
+	a := &agentSim{name: name, incarnation: w.lastIncarnation, start: start, view: v, attempts: map[idempotency.AttemptID]*attemptSim{}}
+	a.intake = intake.New(idempotency.Config{KeyWindow: simWindow, ClockSkew: simSkew, AttemptTTL: simTTL}, start)
+	a.intake.Configure(w.now, admission.Limits{Concurrency: 2, Queue: 2}, []admission.TeamLimits{{Name: simTeam, Weight: 1}})
 	w.agents[name] = a
 }
 
-func (w *world) send(s *sub, c *conn, toAgent bool, do func()) {
-	w.net = append(w.net, &packet{sub: s, conn: c, sent: w.now, toAgent: toAgent, do: do})
+func (w *world) send(s *sub, c *conn, toAgent bool, handle func()) {
+	w.inTransit = append(w.inTransit, &packet{sub: s, conn: c, sent: w.now, toAgent: toAgent, handle: handle})
 }
 
-// act carries out what the machine asks for, as an entry's shell does.
+// act carries out the machine's actions, as the entry's driver does.
 func (w *world) act(t *rapid.T, s *sub, a submission.Action) {
 	for {
 		switch a.Kind {
@@ -167,7 +167,7 @@
 			a = s.m.BackoffElapsed(rapid.IntRange(0, 9).Draw(t, "budget") > 0)
 		case submission.Finish:
 			s.outcome, s.reason, s.aborted = a.Outcome, a.Reason, a.Abort
-			s.keyRan = w.keyRuns[s.key]
+			s.keyRunsAtOutcome = w.keyRuns[s.key]
 			if s.conn != nil {
 				w.cancel(s)
 			}
@@ -178,13 +178,13 @@
 	}
 }
 
-// cancel is the reset that a finished submission sends.
+// cancel sends the stream reset of a finished submission, which cancels queued attempts.
 func (w *world) cancel(s *sub) {
 	c := s.conn
 	w.send(s, c, true, func() {
 		for _, k := range c.agent.order {
 			if k.sub == s && k.waiting {
-				c.agent.k.Cancel(w.now, k.id)
+				c.agent.intake.Cancel(w.now, k.id)
 				k.waiting, k.ended = false, true
 			}
 		}
@@ -212,48 +212,48 @@
 		return s.m.NotSent(outcome.ConnectFailed)
 	}
 	c := &conn{agent: a}
-	s.conn, s.inc = c, a.inc
+	s.conn, s.incarnation = c, a.incarnation
 	id := idempotency.AttemptID{ID: s.id, Try: s.m.Try()}
 	w.send(s, c, true, func() { w.arrive(s, c, id, false) })
 	return submission.Action{}
 }
 
-// arrive is a dispatch that reaches its agent.
+// arrive delivers a dispatch to its agent.
 func (w *world) arrive(s *sub, c *conn, id idempotency.AttemptID, fenced bool) {
 	a := c.agent
-	att := intake.Attempt{ID: id, Incarnation: a.inc, Service: service, Team: simTeam, Key: s.key,
+	att := intake.Attempt{ID: id, Incarnation: a.incarnation, Service: service, Team: simTeam, Key: s.key,
 		Urgency: 3, Deadline: w.now.Add(time.Hour)}
-	d, eff := a.k.Arrive(w.now, w.hostOf(a), att, fenced)
+	d, eff := a.intake.Arrive(w.now, w.hostState(a), att, fenced)
 	switch d.Action {
 	case intake.Run, intake.Wait:
-		k := &workSim{id: id, sub: s, conn: c, waiting: d.Action == intake.Wait, answer: content(s.name())}
-		a.works[id] = k
+		k := &attemptSim{id: id, sub: s, conn: c, waiting: d.Action == intake.Wait, answer: answerContent(s.answerID())}
+		a.attempts[id] = k
 		a.order = append(a.order, k)
 	case intake.Refuse:
 		w.refuse(s, c, id, d.Reason)
 	case intake.Replay:
-		w.replay(s, c, id, content(s.name()))
+		w.replay(s, c, id, answerContent(s.answerID()))
 	case intake.Ask:
-		a.asks = append(a.asks, func(reachable bool) { w.resolveAsk(s, c, id, att, d.Homes, reachable) })
+		a.keyFences = append(a.keyFences, func(reachable bool) { w.resolveKeyFence(s, c, id, att, d.Homes, reachable) })
 	}
 	w.apply(a, eff)
 }
 
-func (w *world) hostOf(a *agentSim) intake.Host {
-	p := idempotency.Past{Self: a.name, KnownSince: a.view.knownSince, HeadAge: w.now.Sub(a.view.proof),
+func (w *world) hostState(a *agentSim) intake.Host {
+	p := idempotency.Past{Self: a.name, KnownSince: a.view.knownSince, HeadAge: w.now.Sub(a.view.headConfirmed),
 		Current: w.revisions[a.view.revision]}
 	for _, x := range a.view.past {
 		p.Hosts = append(p.Hosts, w.revisions[x.revision])
 	}
-	return intake.Host{Incarnation: a.inc, Awake: true, HasIntent: true, Service: service, Ready: true, Past: p}
+	return intake.Host{Incarnation: a.incarnation, Awake: true, HasIntent: true, Service: service, Ready: true, Past: p}
 }
 
-func (w *world) resolveAsk(s *sub, c *conn, id idempotency.AttemptID, att intake.Attempt, homes []string, reachable bool) {
+func (w *world) resolveKeyFence(s *sub, c *conn, id idempotency.AttemptID, att intake.Attempt, homes []string, reachable bool) {
 	key := idempotency.KeyID{Service: service, Team: simTeam, Key: s.key}
 	for _, h := range homes {
 		o := w.agents[h]
-		if !reachable || o.dead || o.paused || o.k.FenceKey(w.now, key) {
-			d := c.agent.k.PutAside(w.now, att)
+		if !reachable || o.dead || o.paused || o.intake.FenceKey(w.now, key) {
+			d := c.agent.intake.PutAside(w.now, att)
 			w.refuse(s, c, id, d.Reason)
 			return
 		}
@@ -276,31 +276,31 @@
 		w.toEntry(s, func() submission.Action {
 			a := s.m.Data(id.Try, int64(at), b)
 			if a.Kind == submission.Forward {
-				s.got = append(s.got, b...)
+				s.received = append(s.received, b...)
 			}
 			return a
 		})
 	})
 }
 
-func (w *world) end(s *sub, c *conn, id idempotency.AttemptID, whole []byte) {
+func (w *world) end(s *sub, c *conn, id idempotency.AttemptID, answer []byte) {
 	w.send(s, c, false, func() {
 		w.toEntry(s, func() submission.Action {
-			return s.m.End(id.Try, int64(len(whole)), xxhash.Sum64(whole))
+			return s.m.End(id.Try, int64(len(answer)), xxhash.Sum64(answer))
 		})
 	})
 }
 
-var entryT *rapid.T // of the step under way, for draws in the entry's shell
+var stepT *rapid.T // of the current step, for draws in act
 
-func (w *world) toEntry(s *sub, f func() submission.Action) { w.act(entryT, s, f()) }
+func (w *world) toEntry(s *sub, f func() submission.Action) { w.act(stepT, s, f()) }
 
 func (w *world) apply(a *agentSim, e intake.Effects) {
 	for _, id := range e.Started {
-		a.works[id].waiting = false
+		a.attempts[id].waiting = false
 	}
 	for _, r := range e.Refused {
-		k := a.works[r.ID]
+		k := a.attempts[r.ID]
 		k.waiting, k.ended = false, true
 		w.refuse(k.sub, k.conn, r.ID, r.Reason)
 	}
@@ -311,14 +311,14 @@
 	if a.dead {
 		return s.m.FenceFailed()
 	}
-	if a.inc != s.inc {
+	if a.incarnation != s.incarnation {
 		return s.m.FenceResult(s.m.Try(), submission.FenceGone, "")
 	}
 	c := &conn{agent: a}
 	s.conn = c
 	id := idempotency.AttemptID{ID: s.id, Try: s.m.Try()}
 	w.send(s, c, true, func() {
-		st, reason := a.k.Fence(w.now, id)
+		st, reason := a.intake.Fence(w.now, id)
 		w.send(s, c, false, func() {
 			w.toEntry(s, func() submission.Action { return s.m.FenceResult(id.Try, fenceState(st), reason) })
 		})
@@ -338,14 +338,14 @@
 
 func (w *world) resume(s *sub, offset int64) submission.Action {
 	a := w.agents[s.host]
-	if a.dead || a.inc != s.inc {
+	if a.dead || a.incarnation != s.incarnation {
 		return s.m.ConnectionLost()
 	}
 	c := &conn{agent: a}
 	s.conn = c
 	id := idempotency.AttemptID{ID: s.id, Try: s.m.Try()}
 	w.send(s, c, true, func() {
-		k := a.works[id]
+		k := a.attempts[id]
 		if k == nil || k.ended && !k.ran {
 			w.refuse(s, c, id, outcome.TargetFailed)
 			return
@@ -360,8 +360,9 @@
 	return submission.Action{}
 }
 
-// produce lets a target work: first it runs the request, then it answers.
-func (w *world) produce(a *agentSim, k *workSim) {
+// produce advances a target by one step: it starts the request, sends data or ends the
+// answer.
+func (w *world) produce(a *agentSim, k *attemptSim) {
 	switch {
 	case !k.ran:
 		k.ran = true
@@ -378,11 +379,11 @@
 	default:
 		k.ended = true
 		w.end(k.sub, k.conn, k.id, k.answer)
-		w.apply(a, a.k.Finished(w.now, k.id, true, time.Second))
+		w.apply(a, a.intake.Finished(w.now, k.id, true, time.Second))
 	}
 }
 
-// live returns the agents that can act, in a fixed order.
+// live returns the agents that are neither dead nor paused, in a fixed order.
 func (w *world) live() []*agentSim {
 	var out []*agentSim
 	for i := range simHosts {
@@ -395,7 +396,7 @@
 
 func (w *world) deliverable() []int {
 	var out []int
-	for i, p := range w.net {
+	for i, p := range w.inTransit {
 		a := p.conn.agent
 		if p.toAgent && (a.dead || a.paused || w.agents[a.name] != a) {
 			continue
@@ -405,41 +406,41 @@
 	return out
 }
 
-func (w *world) deliver(i int, keep bool) {
-	p := w.net[i]
-	if !keep {
-		w.net = append(w.net[:i:i], w.net[i+1:]...)
+func (w *world) deliver(i int, duplicate bool) {
+	p := w.inTransit[i]
+	if !duplicate {
+		w.inTransit = append(w.inTransit[:i:i], w.inTransit[i+1:]...)
 	}
-	p.do()
+	p.handle()
 }
 
 func (w *world) adopt(v *view, revision int) {
 	if revision > v.revision+1 {
-		v.knownSince = w.now // what was in force in between is not known
+		v.knownSince = w.now // revisions in between are not known
 	}
 	if revision > v.revision {
 		v.past = append(v.past, pastSim{v.revision, w.now})
 		v.revision = revision
 	}
 	if v.revision == len(w.revisions)-1 {
-		v.proof = w.now
+		v.headConfirmed = w.now
 	}
 }
 
-// history is how long earlier revisions are remembered.
+// history is how long earlier revisions are retained.
 var history = idempotency.Config{KeyWindow: simWindow, ClockSkew: simSkew}.History()
 
 func (w *world) advance(d time.Duration) {
 	w.now = w.now.Add(d)
-	kept := w.net[:0]
-	for _, p := range w.net {
+	kept := w.inTransit[:0]
+	for _, p := range w.inTransit {
 		if w.now.Sub(p.sent) < simTTL {
 			kept = append(kept, p)
 		}
 	}
-	w.net = kept
+	w.inTransit = kept
 	for _, a := range w.live() {
-		w.apply(a, a.k.Tick(w.now))
+		w.apply(a, a.intake.Tick(w.now))
 		past := a.view.past[:0:0]
 		for _, x := range a.view.past {
 			if w.now.Sub(x.replaced) <= history {
@@ -450,22 +451,22 @@
 	}
 }
 
-// check compares every submission with what really happened.
+// check verifies the outcome of every submission against what the oracle recorded.
 func (w *world) check(t *rapid.T) {
-	for _, s := range w.subs {
-		if !s.repeat && w.runs[s.index] > 1 {
+	for _, s := range w.submissions {
+		if !s.repeatable && w.runs[s.index] > 1 {
 			t.Fatalf("submission %d is not repeatable and ran %d times", s.index, w.runs[s.index])
 		}
 		if s.outcome == outcome.NotRun && w.runs[s.index] > 0 {
 			t.Fatalf("submission %d was reported not-run (%s) and ran", s.index, s.reason)
 		}
-		if s.outcome == outcome.NotRun && s.key != "" && s.keyRan > 0 && s.reason != outcome.KeyMismatch {
+		if s.outcome == outcome.NotRun && s.key != "" && s.keyRunsAtOutcome > 0 && s.reason != outcome.KeyMismatch {
 			t.Fatalf("submission %d was reported not-run (%s), but its key had run", s.index, s.reason)
 		}
-		if s.outcome == outcome.Completed && string(s.got) != string(content(s.name())) {
-			t.Fatalf("submission %d completed with %q", s.index, s.got)
+		if s.outcome == outcome.Completed && string(s.received) != string(answerContent(s.answerID())) {
+			t.Fatalf("submission %d completed with %q", s.index, s.received)
 		}
-		if s.outcome != outcome.Completed && s.outcome != "" && len(s.got) > 0 && !s.aborted {
+		if s.outcome != outcome.Completed && s.outcome != "" && len(s.received) > 0 && !s.aborted {
 			t.Fatalf("submission %d: a part of an answer was not aborted", s.index)
 		}
 	}
@@ -488,11 +489,11 @@
 }
 
 func (w *world) submit(t *rapid.T) {
-	s := &sub{index: len(w.subs), tried: map[string]bool{}, entry: rapid.IntRange(0, 1).Draw(t, "entry")}
+	s := &sub{index: len(w.submissions), tried: map[string]bool{}, entry: rapid.IntRange(0, 1).Draw(t, "entry")}
 	s.id[0], s.id[1] = byte(s.index), byte(s.index>>8)
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
-		s.repeat = true
+		s.repeatable = true
 	case 1:
 	case 2:
 		s.key = keyAt(w.now.Add(-time.Duration(rapid.IntRange(0, 3000).Draw(t, "age"))*time.Millisecond), len(w.keys))
@@ -502,8 +503,8 @@
 			s.key = rapid.SampledFrom(w.keys).Draw(t, "key")
 		}
 	}
-	w.subs = append(w.subs, s)
-	m, a := submission.New(submission.Request{Repeatable: s.repeat, Keyed: s.key != ""})
+	w.submissions = append(w.submissions, s)
+	m, a := submission.New(submission.Request{Repeatable: s.repeatable, Keyed: s.key != ""})
 	s.m = m
 	w.act(t, s, a)
 }
