--- a/submission/oracle_test.go
+++ b/submission/oracle_test.go
@@ -25,7 +25,7 @@
 		return func(t *rapid.T) {
 			at := w.deliverable()
 			if len(at) == 0 {
-				t.Skip("nothing on its way")
+				t.Skip("no packet in transit")
 			}
 			w.deliver(at[one(t, "packet", len(at))], duplicate)
 		}
@@ -37,13 +37,13 @@
 				return
 			}
 		}
-		t.Skip("nothing runs")
+		t.Skip("no running request")
 	})
 	m := map[string]func(*rapid.T){
 		"submit": w.submit, "deliver": deliver(false), "double": deliver(true), "produce": produce,
 		"drop": func(t *rapid.T) {
 			if len(w.inTransit) == 0 {
-				t.Skip("nothing on its way")
+				t.Skip("no packet in transit")
 			}
 			i := one(t, "packet", len(w.inTransit))
 			w.inTransit = append(w.inTransit[:i:i], w.inTransit[i+1:]...)
@@ -54,7 +54,7 @@
 			}
 			s := w.submissions[one(t, "sub", len(w.submissions))]
 			if s.outcome != "" {
-				t.Skip("ended")
+				t.Skip("submission has ended")
 			}
 			w.act(t, s, s.m.ConnectionLost())
 		},
@@ -82,12 +82,12 @@
 			}
 			s, o := w.submissions[one(t, "sub", len(w.submissions))], w.submissions[one(t, "other", len(w.submissions))]
 			if s == o || s.outcome != "" {
-				t.Skip("nothing to cross")
+				t.Skip("same submission, or submission has ended")
 			}
 			b := answerContent(o.answerID())
 			w.act(t, s, s.m.Head(foreignTry))
 			if a := s.m.Data(foreignTry, 0, b); a.Kind != submission.None {
-				t.Fatal("a crossed frame was passed on")
+				t.Fatal("frame of another submission was forwarded")
 			}
 			w.act(t, s, s.m.End(foreignTry, int64(len(b)), xxhash.Sum64(b)))
 			w.act(t, s, s.m.Refused(foreignTry, outcome.QueueFull, 0))
@@ -111,7 +111,7 @@
 		},
 		"ask": withLive(func(t *rapid.T, a *agentSim) {
 			if len(a.keyFences) == 0 {
-				t.Skip("no question")
+				t.Skip("no pending key fence")
 			}
 			f := a.keyFences[0]
 			a.keyFences = a.keyFences[1:]
@@ -119,7 +119,7 @@
 		}),
 		"publish": func(t *rapid.T) {
 			if len(w.revisions) > 12 {
-				t.Skip("enough")
+				t.Skip("maximum number of revisions reached")
 			}
 			skip := one(t, "without", simHosts)
 			var hosts []string
--- a/submission/replay_test.go
+++ b/submission/replay_test.go
@@ -232,7 +232,7 @@
 func TestReplayTraces(t *testing.T) {
 	trace.Replay(t, "testdata/replay/*.jsonl", 12, func(t *testing.T) func(traceEvent) {
 		p := &replayer{t: t, now: time.Unix(1_800_000_000, 0), requests: map[string]*traceRequest{}, agents: map[string]*traceAgent{}}
-		t.Cleanup(func() { assert.Assert(t, p.outcomes > 0, "a trace must state an outcome") })
+		t.Cleanup(func() { assert.Assert(t, p.outcomes > 0, "trace has no outcome event") })
 		return p.play
 	})
 }
--- a/submission/submission_test.go
+++ b/submission/submission_test.go
@@ -19,10 +19,10 @@
 		want   submission.ActionKind
 		out    outcome.Outcome
 	}{
-		"whole":     {5, xxhash.Sum64(body), submission.Finish, outcome.Completed},
-		"wrong sum": {5, xxhash.Sum64(body) + 1, submission.Finish, outcome.Unknown},
-		"too short": {3, xxhash.Sum64(body[:3]), submission.Finish, outcome.Unknown},
-		"missing":   {9, 0, submission.Fence, ""},
+		"complete":     {5, xxhash.Sum64(body), submission.Finish, outcome.Completed},
+		"wrong sum":    {5, xxhash.Sum64(body) + 1, submission.Finish, outcome.Unknown},
+		"too short":    {3, xxhash.Sum64(body[:3]), submission.Finish, outcome.Unknown},
+		"data missing": {9, 0, submission.Fence, ""},
 	} {
 		m, _ := submission.New(submission.Request{})
 		m.HostChosen()
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -458,7 +458,7 @@
 			t.Fatalf("submission %d is not repeatable and ran %d times", s.index, w.runs[s.index])
 		}
 		if s.outcome == outcome.NotRun && w.runs[s.index] > 0 {
-			t.Fatalf("submission %d was reported not-run (%s) and ran", s.index, s.reason)
+			t.Fatalf("submission %d was reported not-run (%s), but ran", s.index, s.reason)
 		}
 		if s.outcome == outcome.NotRun && s.key != "" && s.keyRunsAtOutcome > 0 && s.reason != outcome.KeyMismatch {
 			t.Fatalf("submission %d was reported not-run (%s), but its key had run", s.index, s.reason)
@@ -467,7 +467,7 @@
 			t.Fatalf("submission %d completed with %q", s.index, s.received)
 		}
 		if s.outcome != outcome.Completed && s.outcome != "" && len(s.received) > 0 && !s.aborted {
-			t.Fatalf("submission %d: a part of an answer was not aborted", s.index)
+			t.Fatalf("submission %d: connection not aborted after a partial answer", s.index)
 		}
 	}
 	for k, n := range w.keyRuns {
