--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -90,7 +90,7 @@
 		return x.fence(ctx)
 	case submission.Resume:
 		return x.resume(ctx, act.Offset)
-	case submission.Wait:
+	case submission.Backoff:
 		return x.wait(ctx, act.Reason)
 	case submission.Forward:
 		if err := x.forward(); err != nil {
@@ -124,7 +124,7 @@
 	x.endpoint = c.Endpoint
 	x.host = membership.Member{Listed: membership.Listed{Host: c.Endpoint.Host, Addr: c.Endpoint.Addr, Domain: c.Endpoint.Domain}}
 	x.tried = append(x.tried, x.host.Host)
-	return x.machine.Chosen()
+	return x.machine.HostChosen()
 }
 
 // pick prefers the engine of the conversation, if the service asks for it.
@@ -144,7 +144,7 @@
 		return x.machine.NoHost(outcome.HomeUnreachable, time.Second)
 	}
 	x.host, x.endpoint = m, nil
-	return x.machine.Chosen()
+	return x.machine.HostChosen()
 }
 
 // dispatch sends the request to the chosen host.
@@ -161,7 +161,7 @@
 	x.candInc = c.Remote().Incarnation
 	x.stream, err = c.Open(ctx, x.dispatchMessage())
 	if err != nil {
-		return x.machine.Lost()
+		return x.machine.ConnectionLost()
 	}
 	if x.body.present() {
 		x.bodyErr = make(chan outcome.Reason, 1)
@@ -219,7 +219,7 @@
 	if act, over := x.over(ctx); over {
 		return act
 	}
-	return x.machine.Lost()
+	return x.machine.ConnectionLost()
 }
 
 // over reports that the caller left or that the deadline has passed.
@@ -228,7 +228,7 @@
 	case x.r.Context().Err() != nil:
 		return x.machine.Abandon(outcome.CallerLeft), true
 	case ctx.Err() != nil:
-		return x.machine.Deadline(), true
+		return x.machine.DeadlineExceeded(), true
 	}
 	return submission.Action{}, false
 }
@@ -281,14 +281,14 @@
 func (x *exchange) resume(ctx context.Context, offset int64) submission.Action {
 	c, err := x.entry.pool.Get(ctx, x.host.Addr, peer.Traffic)
 	if err != nil {
-		return x.machine.Lost()
+		return x.machine.ConnectionLost()
 	}
 	if x.endpoint != nil {
 		x.endpoint.Started()
 	}
 	x.stream, err = c.Open(ctx, &peer.Resume{Attempt: x.attempt(), Offset: offset, NeedHead: x.status == 0})
 	if err != nil {
-		return x.machine.Lost()
+		return x.machine.ConnectionLost()
 	}
 	x.entry.count.resumed.Inc(1)
 	return x.next(ctx)
@@ -299,7 +299,7 @@
 	x.release(false)
 	if !x.entry.budget(x.svc.Name).Spend(clock.Now()) {
 		x.entry.reasons.Refused(outcome.RetryBudget)
-		return x.machine.Waited(false)
+		return x.machine.BackoffElapsed(false)
 	}
 	x.retries++
 	x.entry.reasons.Retried(reason)
@@ -307,7 +307,7 @@
 	if act, over := x.over(ctx); over {
 		return act
 	}
-	return x.machine.Waited(true)
+	return x.machine.BackoffElapsed(true)
 }
 
 // forward passes the head or a piece of the answer on to the caller.
--- a/submission/submission_test.go
+++ b/submission/submission_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// An answer is whole only if its length and its checksum are those that the
-// agent states.
-func TestEndIsChecked(t *testing.T) {
+// Guards against incomplete or corrupt answers that are reported as completed: the length
+// and the checksum must equal those in the agent's end frame.
+func TestEndVerifiesLengthAndChecksum(t *testing.T) {
 	body := []byte("whole")
 	for name, c := range map[string]struct {
 		length int64
@@ -19,13 +19,13 @@
 		want   submission.ActionKind
 		out    outcome.Outcome
 	}{
-		"whole":     {5, xxhash.Sum64(body), submission.Finish, outcome.Completed},
-		"wrong sum": {5, xxhash.Sum64(body) + 1, submission.Finish, outcome.Unknown},
-		"too short": {3, xxhash.Sum64(body[:3]), submission.Finish, outcome.Unknown},
-		"missing":   {9, 0, submission.Fence, ""},
+		"complete":     {5, xxhash.Sum64(body), submission.Finish, outcome.Completed},
+		"wrong sum":    {5, xxhash.Sum64(body) + 1, submission.Finish, outcome.Unknown},
+		"too short":    {3, xxhash.Sum64(body[:3]), submission.Finish, outcome.Unknown},
+		"data missing": {9, 0, submission.Fence, ""},
 	} {
 		m, _ := submission.New(submission.Request{})
-		m.Chosen()
+		m.HostChosen()
 		m.Head(1)
 		assert.Equal(t, m.Data(1, 0, body).Kind, submission.Forward, name)
 		a := m.End(1, c.length, c.sum)
@@ -35,17 +35,18 @@
 	}
 }
 
-// Two hosts without room end a request; other refusals are tried on.
-func TestFullFleetRefusesFast(t *testing.T) {
+// Guards against retries that burden a fleet at capacity. A second refusal for lack of
+// capacity must end the request, while other refusals are retried on further hosts.
+func TestCapacityRefusalIsRetriedOnce(t *testing.T) {
 	tries := func(reason outcome.Reason) int {
 		m, _ := submission.New(submission.Request{Repeatable: true})
 		for n := 1; ; n++ {
-			m.Chosen()
+			m.HostChosen()
 			if a := m.Refused(m.Try(), reason, 0); a.Kind == submission.Finish {
 				assert.Equal(t, a.Outcome, outcome.NotRun)
 				return n
 			}
-			m.Waited(true)
+			m.BackoffElapsed(true)
 		}
 	}
 	assert.Equal(t, tries(outcome.QueueFull), 2)
