--- a/command/sidecar.go
+++ b/command/sidecar.go
@@ -106,7 +106,7 @@
 		Assigned:   func(a peer.Assignment) { agent.Assign(clock.Now(), a) },
 		Unassigned: func(entry string) { agent.Unassign(entry) }})
 	agent = sidecar.New(sidecar.Config{Off: f.off, FirstStart: p.settings.FirstStart}, platform.NewEngines(), p.settings.EngineAddr, entrySource{network, p.call},
-		network.Say, sidecar.NewStats(p.metrics), telemetry.Part(p.log, "sidecar"))
+		network.PublishEngineState, sidecar.NewStats(p.metrics), telemetry.Part(p.log, "sidecar"))
 	peers, err := peer.Listen(p.self.Pieces, p.hello(), agent.ServePiece, p.meter)
 	if err != nil {
 		return err
--- a/mesh/forwarder.go
+++ b/mesh/forwarder.go
@@ -5,9 +5,9 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// Say tells the entries that this agent is linked to the state of its engine; links
+// PublishEngineState tells the entries that this agent is linked to the state of its engine; links
 // that open later tell it first. One of them passes it on to all others.
-func (m *Mesh) Say(s peer.EngineState) {
+func (m *Mesh) PublishEngineState(s peer.EngineState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.said != nil {
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -176,7 +176,7 @@
 	b := startNode(t, "b", 1, []string{a.server.Addr()}, false, nil)
 	agent := startNode(t, "agent", 1, []string{a.server.Addr()}, true, nil)
 	assert.Equal(t, (<-agent.assignments).Version, 7)
-	agent.mesh.Say(peer.EngineState{Addr: "engine-of-agent", Model: "m", Version: 7})
+	agent.mesh.PublishEngineState(peer.EngineState{Addr: "engine-of-agent", Model: "m", Version: 7})
 	for _, n := range []*node{a, b} {
 		n.until(t, "the engine's state", func() bool {
 			s := n.engines["engine-of-agent"]
--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -93,7 +93,7 @@
 	m.note(func() { m.down = false })
 	go m.mesh.Run(ctx, loads)
 	if m.self.Addr == "" {
-		m.mesh.Say(peer.EngineState{Addr: m.self.Engine, Model: "m", Version: 1})
+		m.mesh.PublishEngineState(peer.EngineState{Addr: m.self.Engine, Model: "m", Version: 1})
 	}
 }
 
@@ -201,7 +201,7 @@
 
 func (c *processes) say(version int) {
 	for _, agent := range c.members[c.entries:] {
-		agent.mesh.Say(peer.EngineState{Addr: agent.self.Engine, Model: "m", Version: version})
+		agent.mesh.PublishEngineState(peer.EngineState{Addr: agent.self.Engine, Model: "m", Version: version})
 	}
 }
 
