--- a/command/gateway.go
+++ b/command/gateway.go
@@ -97,7 +97,7 @@
 		Hasher: quarantine.NewHasher(contentKey), Host: p.self.Host, Probes: e.mesh.Probes, RetryRatio: budgetShare * s.Bounds.RetryBudgetRatio,
 		RetryBurst: budgetShare * s.Bounds.RetryBudgetExtra}, platform.Dialect{}, e.book, e.conns, e.homes,
 		gateway.NewStats(p.metrics), telemetry.Part(p.log, "gateway"))
-	e.follower = e.mesh.Follow(mirror.Config{}, platform.NewStore(s.Store.Addr), telemetry.Part(p.log, "mirror"))
+	e.follower = e.mesh.NewFollower(mirror.Config{}, platform.NewStore(s.Store.Addr), telemetry.Part(p.log, "mirror"))
 	e.relay = weights.NewRelay(weights.Config{Off: off}, p.self, e.mesh.Entries, e.holders, e.origin, platform.NewOrigin(), p.call,
 		telemetry.Part(p.log, "weights"))
 	e.control = gateway.NewControl(gateway.ControlOptions{Addr: p.self.Addr, Config: gateway.ControlConfig{Off: off, VersionTimeout: s.VersionTimeout()},
--- a/mesh/entries_test.go
+++ b/mesh/entries_test.go
@@ -177,7 +177,7 @@
 	e.crashes = quarantine.NewTable()
 	m := New(Options{Self: peer.Presence{Host: hello.Host, Domain: "a", Addr: e.addr, Incarnation: e.starts},
 		Seeds: []string{e.fleet.all[0].addr}, Pool: e.pool, Listener: e, Table: e.table, Log: log, Crashes: e.crashes})
-	e.follower = m.Follow(mirror.Config{}, e.view, log)
+	e.follower = m.NewFollower(mirror.Config{}, e.view, log)
 	e.mu.Lock()
 	e.mesh = m // whole: connections of before a restart may ask for it at once
 	e.mu.Unlock()
--- a/mesh/follow.go
+++ b/mesh/follow.go
@@ -55,10 +55,10 @@
 	return voter{p.Addr, p.Domain, p.LinkMbps, failing}
 }
 
-// Follow returns the follower, not running, that keeps this entry's copy of the
+// NewFollower returns the follower, not running, that keeps this entry's copy of the
 // store up to date, from the store or from other entries. It is called once,
 // before Run.
-func (m *Mesh) Follow(cfg mirror.Config, store mirror.Source, log logrus.FieldLogger) *mirror.Follower {
+func (m *Mesh) NewFollower(cfg mirror.Config, store mirror.Source, log logrus.FieldLogger) *mirror.Follower {
 	m.store = mirror.NewContact(store, log)
 	return mirror.NewFollower(mirror.Options{Config: cfg, Table: m.table, Store: m.store, Route: m, Log: log,
 		Stats: mirror.NewStats(m.metrics)})
