--- a/mesh/members.go
+++ b/mesh/members.go
@@ -133,13 +133,13 @@
 func NewMembers(self string, seeds []string, expireAfter time.Duration) *Members {
 	m := &Members{self: self, expireAfter: expireAfter, byAddr: map[string]*member{}}
 	for _, s := range seeds {
-		m.Told(s)
+		m.AddAddr(s)
 	}
 	return m
 }
 
-// Told adds an address that may be an entry's.
-func (m *Members) Told(addr string) { m.ToldOf(peer.Presence{Addr: addr}) }
+// AddAddr adds an address that may be an entry's.
+func (m *Members) AddAddr(addr string) { m.ToldOf(peer.Presence{Addr: addr}) }
 
 // ToldOf adds an entry of which another one told. What an entry says of itself goes
 // before that.
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -318,7 +318,7 @@
 		m.members.ToldOf(p)
 	}
 	for _, addr := range msg.Addrs {
-		m.members.Told(addr)
+		m.members.AddAddr(addr)
 	}
 }
 
