--- a/mesh/members.go
+++ b/mesh/members.go
@@ -139,11 +139,11 @@
 }
 
 // AddAddr adds an address that may be an entry's.
-func (m *Members) AddAddr(addr string) { m.ToldOf(peer.Presence{Addr: addr}) }
+func (m *Members) AddAddr(addr string) { m.AddFromPeer(peer.Presence{Addr: addr}) }
 
-// ToldOf adds an entry of which another one told. What an entry says of itself goes
+// AddFromPeer adds an entry of which another one told. What an entry says of itself goes
 // before that.
-func (m *Members) ToldOf(p peer.Presence) {
+func (m *Members) AddFromPeer(p peer.Presence) {
 	if p.Addr == "" || p.Addr == m.self {
 		return
 	}
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -315,7 +315,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range msg.Others {
-		m.members.ToldOf(p)
+		m.members.AddFromPeer(p)
 	}
 	for _, addr := range msg.Addrs {
 		m.members.AddAddr(addr)
