--- a/mesh/link.go
+++ b/mesh/link.go
@@ -206,7 +206,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := clock.Now()
-	m.members.Heard(now.Add(linkedFor), p)
+	m.members.Observe(now.Add(linkedFor), p)
 	m.setLive(m.members.Live(now))
 }
 
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -153,11 +153,11 @@
 	m.byAddr[p.Addr] = &member{Presence: p}
 }
 
-// Heard takes what an entry says of itself. It reports whether the entry was
+// Observe takes what an entry says of itself. It reports whether the entry was
 // not live before. Words of an earlier incarnation are ignored while the later one
 // is live; after that they are of a process that was started when its host's clock
 // had been set back.
-func (m *Members) Heard(now time.Time, p peer.Presence) bool {
+func (m *Members) Observe(now time.Time, p peer.Presence) bool {
 	if p.Addr == "" || p.Addr == m.self {
 		return false
 	}
--- a/mesh/members_test.go
+++ b/mesh/members_test.go
@@ -32,8 +32,8 @@
 
 func TestMemberExpires(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
-	assert.Assert(t, m.Heard(start, presence("b:1", 1, 0)))
-	assert.Assert(t, !m.Heard(start, presence("b:1", 1, 0)), "known already")
+	assert.Assert(t, m.Observe(start, presence("b:1", 1, 0)))
+	assert.Assert(t, !m.Observe(start, presence("b:1", 1, 0)), "known already")
 	assert.DeepEqual(t, addrs(m.Live(start.Add(expire))), []string{"b:1"})
 	assert.Equal(t, len(m.Live(start.Add(expire+1))), 0)
 	assert.DeepEqual(t, m.Addrs(), []string{"b:1"}) // it is still called
@@ -41,34 +41,34 @@
 
 func TestWordsOfAnEarlierIncarnationAreIgnored(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
-	m.Heard(start, presence("b:1", 2, 9))
-	assert.Assert(t, !m.Heard(start, presence("b:1", 1, 50)))
+	m.Observe(start, presence("b:1", 2, 9))
+	assert.Assert(t, !m.Observe(start, presence("b:1", 1, 50)))
 	assert.Equal(t, m.Live(start)[0].Revision, int64(9))
-	assert.Assert(t, m.Heard(start, presence("b:1", 3, 0)), "a restart is news")
+	assert.Assert(t, m.Observe(start, presence("b:1", 3, 0)), "a restart is news")
 }
 
 func TestLeavingMemberIsNotLive(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
 	p := presence("b:1", 1, 0)
-	m.Heard(start, p)
+	m.Observe(start, p)
 	p.Leaving = true
-	m.Heard(start, p)
+	m.Observe(start, p)
 	assert.Equal(t, len(m.Live(start)), 0)
 }
 
 func TestLostMemberIsNotLiveUntilHeard(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
-	m.Heard(start, presence("b:1", 1, 0))
+	m.Observe(start, presence("b:1", 1, 0))
 	m.Lost("b:1")
 	assert.Equal(t, len(m.Live(start)), 0)
-	assert.Assert(t, m.Heard(start, presence("b:1", 1, 0)))
+	assert.Assert(t, m.Observe(start, presence("b:1", 1, 0)))
 }
 
 func TestAheadIsTheFurthestLiveCopy(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
-	m.Heard(start, presence("b:1", 1, 5))
-	m.Heard(start, presence("c:1", 1, 8))
-	m.Heard(start.Add(-time.Hour), presence("d:1", 1, 99))
+	m.Observe(start, presence("b:1", 1, 5))
+	m.Observe(start, presence("c:1", 1, 8))
+	m.Observe(start.Add(-time.Hour), presence("d:1", 1, 99))
 	addr, ok := m.Ahead(start, 4, "")
 	assert.Assert(t, ok)
 	assert.Equal(t, addr, "c:1")
@@ -80,17 +80,17 @@
 // incarnation than the one before it.
 func TestLowerIncarnationIsHeardWhenTheHigherIsGone(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
-	m.Heard(start, presence("b:1", 5, 9))
-	assert.Assert(t, !m.Heard(start.Add(expire), presence("b:1", 3, 1)), "the other one is live")
-	assert.Assert(t, m.Heard(start.Add(expire+1), presence("b:1", 3, 1)))
+	m.Observe(start, presence("b:1", 5, 9))
+	assert.Assert(t, !m.Observe(start.Add(expire), presence("b:1", 3, 1)), "the other one is live")
+	assert.Assert(t, m.Observe(start.Add(expire+1), presence("b:1", 3, 1)))
 	assert.Equal(t, m.Live(start.Add(expire + 1))[0].Incarnation, uint64(3))
 	m.Lost("b:1")
-	assert.Assert(t, m.Heard(start.Add(expire+2), presence("b:1", 2, 1)), "its link broke")
+	assert.Assert(t, m.Observe(start.Add(expire+2), presence("b:1", 2, 1)), "its link broke")
 
 	// As an agent hears of an entry.
-	m.Heard(start.Add(linkedFor), presence("c:1", 5, 9))
+	m.Observe(start.Add(linkedFor), presence("c:1", 5, 9))
 	m.Lost("c:1")
-	assert.Assert(t, m.Heard(start.Add(linkedFor+time.Second), presence("c:1", 3, 1)))
+	assert.Assert(t, m.Observe(start.Add(linkedFor+time.Second), presence("c:1", 3, 1)))
 }
 
 // accountAt is an account in which the store was seen at the moment it was written.
@@ -103,15 +103,15 @@
 // However long an account waits, the store was seen when it was written.
 func TestAccountGrowsOldOnItsWay(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
-	m.Heard(start, accountAt(time.Hour))
+	m.Observe(start, accountAt(time.Hour))
 	for _, way := range []time.Duration{time.Millisecond, 450 * time.Millisecond, 3 * time.Second, time.Minute} {
-		m.Heard(start.Add(10*time.Second+way), accountAt(time.Hour+10*time.Second))
+		m.Observe(start.Add(10*time.Second+way), accountAt(time.Hour+10*time.Second))
 		assert.Equal(t, m.Confirmed(7), start.Add(10*time.Second), "%v on its way", way)
 	}
 	// The next process counts from anew.
 	p := accountAt(time.Second)
 	p.Incarnation = 2
-	m.Heard(start.Add(2*time.Minute), p)
+	m.Observe(start.Add(2*time.Minute), p)
 	assert.Equal(t, m.Confirmed(7), start.Add(2*time.Minute))
 }
 
@@ -121,16 +121,16 @@
 	for _, sign := range []float64{-1, 1} {
 		m := NewMembers("a:1", nil, expire)
 		for at := time.Duration(0); at < 24*time.Hour; at += time.Second {
-			m.Heard(start.Add(at), accountAt(time.Duration(float64(at)*(1+sign*apart))))
+			m.Observe(start.Add(at), accountAt(time.Duration(float64(at)*(1+sign*apart))))
 			wrong := start.Add(at).Sub(m.Confirmed(7))
 			assert.Assert(t, wrong >= 0 && wrong <= 35*time.Millisecond, "wrong by %v after %v", wrong, at)
 		}
 	}
 	m := NewMembers("a:1", nil, expire)
-	m.Heard(start, accountAt(0))
+	m.Observe(start, accountAt(0))
 	still := 5 * time.Second
 	for at := still; at < still+2*clockWindow+time.Second; at += time.Second {
-		m.Heard(start.Add(at), accountAt(at-still))
+		m.Observe(start.Add(at), accountAt(at-still))
 	}
 	assert.Assert(t, start.Add(still+2*clockWindow).Sub(m.Confirmed(7)) <= 0)
 }
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -307,7 +307,7 @@
 func (m *Mesh) heard(p peer.Presence) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.members.Heard(clock.Now(), p)
+	m.members.Observe(clock.Now(), p)
 }
 
 // told notes what an entry tells of others.
--- a/mesh/role_test.go
+++ b/mesh/role_test.go
@@ -21,7 +21,7 @@
 	b, c, d := presence("b:1", 1, 7), presence("c:1", 1, 9), presence("d:1", 1, 7)
 	b.Store, c.Store = contactOf(300*time.Millisecond), contactOf(100*time.Millisecond)
 	for _, p := range []peer.Presence{b, c, d} {
-		m.Heard(start, p)
+		m.Observe(start, p)
 	}
 	assert.Assert(t, m.Confirmed(6).IsZero(), "b and c saw more, d did not see it")
 	assert.Equal(t, m.Confirmed(7), start.Add(-300*time.Millisecond))
