--- a/mesh/link.go
+++ b/mesh/link.go
@@ -225,7 +225,7 @@
 	if now := m.links[l.addr]; now != nil && now != l {
 		return false
 	}
-	m.members.Lost(l.addr)
+	m.members.MarkUnreachable(l.addr)
 	return true
 }
 
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -180,8 +180,8 @@
 
 func fromMilliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// Lost notes that an entry cannot be reached.
-func (m *Members) Lost(addr string) {
+// MarkUnreachable notes that an entry cannot be reached.
+func (m *Members) MarkUnreachable(addr string) {
 	if old := m.byAddr[addr]; old != nil {
 		old.heardAt = time.Time{}
 	}
--- a/mesh/members_test.go
+++ b/mesh/members_test.go
@@ -59,7 +59,7 @@
 func TestLostMemberIsNotLiveUntilHeard(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
 	m.Observe(start, presence("b:1", 1, 0))
-	m.Lost("b:1")
+	m.MarkUnreachable("b:1")
 	assert.Equal(t, len(m.Live(start)), 0)
 	assert.Assert(t, m.Observe(start, presence("b:1", 1, 0)))
 }
@@ -84,12 +84,12 @@
 	assert.Assert(t, !m.Observe(start.Add(expire), presence("b:1", 3, 1)), "the other one is live")
 	assert.Assert(t, m.Observe(start.Add(expire+1), presence("b:1", 3, 1)))
 	assert.Equal(t, m.Live(start.Add(expire + 1))[0].Incarnation, uint64(3))
-	m.Lost("b:1")
+	m.MarkUnreachable("b:1")
 	assert.Assert(t, m.Observe(start.Add(expire+2), presence("b:1", 2, 1)), "its link broke")
 
 	// As an agent hears of an entry.
 	m.Observe(start.Add(linkedFor), presence("c:1", 5, 9))
-	m.Lost("c:1")
+	m.MarkUnreachable("c:1")
 	assert.Assert(t, m.Observe(start.Add(linkedFor+time.Second), presence("c:1", 3, 1)))
 }
 
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -225,7 +225,7 @@
 		if !wanted[addr] {
 			l.end()
 			delete(m.links, addr)
-			m.members.Lost(addr)
+			m.members.MarkUnreachable(addr)
 		}
 	}
 }
@@ -325,7 +325,7 @@
 func (m *Mesh) lost(addr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.members.Lost(addr)
+	m.members.MarkUnreachable(addr)
 }
 
 // Nearest returns up to n live entries that this process should ask for key, in
