--- a/mesh/catchup.go
+++ b/mesh/catchup.go
@@ -10,7 +10,7 @@
 
 // compare reads from a peer what its copy of the store has and the own has not.
 func (m *Mesh) compare(ctx context.Context, now time.Time) {
-	addr, ahead := m.members.Ahead(now, m.table.Revision(), m.self.Domain)
+	addr, ahead := m.members.MostAdvanced(now, m.table.Revision(), m.self.Domain)
 	if !ahead {
 		m.behindSince = time.Time{}
 		return
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -223,9 +223,9 @@
 	return out
 }
 
-// Ahead returns the live entry whose copy of the store reaches furthest beyond
+// MostAdvanced returns the live entry whose copy of the store reaches furthest beyond
 // revision, of a failure domain if one of those is as far, or false.
-func (m *Members) Ahead(now time.Time, revision int64, domain string) (addr string, ok bool) {
+func (m *Members) MostAdvanced(now time.Time, revision int64, domain string) (addr string, ok bool) {
 	near := false
 	for _, x := range m.Live(now) {
 		if x.Revision > revision || ok && x.Revision == revision && !near && x.Domain == domain {
--- a/mesh/members_test.go
+++ b/mesh/members_test.go
@@ -69,10 +69,10 @@
 	m.Observe(start, presence("b:1", 1, 5))
 	m.Observe(start, presence("c:1", 1, 8))
 	m.Observe(start.Add(-time.Hour), presence("d:1", 1, 99))
-	addr, ok := m.Ahead(start, 4, "")
+	addr, ok := m.MostAdvanced(start, 4, "")
 	assert.Assert(t, ok)
 	assert.Equal(t, addr, "c:1")
-	_, ok = m.Ahead(start, 8, "")
+	_, ok = m.MostAdvanced(start, 8, "")
 	assert.Assert(t, !ok)
 }
 
