--- a/mesh/members.go
+++ b/mesh/members.go
@@ -235,10 +235,10 @@
 	return addr, ok
 }
 
-// Confirmed returns when an entry last saw that the store had nothing beyond
+// ConfirmedAt returns when an entry last saw that the store had nothing beyond
 // revision; zero if none tells so. What entries heard from others does not
 // count: in a circle, the time on the way would make it newer with each round.
-func (m *Members) Confirmed(revision int64) (at time.Time) {
+func (m *Members) ConfirmedAt(revision int64) (at time.Time) {
 	for _, x := range m.byAddr {
 		if x.Revision <= revision && x.storeAt.After(at) {
 			at = x.storeAt
--- a/mesh/members_test.go
+++ b/mesh/members_test.go
@@ -106,13 +106,13 @@
 	m.Observe(start, accountAt(time.Hour))
 	for _, way := range []time.Duration{time.Millisecond, 450 * time.Millisecond, 3 * time.Second, time.Minute} {
 		m.Observe(start.Add(10*time.Second+way), accountAt(time.Hour+10*time.Second))
-		assert.Equal(t, m.Confirmed(7), start.Add(10*time.Second), "%v on its way", way)
+		assert.Equal(t, m.ConfirmedAt(7), start.Add(10*time.Second), "%v on its way", way)
 	}
 	// The next process counts from anew.
 	p := accountAt(time.Second)
 	p.Incarnation = 2
 	m.Observe(start.Add(2*time.Minute), p)
-	assert.Equal(t, m.Confirmed(7), start.Add(2*time.Minute))
+	assert.Equal(t, m.ConfirmedAt(7), start.Add(2*time.Minute))
 }
 
 // Clocks that run apart, or one that stood still with its host, are made up for.
@@ -122,7 +122,7 @@
 		m := NewMembers("a:1", nil, expire)
 		for at := time.Duration(0); at < 24*time.Hour; at += time.Second {
 			m.Observe(start.Add(at), accountAt(time.Duration(float64(at)*(1+sign*apart))))
-			wrong := start.Add(at).Sub(m.Confirmed(7))
+			wrong := start.Add(at).Sub(m.ConfirmedAt(7))
 			assert.Assert(t, wrong >= 0 && wrong <= 35*time.Millisecond, "wrong by %v after %v", wrong, at)
 		}
 	}
@@ -132,5 +132,5 @@
 	for at := still; at < still+2*clockWindow+time.Second; at += time.Second {
 		m.Observe(start.Add(at), accountAt(at-still))
 	}
-	assert.Assert(t, start.Add(still+2*clockWindow).Sub(m.Confirmed(7)) <= 0)
+	assert.Assert(t, start.Add(still+2*clockWindow).Sub(m.ConfirmedAt(7)) <= 0)
 }
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -194,7 +194,7 @@
 		m.chooseForwarder()
 		return
 	}
-	m.table.Confirm(m.members.Confirmed(m.table.Revision()))
+	m.table.Confirm(m.members.ConfirmedAt(m.table.Revision()))
 	m.choose(now)
 	m.compare(ctx, now)
 	m.repair(ctx, now)
--- a/mesh/role_test.go
+++ b/mesh/role_test.go
@@ -23,9 +23,9 @@
 	for _, p := range []peer.Presence{b, c, d} {
 		m.Observe(start, p)
 	}
-	assert.Assert(t, m.Confirmed(6).IsZero(), "b and c saw more, d did not see it")
-	assert.Equal(t, m.Confirmed(7), start.Add(-300*time.Millisecond))
-	assert.Equal(t, m.Confirmed(9), start.Add(-100*time.Millisecond))
+	assert.Assert(t, m.ConfirmedAt(6).IsZero(), "b and c saw more, d did not see it")
+	assert.Equal(t, m.ConfirmedAt(7), start.Add(-300*time.Millisecond))
+	assert.Equal(t, m.ConfirmedAt(9), start.Add(-100*time.Millisecond))
 }
 
 // roles returns how many of n entries read the store, of which the first in rank
