--- a/command/gateway.go
+++ b/command/gateway.go
@@ -169,8 +169,8 @@
 // Loads implements mesh.Listener.
 func (e *entryProcess) Loads(from string, l *peer.Loads) { e.control.Loads(from, l) }
 
-// Lost implements mesh.Listener.
-func (e *entryProcess) Lost(addr string) { e.control.Lost(addr) }
+// EntryLost implements mesh.Listener.
+func (e *entryProcess) EntryLost(addr string) { e.control.Lost(addr) }
 
 // EngineState implements mesh.Listener.
 func (e *entryProcess) EngineState(p peer.Presence, s *peer.EngineState) { e.control.EngineState(p, s) }
--- a/mesh/entries_test.go
+++ b/mesh/entries_test.go
@@ -137,7 +137,7 @@
 
 // Loads, Lost, EngineState and Assignment implement Listener.
 func (*entry) Loads(string, *peer.Loads)                                    {}
-func (*entry) Lost(string)                                                  {}
+func (*entry) EntryLost(string)                                                  {}
 func (*entry) EngineState(peer.Presence, *peer.EngineState)                 {}
 func (*entry) Assignment(peer.Presence) (*peer.Assignment, <-chan struct{}) { return nil, nil }
 
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -19,8 +19,8 @@
 type Listener interface {
 	// Loads is what the entry at an address has in flight.
 	Loads(from string, l *peer.Loads)
-	// Lost says that an entry is not heard any more.
-	Lost(addr string)
+	// EntryLost says that an entry is not heard any more.
+	EntryLost(addr string)
 	// EngineState is what an agent says; nil when it is not heard any more.
 	EngineState(agent peer.Presence, s *peer.EngineState)
 	// Assignment returns what the engine beside an agent is to serve, or nil,
@@ -241,7 +241,7 @@
 			delete(m.differing, old.Addr)
 			delete(m.crashesDiffer, old.Addr)
 			if m.listener != nil {
-				m.listener.Lost(old.Addr)
+				m.listener.EntryLost(old.Addr)
 			}
 		}
 	}
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -110,7 +110,7 @@
 	})
 }
 
-func (n *node) Lost(string) { n.note(func() {}) }
+func (n *node) EntryLost(string) { n.note(func() {}) }
 
 func (n *node) EngineState(agent peer.Presence, s *peer.EngineState) {
 	n.note(func() { n.engines[agent.Engine] = s })
--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -140,7 +140,7 @@
 
 // Listener.
 func (*process) Loads(string, *peer.Loads)              {}
-func (*process) Lost(string)                            {}
+func (*process) EntryLost(string)                            {}
 func (*process) Announced(time.Time) []peer.SeenVersion { return nil }
 func (*process) Notices() []peer.TargetNotice           { return nil }
 func (m *process) EngineState(a peer.Presence, s *peer.EngineState) {
