--- a/mesh/catchup.go
+++ b/mesh/catchup.go
@@ -32,7 +32,7 @@
 	if at := m.table.ContactAt(); !at.IsZero() && now.Sub(at) > m.cfg.UnconfirmedAfter {
 		return 0
 	}
-	return m.cfg.BehindAfter
+	return m.cfg.CatchUpAfter
 }
 
 func (m *Mesh) catchUp(ctx context.Context, addr string) {
--- a/mesh/follow_test.go
+++ b/mesh/follow_test.go
@@ -254,9 +254,9 @@
 	cfg := Config{}.applyDefaults()
 	table := mirror.NewTable("")
 	m := New(Options{Table: table})
-	assert.Equal(t, m.patienceBehind(start), cfg.BehindAfter, "there is no copy")
+	assert.Equal(t, m.patienceBehind(start), cfg.CatchUpAfter, "there is no copy")
 	table.Replace(start, mirror.Batch{Revision: 1})
-	assert.Equal(t, m.patienceBehind(start.Add(cfg.UnconfirmedAfter)), cfg.BehindAfter)
+	assert.Equal(t, m.patienceBehind(start.Add(cfg.UnconfirmedAfter)), cfg.CatchUpAfter)
 	assert.Equal(t, m.patienceBehind(start.Add(cfg.UnconfirmedAfter+1)), time.Duration(0))
 }
 
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -27,10 +27,10 @@
 	// ExpireAfter is how long an entry that is not heard counts as live.
 	// Default 1.6 s, three heartbeats.
 	ExpireAfter time.Duration
-	// BehindAfter is how long the own copy of the store may be behind a
+	// CatchUpAfter is how long the own copy of the store may be behind a
 	// peer's before it is read from there. A watch at the store is quicker
 	// unless it is cut. Default 300 ms.
-	BehindAfter time.Duration
+	CatchUpAfter time.Duration
 	// UnconfirmedAfter is the age of the own copy from which on BehindAfter is
 	// not waited for: a watch at the store ends each 1 s, and 1.2 s after the
 	// last one in a burst. Default 1.2 s.
@@ -54,7 +54,7 @@
 	c.IntervalPerEntry = cmp.Or(c.IntervalPerEntry, 1500*time.Microsecond)
 	c.Heartbeat = cmp.Or(c.Heartbeat, 500*time.Millisecond)
 	c.ExpireAfter = cmp.Or(c.ExpireAfter, 1600*time.Millisecond)
-	c.BehindAfter = cmp.Or(c.BehindAfter, 300*time.Millisecond)
+	c.CatchUpAfter = cmp.Or(c.CatchUpAfter, 300*time.Millisecond)
 	c.UnconfirmedAfter = cmp.Or(c.UnconfirmedAfter, 1200*time.Millisecond)
 	c.RetryAfter = cmp.Or(c.RetryAfter, 50*time.Millisecond)
 	c.FirstDialTimeout = cmp.Or(c.FirstDialTimeout, 60*time.Millisecond)
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -52,7 +52,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	o := Options{Self: self, Seeds: seeds, Pool: peer.NewPool(hello, n.serve, meter), Log: log,
-		Config: Config{RetryAfter: 20 * time.Millisecond, BehindAfter: 20 * time.Millisecond}}
+		Config: Config{RetryAfter: 20 * time.Millisecond, CatchUpAfter: 20 * time.Millisecond}}
 	if agent {
 		o.Assigned = func(a peer.Assignment) { n.assignments <- a }
 	} else {
