--- a/mesh/follow_test.go
+++ b/mesh/follow_test.go
@@ -256,8 +256,8 @@
 	m := New(Options{Table: table})
 	assert.Equal(t, m.patienceBehind(start), cfg.CatchUpAfter, "there is no copy")
 	table.Replace(start, mirror.Batch{Revision: 1})
-	assert.Equal(t, m.patienceBehind(start.Add(cfg.UnconfirmedAfter)), cfg.CatchUpAfter)
-	assert.Equal(t, m.patienceBehind(start.Add(cfg.UnconfirmedAfter+1)), time.Duration(0))
+	assert.Equal(t, m.patienceBehind(start.Add(cfg.StaleAfter)), cfg.CatchUpAfter)
+	assert.Equal(t, m.patienceBehind(start.Add(cfg.StaleAfter+1)), time.Duration(0))
 }
 
 // callsOf counts the calls that all entries began after since.
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -31,10 +31,10 @@
 	// peer's before it is read from there. A watch at the store is quicker
 	// unless it is cut. Default 300 ms.
 	CatchUpAfter time.Duration
-	// UnconfirmedAfter is the age of the own copy from which on BehindAfter is
+	// StaleAfter is the age of the own copy from which on BehindAfter is
 	// not waited for: a watch at the store ends each 1 s, and 1.2 s after the
 	// last one in a burst. Default 1.2 s.
-	UnconfirmedAfter time.Duration
+	StaleAfter time.Duration
 	// RetryAfter is the pause before a link that broke is opened again; it
 	// doubles with every other attempt up to MaxRetryAfter while the entry cannot be
 	// reached. When all processes start at once, agents are up some 100 ms before the
@@ -55,7 +55,7 @@
 	c.Heartbeat = cmp.Or(c.Heartbeat, 500*time.Millisecond)
 	c.ExpireAfter = cmp.Or(c.ExpireAfter, 1600*time.Millisecond)
 	c.CatchUpAfter = cmp.Or(c.CatchUpAfter, 300*time.Millisecond)
-	c.UnconfirmedAfter = cmp.Or(c.UnconfirmedAfter, 1200*time.Millisecond)
+	c.StaleAfter = cmp.Or(c.StaleAfter, 1200*time.Millisecond)
 	c.RetryAfter = cmp.Or(c.RetryAfter, 50*time.Millisecond)
 	c.FirstDialTimeout = cmp.Or(c.FirstDialTimeout, 60*time.Millisecond)
 	c.DialTimeout = cmp.Or(c.DialTimeout, 250*time.Millisecond)
