--- a/command/sidecar.go
+++ b/command/sidecar.go
@@ -103,7 +103,7 @@
 	var agent *sidecar.Sidecar
 	network := mesh.New(mesh.Options{Self: p.self, Seeds: p.settings.Seeds, Pool: p.pool, Log: telemetry.Part(p.log, "mesh"),
 		Crashes:    quarantine.NewTable(),
-		Assigned:   func(a peer.Assignment) { agent.Assign(clock.Now(), a) },
+		OnAssignment:   func(a peer.Assignment) { agent.Assign(clock.Now(), a) },
 		Unassigned: func(entry string) { agent.Unassign(entry) }})
 	agent = sidecar.New(sidecar.Config{Off: f.off, FirstStart: p.settings.FirstStart}, platform.NewEngines(), p.settings.EngineAddr, entrySource{network, p.call},
 		network.PublishEngineState, sidecar.NewStats(p.metrics), telemetry.Part(p.log, "sidecar"))
--- a/mesh/crashes_test.go
+++ b/mesh/crashes_test.go
@@ -92,7 +92,7 @@
 	crashes = quarantine.NewTable()
 	m := New(Options{Self: peer.Presence{Host: "agent", Domain: "a", Engine: "10.2.0.1:8000", Incarnation: 1},
 		Seeds: []string{all.all[0].addr}, Pool: a.pool, Log: log, Crashes: crashes,
-		Assigned: func(peer.Assignment) {}})
+		OnAssignment: func(peer.Assignment) {}})
 	ctx, cancel := context.WithCancel(context.Background())
 	go m.Run(ctx, nil)
 	return crashes, func() {
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -54,7 +54,7 @@
 	o := Options{Self: self, Seeds: seeds, Pool: peer.NewPool(hello, n.serve, meter), Log: log,
 		Config: Config{RetryAfter: 20 * time.Millisecond, CatchUpAfter: 20 * time.Millisecond}}
 	if agent {
-		o.Assigned = func(a peer.Assignment) { n.assignments <- a }
+		o.OnAssignment = func(a peer.Assignment) { n.assignments <- a }
 	} else {
 		o.Listener, o.Table = n, n.table
 	}
--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -80,7 +80,7 @@
 		o.Listener, o.Table = m, mirror.NewTable("")
 		loads = func() []peer.TargetLoad { return nil }
 	} else {
-		o.Assigned = func(a peer.Assignment) {
+		o.OnAssignment = func(a peer.Assignment) {
 			known := hasAddr(m.mesh.Entries(), a.Entry)
 			m.note(func() { m.assigned[a.Entry], m.early = true, m.early || !known })
 		}
