--- a/command/sidecar.go
+++ b/command/sidecar.go
@@ -104,7 +104,7 @@
 	network := mesh.New(mesh.Options{Self: p.self, Seeds: p.settings.Seeds, Pool: p.pool, Log: telemetry.Part(p.log, "mesh"),
 		Crashes:    quarantine.NewTable(),
 		OnAssignment:   func(a peer.Assignment) { agent.Assign(clock.Now(), a) },
-		Unassigned: func(entry string) { agent.Unassign(entry) }})
+		OnEntryLost: func(entry string) { agent.Unassign(entry) }})
 	agent = sidecar.New(sidecar.Config{Off: f.off, FirstStart: p.settings.FirstStart}, platform.NewEngines(), p.settings.EngineAddr, entrySource{network, p.call},
 		network.PublishEngineState, sidecar.NewStats(p.metrics), telemetry.Part(p.log, "sidecar"))
 	peers, err := peer.Listen(p.self.Pieces, p.hello(), agent.ServePiece, p.meter)
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -79,8 +79,8 @@
 	Pool     *peer.Pool
 	Listener Listener              // nil at agents
 	OnAssignment func(peer.Assignment) // at agents
-	// Unassigned is told, at agents, that an entry is not heard any more; nil for none.
-	Unassigned func(addr string)
+	// OnEntryLost is told, at agents, that an entry is not heard any more; nil for none.
+	OnEntryLost func(addr string)
 	Table      *mirror.Table // own copy of the store; nil at agents
 	Log        logrus.FieldLogger
 	Metrics    metrics.Registry // nil for none
@@ -94,7 +94,7 @@
 	if o.Metrics == nil {
 		o.Metrics = metrics.NewRegistry()
 	}
-	return &Mesh{cfg: cfg, self: o.Self, pool: o.Pool, log: o.Log, listener: o.Listener, assigned: o.OnAssignment, unassigned: o.Unassigned, table: o.Table,
+	return &Mesh{cfg: cfg, self: o.Self, pool: o.Pool, log: o.Log, listener: o.Listener, assigned: o.OnAssignment, unassigned: o.OnEntryLost, table: o.Table,
 		metrics: o.Metrics, made: clock.Now(), moves: metrics.NewRegisteredCounter("mesh.source_changes", o.Metrics),
 		members: NewMembers(o.Self.Addr, o.Seeds, cfg.ExpireAfter), links: map[string]*link{},
 		engines: newReportRegistry(o.Listener), seed: slices.Contains(o.Seeds, o.Self.Addr), forwarded: map[string]forwarded{},
--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -84,7 +84,7 @@
 			known := hasAddr(m.mesh.Entries(), a.Entry)
 			m.note(func() { m.assigned[a.Entry], m.early = true, m.early || !known })
 		}
-		o.Unassigned = func(addr string) { m.note(func() { delete(m.assigned, addr) }) }
+		o.OnEntryLost = func(addr string) { m.note(func() { delete(m.assigned, addr) }) }
 	}
 	next := New(o)
 	m.note(func() { m.mesh = next })
