--- a/mesh/account.go
+++ b/mesh/account.go
@@ -6,75 +6,75 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// account decides what to tell of the own load: all of it at each heartbeat,
-// and in between what changed. A full account repairs what got lost. It is pure.
-type account struct {
+// loadReporter decides which loads of this process to send: all of them at each
+// heartbeat, and only the changes in between. A full report makes up for reports
+// that were lost. It performs no I/O and reads no clock.
+type loadReporter struct {
 	heartbeat time.Duration
-	said      map[string]peer.TargetLoad
-	fullAt    time.Time
-	saidAt    time.Time
+	reported  map[string]peer.TargetLoad
+	lastFull  time.Time
+	lastSent  time.Time
 
-	failing     bool      // what was said of the store
-	storeAt     time.Time // likewise
-	storeSaidAt time.Time // when that was said
+	storeFailing bool // store state as last sent
+	storeSeenAt  time.Time
+	storeSentAt  time.Time // when the store state was last sent
 }
 
-// storeNewsEvery is the least time between two accounts that are sent because
-// the store was seen again. A watch that ends once a second is told of at once;
-// in a burst of changes, one ends each 200 ms.
-const storeNewsEvery = 400 * time.Millisecond
+// storeReportInterval is the minimum time between two reports that are sent only because
+// the store was read again. A watch that ends once a second is reported at once; in a
+// burst of changes a watch ends every 200 ms.
+const storeReportInterval = 400 * time.Millisecond
 
-func newAccount(heartbeat time.Duration) *account {
-	return &account{heartbeat: heartbeat, said: map[string]peer.TargetLoad{}}
+func newLoadReporter(heartbeat time.Duration) *loadReporter {
+	return &loadReporter{heartbeat: heartbeat, reported: map[string]peer.TargetLoad{}}
 }
 
-// due reports whether an account may be told again.
-func (a *account) due(now time.Time, interval time.Duration) bool {
-	return now.Sub(a.saidAt) >= interval
+// due reports whether interval has passed since the last report.
+func (r *loadReporter) due(now time.Time, interval time.Duration) bool {
+	return now.Sub(r.lastSent) >= interval
 }
 
-// urgent reports whether an account must be told whatever the load: the store was
-// seen, at a moment, or whether calls to it fail has changed. It takes that for
-// told.
-func (a *account) urgent(now, storeAt time.Time, failing bool) bool {
-	seen := storeAt.After(a.storeAt) && now.Sub(a.storeSaidAt) >= storeNewsEvery
-	if !seen && failing == a.failing {
+// urgent reports whether a report must be sent even if no load changed, because the
+// store was read again at storeAt or calls to it started or stopped failing. If so, it
+// records the new store state as sent.
+func (r *loadReporter) urgent(now, storeAt time.Time, failing bool) bool {
+	seen := storeAt.After(r.storeSeenAt) && now.Sub(r.storeSentAt) >= storeReportInterval
+	if !seen && failing == r.storeFailing {
 		return false
 	}
-	a.failing, a.storeAt, a.storeSaidAt = failing, storeAt, now
+	r.storeFailing, r.storeSeenAt, r.storeSentAt = failing, storeAt, now
 	return true
 }
 
-// next returns the message for the current loads, or nil if there is nothing to
-// tell.
-func (a *account) next(now time.Time, current []peer.TargetLoad) *peer.Loads {
+// next returns the message for the current loads, or nil if there is nothing to send.
+func (r *loadReporter) next(now time.Time, current []peer.TargetLoad) *peer.Loads {
 	msg := &peer.Loads{}
-	gone := a.said
-	a.said = make(map[string]peer.TargetLoad, len(current))
+	removed := r.reported
+	r.reported = make(map[string]peer.TargetLoad, len(current))
 	for _, l := range current {
-		old, had := gone[l.Instance]
-		delete(gone, l.Instance)
-		a.said[l.Instance] = l
-		if !had || old != l {
+		old, known := removed[l.Instance]
+		delete(removed, l.Instance)
+		r.reported[l.Instance] = l
+		if !known || old != l {
 			msg.Targets = append(msg.Targets, l)
 		}
 	}
-	for id := range gone {
+	for id := range removed {
 		msg.Targets = append(msg.Targets, peer.TargetLoad{Instance: id})
 	}
 	switch {
-	case now.Sub(a.fullAt) >= a.heartbeat:
-		a.fullAt, a.saidAt = now, now
+	case now.Sub(r.lastFull) >= r.heartbeat:
+		r.lastFull, r.lastSent = now, now
 		return &peer.Loads{Full: true, Targets: current}
 	case len(msg.Targets) > 0:
-		a.saidAt = now
+		r.lastSent = now
 		return msg
 	}
 	return nil
 }
 
-// merge joins two accounts of which the second is newer.
-func merge(a, b *peer.Loads) *peer.Loads {
+// mergeLoads merges two reports, of which b is newer.
+func mergeLoads(a, b *peer.Loads) *peer.Loads {
 	if a == nil || b.Full {
 		return b
 	}
--- a/mesh/account_test.go
+++ b/mesh/account_test.go
@@ -12,8 +12,8 @@
 
 func load(id string, n int) peer.TargetLoad { return peer.TargetLoad{Instance: id, Requests: n} }
 
-func TestAccountTellsWhatChanged(t *testing.T) {
-	a := newAccount(time.Second)
+func TestLoadReporterSendsChanges(t *testing.T) {
+	a := newLoadReporter(time.Second)
 	full := a.next(start, []peer.TargetLoad{load("a", 1), load("b", 2)})
 	assert.Assert(t, full.Full)
 	assert.Equal(t, len(full.Targets), 2)
@@ -24,31 +24,32 @@
 	assert.Assert(t, a.next(start.Add(time.Second), []peer.TargetLoad{load("b", 3)}).Full)
 }
 
-// The messages of one entry do not grow with the number of entries.
-func TestAccountsAreFewerAmongManyEntries(t *testing.T) {
+// With more entries, each sends load reports less often, so that the number of messages does
+// not grow with the fleet.
+func TestLoadReportsAreLessFrequentInLargeFleets(t *testing.T) {
 	cfg := Config{}.applyDefaults()
-	assert.Equal(t, cfg.accountInterval(4), cfg.Interval)
+	assert.Equal(t, cfg.loadInterval(4), cfg.Interval)
 	for _, entries := range []int{14, 100, 390} {
-		a := newAccount(cfg.Heartbeat)
-		told := 0
+		a := newLoadReporter(cfg.Heartbeat)
+		sent := 0
 		for step := range 2000 {
 			now := start.Add(time.Duration(step) * 5 * time.Millisecond)
-			if a.due(now, cfg.accountInterval(entries)) && a.next(now, []peer.TargetLoad{load("a", step)}) != nil {
-				told++
+			if a.due(now, cfg.loadInterval(entries)) && a.next(now, []peer.TargetLoad{load("a", step)}) != nil {
+				sent++
 			}
 		}
-		perSecond := (told - 1) * entries / 10 // the first one comes at once
+		perSecond := (sent - 1) * entries / 10 // the first one is sent at once
 		assert.Assert(t, perSecond <= 700, "%d messages a second among %d entries", perSecond, entries)
 	}
 }
 
-// A receiver that gets accounts merged in any way ends with the sender's loads.
-func TestMergedAccountsSayTheSame(t *testing.T) {
+// A receiver of reports that were merged in any way ends up with the sender's loads.
+func TestMergedLoadReportsPreserveState(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	for range 200 {
-		a := newAccount(20 * time.Millisecond)
+		a := newLoadReporter(20 * time.Millisecond)
 		var pending *peer.Loads
-		heard := map[string]int{}
+		received := map[string]int{}
 		current := map[string]int{}
 		for step := range 50 {
 			current[fmt.Sprint(rng.IntN(4))] = rng.IntN(3)
@@ -59,23 +60,23 @@
 				}
 			}
 			if msg := a.next(start.Add(time.Duration(step)*time.Millisecond), loads); msg != nil {
-				pending = merge(pending, msg)
+				pending = mergeLoads(pending, msg)
 			}
 			if pending == nil || rng.IntN(3) > 0 && step < 49 {
 				continue
 			}
 			if pending.Full {
-				clear(heard)
+				clear(received)
 			}
 			for _, l := range pending.Targets {
-				heard[l.Instance] = l.Requests
+				received[l.Instance] = l.Requests
 				if l.Requests == 0 {
-					delete(heard, l.Instance)
+					delete(received, l.Instance)
 				}
 			}
 			pending = nil
 			for id, n := range current {
-				assert.Equal(t, heard[id], n)
+				assert.Equal(t, received[id], n)
 			}
 		}
 	}
--- a/mesh/catchup.go
+++ b/mesh/catchup.go
@@ -8,27 +8,29 @@
 	"github.com/springgate/springgate/mirror"
 )
 
-// compare reads from a peer what its copy of the store has and the own has not.
-func (m *Mesh) compare(ctx context.Context, now time.Time) {
-	addr, ahead := m.members.MostAdvanced(now, m.table.Revision(), m.self.Domain)
-	if !ahead {
+// catchUpIfBehind starts reading the changes that the own copy of the store lacks from
+// the peer whose copy is most advanced, once the own copy has been behind for catchUpDelay.
+func (m *Mesh) catchUpIfBehind(ctx context.Context, now time.Time) {
+	addr, behind := m.members.MostAdvanced(now, m.table.Revision(), m.self.Domain)
+	if !behind {
 		m.behindSince = time.Time{}
 		return
 	}
 	if m.behindSince.IsZero() {
 		m.behindSince = now
 	}
-	if now.Sub(m.behindSince) < m.patienceBehind(now) || m.catchingUp {
+	if now.Sub(m.behindSince) < m.catchUpDelay(now) || m.catchingUp {
 		return
 	}
 	m.catchingUp = true
 	go m.catchUp(ctx, addr)
 }
 
-// patienceBehind is how long the own copy may be behind. No watch is to be waited
-// for when nobody has confirmed the copy for longer than one takes; an entry
-// without a copy reads it from its source.
-func (m *Mesh) patienceBehind(now time.Time) time.Duration {
+// catchUpDelay returns how long the own copy may be behind a peer's before it catches up
+// from there. There is no delay if the copy has been unconfirmed for longer than a watch
+// takes, because no watch result is to be expected then. An entry without a copy reads
+// it from its source.
+func (m *Mesh) catchUpDelay(now time.Time) time.Duration {
 	if at := m.table.ContactAt(); !at.IsZero() && now.Sub(at) > m.cfg.StaleAfter {
 		return 0
 	}
--- a/mesh/copies_test.go
+++ b/mesh/copies_test.go
@@ -12,83 +12,84 @@
 	"gotest.tools/v3/assert"
 )
 
-// Shape of the trouble of TestCopiesAgreeAfterTrouble.
+// Parameters of TestCopiesConvergeAfterFaults.
 const (
-	troubleFor    = 12 * time.Second
-	calmFor       = 6 * time.Second // longer than a lost source is noticed, and calls that hang are given up
-	troubleStep   = 50 * time.Millisecond
-	troubleSeeds  = 40
-	copiesEntries = 8
-	targetsListed = 20
-	heldMost      = 400 * time.Millisecond
+	faultDuration  = 12 * time.Second
+	settleDuration = 6 * time.Second // longer than detecting a lost source and the time-out of calls that hang
+	faultInterval  = 50 * time.Millisecond
+	faultSeeds     = 40
+	copiesEntries  = 8
+	targetsListed  = 20
+	maxAnswerDelay = 400 * time.Millisecond
 )
 
-// trouble is what happens to a fleet's copies of the store.
-type trouble struct {
-	rng   *rand.Rand
-	fleet *entries
-	ends  map[*entry]time.Time // of the fault of an entry's calls at the store
+// faultInjector applies random faults to the entries of a fleet and changes to the store.
+type faultInjector struct {
+	rng       *rand.Rand
+	fleet     *entries
+	faultEnds map[*entry]time.Time // when the fault of an entry's store calls ends
 }
 
-// step lets something happen, or not.
-func (x *trouble) step() {
+// step applies random changes to the store and, sometimes, a fault.
+func (x *faultInjector) step() {
 	x.changeTargets()
-	for e, end := range x.ends {
+	for e, end := range x.faultEnds {
 		if time.Now().After(end) {
-			e.view.set(works)
-			delete(x.ends, e)
+			e.view.set(healthy)
+			delete(x.faultEnds, e)
 		}
 	}
 	switch e := x.fleet.all[x.rng.IntN(len(x.fleet.all))]; x.rng.IntN(40) {
 	case 0:
-		if _, broken := x.ends[e]; !broken {
+		if _, broken := x.faultEnds[e]; !broken {
 			e.view.set([]fault{silent, refused, reset}[x.rng.IntN(3)])
-			x.ends[e] = time.Now().Add(time.Duration(x.rng.Int64N(int64(3 * time.Second))))
+			x.faultEnds[e] = time.Now().Add(time.Duration(x.rng.Int64N(int64(3 * time.Second))))
 		}
 	case 1:
-		delete(x.ends, e)
+		delete(x.faultEnds, e)
 		e.restart()
-		x.holdAnswers(e)
+		x.delayAnswers(e)
 	case 2:
-		x.fleet.forget()
+		x.fleet.compact()
 	}
 }
 
-// changeTargets writes, says the leaving of, or removes up to two targets.
-func (x *trouble) changeTargets() {
+// changeTargets writes or deletes up to two targets in the store.
+func (x *faultInjector) changeTargets() {
 	for range x.rng.IntN(3) {
 		x.fleet.write(fmt.Sprintf("servers/%02d", x.rng.IntN(targetsListed)), x.rng.IntN(3) == 0)
 	}
 }
 
-// holdAnswers makes the store's answers to an entry overtake each other.
-func (x *trouble) holdAnswers(e *entry) {
+// delayAnswers delays each answer of the store to an entry at random, so that answers arrive
+// out of order.
+func (x *faultInjector) delayAnswers(e *entry) {
 	var mu sync.Mutex
 	rng := rand.New(rand.NewPCG(x.rng.Uint64(), x.rng.Uint64()))
 	e.view.mu.Lock()
 	defer e.view.mu.Unlock()
-	e.view.hold = func() time.Duration {
+	e.view.answerDelay = func() time.Duration {
 		mu.Lock()
 		defer mu.Unlock()
-		return time.Duration(rng.Int64N(int64(heldMost)))
+		return time.Duration(rng.Int64N(int64(maxAnswerDelay)))
 	}
 }
 
-// write changes a key of the store, or removes it.
+// write sets a key of the store, or deletes it.
 func (f *entries) write(key string, remove bool) {
 	r := f.store.Revision() + 1
 	f.store.Apply(time.Now(), mirror.Batch{Revision: r, Events: []mirror.Event{{Deleted: remove,
 		Item: mirror.Item{Key: key, Value: fmt.Append(nil, r), Revision: r}}}})
 }
 
-// forget drops the store's history.
-func (f *entries) forget() {
+// compact discards the store's history.
+func (f *entries) compact() {
 	b, err := f.store.Range(time.Now())
 	assert.NilError(f.t, err)
 	f.store.Replace(time.Now(), b)
 }
 
-// restart kills the entry and starts it again, with nothing of before.
+// restart kills the entry and starts it again without its former state.
 func (e *entry) restart() {
 	e.kill()
 	e.mu.Lock()
@@ -97,11 +98,11 @@
 	e.start()
 }
 
-// findsDifference reports whether the entry finds another's copy not as its own.
-func (e *entry) findsDifference() bool {
+// seesDifference reports whether the entry considers a peer's copy different from its own.
+func (e *entry) seesDifference() bool {
 	e.mesh.mu.Lock()
 	defer e.mesh.mu.Unlock()
-	return e.mesh.differing.any()
+	return e.mesh.copyDifferences.any()
 }
 
 // contentsOf returns the revisions of a copy's items.
@@ -114,29 +115,29 @@
 	return out
 }
 
-// Entries follow the store and each other while answers of the store overtake each other,
-// whole copies are read in pages with changes between them, the history goes, entries lose
-// the store and are started again. Once all of that is over, each has what the store has.
-func TestCopiesAgreeAfterTrouble(t *testing.T) {
-	for seed := range uint64(troubleSeeds) {
+// All copies must equal the store's contents once faults have ended. Before that, answers of
+// the store arrive out of order, full reads are paged with changes between the pages, the
+// store's history is compacted, and entries lose the store and are restarted.
+func TestCopiesConvergeAfterFaults(t *testing.T) {
+	for seed := range uint64(faultSeeds) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				all := startEntries(t, copiesEntries)
 				defer func() {
 					all.stop()
-					time.Sleep(4 * heldMost) // answers that are held back come
+					time.Sleep(4 * maxAnswerDelay) // until delayed answers have arrived
 				}()
-				x := &trouble{rng: rand.New(rand.NewPCG(seed, 1)), fleet: all, ends: map[*entry]time.Time{}}
+				x := &faultInjector{rng: rand.New(rand.NewPCG(seed, 1)), fleet: all, faultEnds: map[*entry]time.Time{}}
 				for _, e := range all.all {
-					x.holdAnswers(e)
+					x.delayAnswers(e)
 				}
-				for end := time.Now().Add(troubleFor); time.Now().Before(end); time.Sleep(troubleStep) {
+				for end := time.Now().Add(faultDuration); time.Now().Before(end); time.Sleep(faultInterval) {
 					x.step()
 				}
 				for _, e := range all.all {
-					e.view.set(works)
+					e.view.set(healthy)
 				}
-				time.Sleep(calmFor)
+				time.Sleep(settleDuration)
 				for _, e := range all.all {
 					assert.Check(t, e.mesh.repairs.Count() == 0, "%s read the store again because copies differed", e.addr)
 					assert.Check(t, e.table.Revision() == all.store.Revision(), "%s", e.addr)
@@ -147,18 +148,18 @@
 	}
 }
 
-// An entry whose copy lost a change, in whatever way, finds that others of the same
-// revision hold something else, and has what the store has within 4 s; without that it
-// would hold the old state until the key changes again, which that of a target that left
-// never does.
-func TestEntryThatLostAChangeReadsTheStoreAgain(t *testing.T) {
+// An entry whose copy missed a change, for whatever reason, must detect that copies of the
+// same revision differ from its own, and read the store's contents within 4 s. Otherwise it
+// would keep the old state until the key changes again, which never happens for a target that
+// has left.
+func TestEntryThatMissedAChangeReadsTheStoreAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := startEntries(t, copiesEntries)
 		defer all.stop()
 		all.write("servers/01", false)
 		time.Sleep(5 * time.Second)
 		lost := all.all[3]
-		// The copy is said to reach a change that it was not told of.
+		// Advance the revision of the copy past a change without applying the change.
 		lost.table.Apply(time.Now(), mirror.Batch{Revision: all.store.Revision() + 1})
 		all.write("servers/01", true)
 		time.Sleep(time.Second)
@@ -168,8 +169,8 @@
 		assert.DeepEqual(t, contentsOf(lost.table), contentsOf(all.store))
 		time.Sleep(2 * time.Second)
 		for _, e := range all.all {
-			assert.Assert(t, !e.findsDifference(), e.addr)
-			// Another entry need not read when it has heard in time that the copies are equal.
+			assert.Assert(t, !e.seesDifference(), e.addr)
+			// Other entries read the store again only if they detect the difference before it is repaired.
 			n := e.mesh.repairs.Count()
 			assert.Check(t, n == 1 || n == 0 && e != lost, "%s read %d times, %s had lost the change", e.addr, n, lost.addr)
 		}
--- a/mesh/crashes.go
+++ b/mesh/crashes.go
@@ -11,60 +11,64 @@
 	"github.com/springgate/springgate/quarantine"
 )
 
-// What is known of requests under which targets end is held by all processes. An entry
-// tells the others at once what it has seen itself. Each process tells all that it knows
-// when a link opens, so that one that starts, or was cut off, learns it with its first
-// messages; agents keep it for the time when all entries are started again. Entries whose
-// copies differ all the same, because a message went to a link that broke or a third one
-// reaches both, send each other all of it.
+// All processes replicate the records of requests that were running when targets crashed.
+// An entry sends its own observations to the others at once. Each process sends all of its
+// records when a link opens, so that a process that starts or was cut off receives them
+// with its first messages; agents keep them so that they survive a restart of all entries.
+// Entries whose records still differ, because a message was lost with a broken link or
+// because two entries are connected only through a third one, send each other all records.
 const (
-	// agentCrashes is how many crashes a content needs for agents to be told of it: most
-	// contents at work as a target ends are bystanders that never come again.
-	agentCrashes = 2
-	// agentPause is the least time between two messages about that to an agent.
-	agentPause = 200 * time.Millisecond
-	// crashesDifferFor is how long an entry's digest must differ: two full accounts.
-	crashesDifferFor = time.Second
-	// crashesEvery is the least time between two copies of all for one entry.
-	crashesEvery = 2 * time.Second
+	// agentCrashThreshold is the number of crashes from which on a content is sent to agents.
+	// Most contents that are running when a target crashes are not its cause and are never
+	// seen again.
+	agentCrashThreshold = 2
+	// agentCrashInterval is the minimum time between two crash messages to an agent.
+	agentCrashInterval = 200 * time.Millisecond
+	// crashMismatchDelay is how long an entry's digest must differ: two full load reports.
+	crashMismatchDelay = time.Second
+	// crashResendInterval is the minimum time between two full sets of records sent to an
+	// entry.
+	crashResendInterval = 2 * time.Second
 )
 
-// toldCrashes is how far one stream was told of crashes. It is used by one goroutine.
-type toldCrashes struct {
-	table *quarantine.Table // nil if this process holds none
-	place uint64
+// crashCursor tracks which crash records were sent on a stream. It is not safe for
+// concurrent use.
+type crashCursor struct {
+	table    *quarantine.Table // nil if this process keeps no records
+	position uint64
 }
 
-// all returns everything that is known, or nil.
-func (t *toldCrashes) all() *peer.Crashes {
-	if t.table == nil {
+// snapshot returns all records, or nil if there are none.
+func (c *crashCursor) snapshot() *peer.Crashes {
+	if c.table == nil {
 		return nil
 	}
-	n, place := t.table.Changes(0, 1)
-	t.place = place
+	n, position := c.table.Changes(0, 1)
+	c.position = position
 	return encodeCrashes(clock.Now(), n)
 }
 
-// seen returns what this process has seen since, or nil.
-func (t *toldCrashes) seen() *peer.Crashes {
-	n, place := t.table.Seen(t.place)
-	t.place = place
+// observed returns what this process itself has observed since the last call, or nil.
+func (c *crashCursor) observed() *peer.Crashes {
+	n, position := c.table.Seen(c.position)
+	c.position = position
 	return encodeCrashes(clock.Now(), n)
 }
 
-// forAgent returns what has changed, as far as an agent keeps it, or nil.
-func (t *toldCrashes) forAgent() *peer.Crashes {
-	n, place := t.table.Changes(t.place, agentCrashes)
-	t.place = place
+// forAgent returns the changed records that agents keep, or nil.
+func (c *crashCursor) forAgent() *peer.Crashes {
+	n, position := c.table.Changes(c.position, agentCrashThreshold)
+	c.position = position
 	return encodeCrashes(clock.Now(), n)
 }
 
-// news returns a channel that is closed at the next news; nil if there is never any.
-func (t *toldCrashes) news() <-chan struct{} {
-	if t.table == nil {
+// changed returns a channel that is closed at the next change, or nil if this process
+// keeps no records.
+func (c *crashCursor) changed() <-chan struct{} {
+	if c.table == nil {
 		return nil
 	}
-	return t.table.Changed()
+	return c.table.Changed()
 }
 
 func encodeCrashes(now time.Time, n quarantine.News) *peer.Crashes {
@@ -82,7 +86,7 @@
 	return out
 }
 
-// decodeCrashes drops what names no content.
+// decodeCrashes drops records without a valid content fingerprint.
 func decodeCrashes(now time.Time, msg *peer.Crashes) quarantine.News {
 	var n quarantine.News
 	for _, c := range msg.Crashes {
@@ -101,22 +105,23 @@
 	return n
 }
 
-// learnCrashes takes what another process tells.
-func (m *Mesh) learnCrashes(msg *peer.Crashes) {
+// mergeCrashes adds the records received from another process.
+func (m *Mesh) mergeCrashes(msg *peer.Crashes) {
 	if m.crashes != nil {
 		m.crashes.Merge(clock.Now(), decodeCrashes(clock.Now(), msg))
 	}
 }
 
-// tellCrashes tells an agent that opened a stream what is known, and what changes.
-func (m *Mesh) tellCrashes(ctx context.Context, s *peer.Stream) {
+// sendCrashesToAgent sends the current records and later changes on a stream that an agent
+// opened.
+func (m *Mesh) sendCrashesToAgent(ctx context.Context, s *peer.Stream) {
 	if m.crashes == nil {
 		return
 	}
-	told := toldCrashes{table: m.crashes}
+	cursor := crashCursor{table: m.crashes}
 	for {
-		changed := told.news()
-		if msg := told.forAgent(); msg != nil && s.Send(ctx, msg) != nil {
+		changed := cursor.changed()
+		if msg := cursor.forAgent(); msg != nil && s.Send(ctx, msg) != nil {
 			return
 		}
 		select {
@@ -124,15 +129,15 @@
 		case <-ctx.Done():
 			return
 		}
-		if !loop.Sleep(ctx, agentPause) {
+		if !loop.Sleep(ctx, agentCrashInterval) {
 			return
 		}
 	}
 }
 
-// compareCrashes holds another entry's digest against the own, and sends it all that is
-// known if they have differed for a while.
-func (m *Mesh) compareCrashes(now time.Time, addr string, digest uint64) {
+// compareCrashDigest compares another entry's digest with the own one, and sends that entry
+// all records if the digests have differed for crashMismatchDelay.
+func (m *Mesh) compareCrashDigest(now time.Time, addr string, digest uint64) {
 	if m.crashes == nil {
 		return
 	}
@@ -140,21 +145,21 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if digest == own || own == 0 {
-		delete(m.crashesDiffer, addr)
+		delete(m.crashMismatches, addr)
 		return
 	}
-	since, known := m.crashesDiffer[addr]
+	since, known := m.crashMismatches[addr]
 	switch {
 	case !known:
-		m.crashesDiffer[addr] = now
-	case now.Sub(since) >= crashesDifferFor && m.links[addr] != nil:
-		m.crashesDiffer[addr] = now.Add(crashesEvery - crashesDifferFor)
-		m.links[addr].tellAll()
+		m.crashMismatches[addr] = now
+	case now.Sub(since) >= crashMismatchDelay && m.links[addr] != nil:
+		m.crashMismatches[addr] = now.Add(crashResendInterval - crashMismatchDelay)
+		m.links[addr].requestCrashes()
 	}
 }
 
-// Probes reports whether this entry is the one that tries a content again which is sent
-// no more.
+// Probes reports whether this entry is the one that retries a content that is otherwise
+// blocked.
 func (m *Mesh) Probes(content quarantine.Fingerprint) bool {
 	addrs := append(addrsOf(m.Entries()), m.self.Addr)
 	return membership.First(content.String(), addrs) == m.self.Addr
--- a/mesh/crashes_test.go
+++ b/mesh/crashes_test.go
@@ -14,27 +14,27 @@
 	"gotest.tools/v3/assert"
 )
 
-// knownWithin bounds how long an entry in touch may not know of a content that is sent no
-// more. It is what the users allow.
-const knownWithin = 3 * time.Second
+// propagationLimit is the maximum time until a connected entry must know a content that is
+// blocked, as the requirements state it.
+const propagationLimit = 3 * time.Second
 
-// bad is a content under which three targets have ended.
-var bad = quarantine.Fingerprint{1, 2, 3}
+// crashingContent is a content that was running when three targets crashed.
+var crashingContent = quarantine.Fingerprint{1, 2, 3}
 
-// sawThree makes an entry see that.
-func (e *entry) sawThree() {
+// recordThreeCrashes makes the entry observe these crashes.
+func (e *entry) recordThreeCrashes() {
 	for i := range 3 {
-		e.crashes.RecordCrashes(time.Now(), quarantine.Crash{Content: bad, Life: quarantine.Life{Target: fmt.Sprint("i-", i), Born: 5}, At: time.Now(), Seen: e.addr})
+		e.crashes.RecordCrashes(time.Now(), quarantine.Crash{Content: crashingContent, Life: quarantine.Life{Target: fmt.Sprint("i-", i), Born: 5}, At: time.Now(), Seen: e.addr})
 	}
 }
 
 func refuses(t *quarantine.Table) bool {
-	v, _ := t.Judge(time.Now(), bad, func() bool { return false })
+	v, _ := t.Judge(time.Now(), crashingContent, func() bool { return false })
 	return v == quarantine.Refuse
 }
 
-// inFleet runs f with entries that have found each other.
-func inFleet(t *testing.T, n int, f func(t *testing.T, all *entries)) {
+// withEntries runs f with n entries that have discovered each other.
+func withEntries(t *testing.T, n int, f func(t *testing.T, all *entries)) {
 	synctest.Test(t, func(t *testing.T) {
 		all := startEntries(t, n)
 		defer all.stop()
@@ -43,9 +43,9 @@
 	})
 }
 
-func TestAllEntriesHearOfCrashesAtOnce(t *testing.T) {
-	inFleet(t, 6, func(t *testing.T, all *entries) {
-		all.all[3].sawThree()
+func TestCrashesReachAllEntriesAtOnce(t *testing.T) {
+	withEntries(t, 6, func(t *testing.T, all *entries) {
+		all.all[3].recordThreeCrashes()
 		time.Sleep(time.Millisecond)
 		for _, e := range all.all {
 			assert.Assert(t, refuses(e.crashes), e.addr)
@@ -53,37 +53,38 @@
 	})
 }
 
-func TestEntryThatStartsLearnsOfCrashes(t *testing.T) {
-	inFleet(t, 4, func(t *testing.T, all *entries) {
-		all.all[1].sawThree()
+func TestRestartedEntryReceivesCrashes(t *testing.T) {
+	withEntries(t, 4, func(t *testing.T, all *entries) {
+		all.all[1].recordThreeCrashes()
 		time.Sleep(time.Second)
 		all.all[0].restart()
-		time.Sleep(knownWithin)
+		time.Sleep(propagationLimit)
 		assert.Assert(t, refuses(all.all[0].crashes))
 	})
 }
 
-// An entry has no way to the one that saw it, nor that one to it; a third has to both.
-func TestCrashesReachAnEntryThroughAnother(t *testing.T) {
+// The entry that observed the crashes and another one cannot reach each other; a third one
+// reaches both.
+func TestCrashesReachEntryThroughAThirdOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := startEntries(t, 5)
 		defer all.stop()
 		time.Sleep(time.Second)
 		far := all.all[4]
 		far.kill()
-		far.apart = map[string]bool{all.all[1].addr: true, all.all[2].addr: true}
+		far.unreachable = map[string]bool{all.all[1].addr: true, all.all[2].addr: true}
 		far.mu.Lock()
 		far.down, far.conns = false, nil
 		far.mu.Unlock()
 		far.start()
 		time.Sleep(time.Second)
-		all.all[1].sawThree()
-		time.Sleep(knownWithin)
+		all.all[1].recordThreeCrashes()
+		time.Sleep(propagationLimit)
 		assert.Assert(t, refuses(far.crashes))
 	})
 }
 
-// startAgent runs an agent beside an engine until the returned func is called.
+// startAgent runs an agent beside an engine until stop is called.
 func startAgent(all *entries) (crashes *quarantine.Table, stop func()) {
 	a := &entry{fleet: all, addr: "agent", frozen: make(chan struct{})}
 	log := logrus.New()
@@ -101,15 +102,16 @@
 	}
 }
 
-// All entries are started again in one second; what they knew is with the agents.
-func TestAgentsKeepCrashesWhileAllEntriesStartAgain(t *testing.T) {
+// All entries are restarted within a second; they must get the crash records back from the
+// agents.
+func TestAgentsKeepCrashesWhileAllEntriesRestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := startEntries(t, 4)
 		defer all.stop()
 		kept, stop := startAgent(all)
 		defer stop()
 		time.Sleep(time.Second)
-		all.all[2].sawThree()
+		all.all[2].recordThreeCrashes()
 		time.Sleep(time.Second)
 		assert.Assert(t, refuses(kept))
 		for _, e := range all.all {
@@ -121,21 +123,21 @@
 			e.mu.Unlock()
 			e.start()
 		}
-		time.Sleep(knownWithin)
+		time.Sleep(propagationLimit)
 		for _, e := range all.all {
 			assert.Assert(t, refuses(e.crashes), e.addr)
 		}
 	})
 }
 
-// Nothing is sent while nothing is known.
+// No message is sent while there are no records.
 func TestNoMessageWithoutCrashes(t *testing.T) {
-	told := toldCrashes{table: quarantine.NewTable()}
-	assert.Assert(t, told.all() == nil && told.seen() == nil && told.forAgent() == nil)
+	cursor := crashCursor{table: quarantine.NewTable()}
+	assert.Assert(t, cursor.snapshot() == nil && cursor.observed() == nil && cursor.forAgent() == nil)
 }
 
-// What another process sends may name no content.
-func TestCrashesThatNameNothing(t *testing.T) {
+// Records without a valid content fingerprint are dropped.
+func TestCrashesWithoutValidContentAreDropped(t *testing.T) {
 	n := decodeCrashes(time.Now(), &peer.Crashes{Crashes: []peer.SeenCrash{{}, {Content: make([]byte, 99)}}, Survivals: []peer.SeenSurvival{{}}})
 	assert.Assert(t, n.Empty())
 }
--- a/mesh/differ.go
+++ b/mesh/differ.go
@@ -10,49 +10,50 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// differsAfter is for how long two copies of one revision must differ to count: four
-// accounts, so that one that stands alone, whatever it comes from, makes no entry read
-// the whole copy.
-const differsAfter = 2 * time.Second
+// mismatchConfirmDelay is how long two copies of the same revision must differ to be
+// reported: four load reports, so that a single wrong one, whatever its cause, does not
+// make an entry read all of the store.
+const mismatchConfirmDelay = 2 * time.Second
 
-// difference is a peer's copy of the store that is not as the own one.
+// difference describes a peer's copy of the store that is not equal to the own one.
 type difference struct {
-	since time.Time
-	said  bool
+	since    time.Time
+	reported bool
 }
 
-// differences are the copies that differ, by the peer's address. A copy is compared when
-// both have the same revision; in between, what was found last holds. It is pure.
+// differences holds the copies that differ, by the address of the peer. Copies are compared
+// when both have the same revision; until the next comparison the last result stands. It
+// performs no I/O and reads no clock.
 type differences map[string]difference
 
-// compare takes that a peer's copy of the own revision is equal or not, and reports
-// whether it now counts as differing, once.
+// compare records whether a peer's copy is equal to the own copy of the same revision. It
+// returns true once, when the difference has lasted for mismatchConfirmDelay.
 func (d differences) compare(now time.Time, addr string, equal bool) bool {
 	if equal {
 		delete(d, addr)
 		return false
 	}
-	x, known := d[addr]
+	diff, known := d[addr]
 	if !known {
-		x.since = now
+		diff.since = now
 	}
-	news := !x.said && now.Sub(x.since) >= differsAfter
-	x.said = x.said || news
-	d[addr] = x
-	return news
+	confirmed := !diff.reported && now.Sub(diff.since) >= mismatchConfirmDelay
+	diff.reported = diff.reported || confirmed
+	d[addr] = diff
+	return confirmed
 }
 
-// any reports whether a copy counts as differing.
+// any reports whether a copy has differed for mismatchConfirmDelay.
 func (d differences) any() bool {
-	for _, x := range d {
-		if x.said {
+	for _, diff := range d {
+		if diff.reported {
 			return true
 		}
 	}
 	return false
 }
 
-// compareCopies holds the digest of a peer's copy against the own.
+// compareCopies compares the digest of a peer's copy with that of the own one.
 func (m *Mesh) compareCopies(now time.Time, addr string, l *peer.Loads) {
 	digest, revision := m.table.Digest()
 	if l.Digest == 0 || digest == 0 || l.Revision != revision {
@@ -60,31 +61,31 @@
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.differing.compare(now, addr, l.Digest == digest) {
-		m.differed.Inc(1)
+	if m.copyDifferences.compare(now, addr, l.Digest == digest) {
+		m.copiesDiffered.Inc(1)
 		m.log.WithFields(logrus.Fields{"peer": addr, "revision": revision}).Error("Copies of the store differ.")
 	}
 }
 
-// repairEvery is the least time between two whole reads of the store because the own copy
-// differs from another, and repairSpread the part of it by which they vary, so that
-// entries that find it at once do not read at once.
+// repairInterval is the minimum time between two full reads of the store because the own
+// copy differs from another one. repairJitter is the fraction of it that is added at
+// random, so that entries that detect a difference together do not read together.
 const (
-	repairEvery  = 4 * time.Second
-	repairSpread = 0.5
+	repairInterval = 4 * time.Second
+	repairJitter   = 0.5
 )
 
-// repair reads the whole copy from the store again while it differs from another entry's;
-// which of the two lost a change is not known. It guards against what loses changes in a
-// way that is not known: requests would go on reaching a target that left until its entry
-// changes again, which it never does. Copies that still differ after that are found again.
-// The lock is held.
+// repair reads the full copy from the store again if it differs from another entry's: it is
+// not known which of the two missed a change. This guards against changes lost for unknown
+// reasons: a target that has left would get requests until its key in the store changes
+// again, which never happens. Copies that still differ afterwards are detected again.
+// The lock must be held.
 func (m *Mesh) repair(ctx context.Context, now time.Time) {
-	if m.store == nil || !m.differing.any() || now.Before(m.repairAt) {
+	if m.store == nil || !m.copyDifferences.any() || now.Before(m.nextRepairAt) {
 		return
 	}
-	m.repairAt = now.Add(time.Duration((1 + repairSpread*rand.Float64()) * float64(repairEvery)))
-	clear(m.differing)
+	m.nextRepairAt = now.Add(time.Duration((1 + repairJitter*rand.Float64()) * float64(repairInterval)))
+	clear(m.copyDifferences)
 	m.repairs.Inc(1)
 	go func() {
 		err := mirror.ReadWhole(ctx, m.store, m.table)
--- a/mesh/differ_test.go
+++ b/mesh/differ_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Two copies that differ for a moment are told of by nobody; those that go on to differ
-// are, once, until they agree.
-func TestCopiesThatGoOnToDifferAreTold(t *testing.T) {
+// A difference must be reported once, and only if it lasts; it stays in effect until the
+// copies are equal again.
+func TestLastingDifferenceIsReportedOnce(t *testing.T) {
 	d := differences{}
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	assert.Assert(t, !d.compare(at(0), "a", false))
@@ -24,8 +24,8 @@
 	assert.Assert(t, !d.any())
 }
 
-// The digest is of the keys and revisions, in whatever order they came.
-func TestDigestTellsCopiesApart(t *testing.T) {
+// The digest depends on the keys and revisions only, not on the order of the changes.
+func TestDigestDistinguishesCopies(t *testing.T) {
 	item := func(key string, revision int64) mirror.Event {
 		return mirror.Event{Item: mirror.Item{Key: key, Value: []byte("v"), Revision: revision}}
 	}
--- a/mesh/entries_test.go
+++ b/mesh/entries_test.go
@@ -19,7 +19,7 @@
 	"github.com/springgate/springgate/quarantine"
 )
 
-// entries are entries wired as the program wires them, over a network in memory.
+// entries is a set of entries wired as in the program, over an in-memory network.
 type entries struct {
 	t     *testing.T
 	store *mirror.Table
@@ -28,38 +28,37 @@
 
 // entry is one of them.
 type entry struct {
-	fleet    *entries
-	addr     string
-	mesh     *Mesh
-	table    *mirror.Table
-	view     *storeView
-	follower *mirror.Follower
-	pool     *peer.Pool
-	stop     context.CancelFunc
-	crashes  *quarantine.Table
-	apart    map[string]bool // addresses that it has no way to
-	starts   uint64          // it was started so often
-	way      atomic.Int64    // of what the entry sends, in nanoseconds
-	mu       sync.Mutex
-	down     bool
-	conns    []*peer.Conn  // that others opened
-	frozen   chan struct{} // closed when the entry is frozen
+	fleet       *entries
+	addr        string
+	mesh        *Mesh
+	table       *mirror.Table
+	view        *storeView
+	follower    *mirror.Follower
+	pool        *peer.Pool
+	stop        context.CancelFunc
+	crashes     *quarantine.Table
+	unreachable map[string]bool // addresses that it cannot reach
+	starts      uint64          // number of starts
+	delay       atomic.Int64    // of all that the entry sends, in nanoseconds
+	mu          sync.Mutex
+	down        bool
+	conns       []*peer.Conn  // opened by others
+	frozen      chan struct{} // closed when the entry is frozen
 }
 
-// gate is one end of a connection; it passes nothing on while its entry is
-// frozen.
-type gate struct {
+// freezableConn is one end of a connection; it passes no data while its entry is frozen.
+type freezableConn struct {
 	net.Conn
 	frozen <-chan struct{}
 	closed chan struct{}
 	once   sync.Once
 }
 
-func newGate(c net.Conn, e *entry) *gate {
-	return &gate{Conn: c, frozen: e.frozen, closed: make(chan struct{})}
+func newFreezableConn(c net.Conn, e *entry) *freezableConn {
+	return &freezableConn{Conn: c, frozen: e.frozen, closed: make(chan struct{})}
 }
 
-func (g *gate) pass() {
+func (g *freezableConn) blockIfFrozen() {
 	select {
 	case <-g.frozen:
 		<-g.closed
@@ -67,47 +66,47 @@
 	}
 }
 
-func (g *gate) Read(b []byte) (int, error) {
-	g.pass()
+func (g *freezableConn) Read(b []byte) (int, error) {
+	g.blockIfFrozen()
 	return g.Conn.Read(b)
 }
 
-func (g *gate) Write(b []byte) (int, error) {
-	g.pass()
+func (g *freezableConn) Write(b []byte) (int, error) {
+	g.blockIfFrozen()
 	return g.Conn.Write(b)
 }
 
-func (g *gate) Close() error {
+func (g *freezableConn) Close() error {
 	g.once.Do(func() { close(g.closed) })
 	return g.Conn.Close()
 }
 
-// slow is one end of a connection; what it sends arrives later, in order. A writer
-// does not wait for that.
-type slow struct {
+// delayedConn is one end of a connection; what it sends arrives after a delay, in order.
+// Writes do not block for the delay.
+type delayedConn struct {
 	net.Conn
-	way    *atomic.Int64
+	delay  *atomic.Int64
 	sent   chan packet
 	closed chan struct{}
 	once   sync.Once
 }
 
-// packet is what one call wrote.
+// packet is the data of one Write.
 type packet struct {
 	data []byte
 	due  time.Time
 }
 
-// packetsOnTheWay is more than a link sends in the longest way of the tests.
-const packetsOnTheWay = 1000
+// maxPacketsInFlight exceeds what a link sends during the longest delay of the tests.
+const maxPacketsInFlight = 1000
 
-func newSlow(c net.Conn, e *entry) *slow {
-	s := &slow{Conn: c, way: &e.way, sent: make(chan packet, packetsOnTheWay), closed: make(chan struct{})}
+func newDelayedConn(c net.Conn, e *entry) *delayedConn {
+	s := &delayedConn{Conn: c, delay: &e.delay, sent: make(chan packet, maxPacketsInFlight), closed: make(chan struct{})}
 	go s.deliver()
 	return s
 }
 
-func (s *slow) deliver() {
+func (s *delayedConn) deliver() {
 	for {
 		select {
 		case p := <-s.sent:
@@ -121,23 +120,23 @@
 	}
 }
 
-func (s *slow) Write(b []byte) (int, error) {
+func (s *delayedConn) Write(b []byte) (int, error) {
 	select {
-	case s.sent <- packet{slices.Clone(b), time.Now().Add(time.Duration(s.way.Load()))}:
+	case s.sent <- packet{slices.Clone(b), time.Now().Add(time.Duration(s.delay.Load()))}:
 		return len(b), nil
 	case <-s.closed:
 		return 0, net.ErrClosed
 	}
 }
 
-func (s *slow) Close() error {
+func (s *delayedConn) Close() error {
 	s.once.Do(func() { close(s.closed) })
 	return s.Conn.Close()
 }
 
 // Loads, Lost, EngineState and Assignment implement Listener.
 func (*entry) Loads(string, *peer.Loads)                                    {}
-func (*entry) EntryLost(string)                                                  {}
+func (*entry) EntryLost(string)                                             {}
 func (*entry) EngineState(peer.Presence, *peer.EngineState)                 {}
 func (*entry) Assignment(peer.Presence) (*peer.Assignment, <-chan struct{}) { return nil, nil }
 
@@ -147,19 +146,19 @@
 // Notices implements Listener.
 func (*entry) Notices() []peer.TargetNotice { return nil }
 
-// startEntries runs n entries until stop is called; the store has revision 1.
-func startEntries(t *testing.T, n int) *entries { return startEntriesApart(t, n, 0, 0) }
+// startEntries runs n entries until stop is called; the store is at revision 1.
+func startEntries(t *testing.T, n int) *entries { return startEntriesStaggered(t, n, 0, 0) }
 
-// startEntriesApart runs entries whose messages take way, one after the other with
-// pause between them.
-func startEntriesApart(t *testing.T, n int, way, pause time.Duration) *entries {
+// startEntriesStaggered runs n entries whose messages are delayed; they start one after the
+// other with a pause between them.
+func startEntriesStaggered(t *testing.T, n int, delay, pause time.Duration) *entries {
 	f := &entries{t: t, store: mirror.NewTable("")}
 	f.store.Replace(time.Now(), mirror.Batch{Revision: 1})
 	for i := range n {
 		f.all = append(f.all, &entry{fleet: f, addr: fmt.Sprintf("10.1.0.%d:8723", i+1), frozen: make(chan struct{})})
 	}
 	for _, e := range f.all {
-		e.way.Store(int64(way))
+		e.delay.Store(int64(delay))
 		e.start()
 		time.Sleep(pause)
 	}
@@ -179,7 +178,7 @@
 		Seeds: []string{e.fleet.all[0].addr}, Pool: e.pool, Listener: e, Table: e.table, Log: log, Crashes: e.crashes})
 	e.follower = m.NewFollower(mirror.Config{}, e.view, log)
 	e.mu.Lock()
-	e.mesh = m // whole: connections of before a restart may ask for it at once
+	e.mesh = m // set when complete: connections from before a restart may use it at once
 	e.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	e.stop = cancel
@@ -199,8 +198,8 @@
 	}
 }
 
-// suffer lets a fault happen to an entry.
-func (e *entry) suffer(f fault) {
+// inject applies a fault to the entry.
+func (e *entry) inject(f fault) {
 	switch f {
 	case killed:
 		e.kill()
@@ -212,7 +211,7 @@
 	}
 }
 
-// kill ends an entry and its connections.
+// kill stops the entry and closes its connections.
 func (e *entry) kill() {
 	e.stop()
 	e.pool.Close()
@@ -229,12 +228,12 @@
 	to := e.fleet.all[slices.IndexFunc(e.fleet.all, func(e *entry) bool { return e.addr == addr })]
 	to.mu.Lock()
 	defer to.mu.Unlock()
-	if to.down || e.apart[addr] || to.apart[e.addr] {
+	if to.down || e.unreachable[addr] || to.unreachable[e.addr] {
 		return nil, errors.New("connection refused")
 	}
 	near, far := net.Pipe()
 	go func() {
-		c, err := peer.NewConn(newGate(newSlow(far, to), to), peer.Hello{Host: addr}, false, to.serve, &peer.Meter{})
+		c, err := peer.NewConn(newFreezableConn(newDelayedConn(far, to), to), peer.Hello{Host: addr}, false, to.serve, &peer.Meter{})
 		if err != nil {
 			return
 		}
@@ -242,21 +241,21 @@
 		defer to.mu.Unlock()
 		to.conns = append(to.conns, c)
 	}()
-	return newGate(newSlow(near, e), e), nil
+	return newFreezableConn(newDelayedConn(near, e), e), nil
 }
 
-// stop ends all entries and waits for what is on the way.
+// stop stops all entries and waits until messages in flight have been dropped.
 func (f *entries) stop() {
 	longest := int64(0)
 	for _, e := range f.all {
 		e.kill()
-		longest = max(longest, e.way.Load())
+		longest = max(longest, e.delay.Load())
 	}
-	time.Sleep(time.Duration(longest)) // what is on the way is dropped when it is due
+	time.Sleep(time.Duration(longest))
 }
 
-// sawAnOutage reports whether the entry holds, or held, the store for away.
-func (e *entry) sawAnOutage() bool {
+// sawOutage reports whether the entry has at any time detected an outage of the store.
+func (e *entry) sawOutage() bool {
 	down, ended := e.follower.Outage()
 	return down || !ended.IsZero()
 }
@@ -269,15 +268,15 @@
 	return r
 }
 
-// readers returns the three entries that call the store most.
+// readers returns the three entries that have called the store most often since then.
 func (f *entries) readers(since time.Time) []*entry {
 	list := slices.Clone(f.all)
-	slices.SortStableFunc(list, func(a, b *entry) int { return cmp.Compare(b.view.since(since), a.view.since(since)) })
+	slices.SortStableFunc(list, func(a, b *entry) int { return cmp.Compare(b.view.callsSince(since), a.view.callsSince(since)) })
 	return list[:readerCount]
 }
 
-// lag returns how long after now each copy of list takes to reach a revision, at
-// most limit; it returns after limit.
+// lag returns how long each copy of list takes to reach a revision, at most limit. It always
+// runs for limit.
 func lag(list []*entry, revision int64, limit time.Duration) map[string]time.Duration {
 	begin := time.Now()
 	out := map[string]time.Duration{}
@@ -297,7 +296,7 @@
 	return out
 }
 
-// without returns the entries that are not in list.
-func (f *entries) without(list []*entry) []*entry {
+// except returns the entries that are not in list.
+func (f *entries) except(list []*entry) []*entry {
 	return slices.DeleteFunc(slices.Clone(f.all), func(e *entry) bool { return slices.Contains(list, e) })
 }
--- a/mesh/follow.go
+++ b/mesh/follow.go
@@ -10,78 +10,80 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// readerCount is how many entries watch the store itself; the others follow
-// these. Three stand in most failure domains.
+// readerCount is how many entries watch the store itself; the others follow them. With
+// three, most failure domains have a reader.
 const readerCount = 3
 
-// readerKey is what the readers are chosen by.
+// readerKey is the rendezvous hashing key for choosing the readers.
 const readerKey = "store readers"
 
-// headKey is what the entry is chosen by that follows a reader for a failure domain.
-const headKey = "store of a failure domain"
+// domainRelayKey is the rendezvous hashing key for choosing the domain relay: the entry that
+// follows a reader on behalf of its failure domain.
+const domainRelayKey = "store of a failure domain"
 
-// Entries whose copies have grown old read the store in three groups, so that
-// the reads of the first confirm the copies of the rest: ranksFirst are the
-// readers and as many again, ranksNext a few more, for the case that the first
-// are cut off. An answer and its account take some 10 ms.
+// Entries whose copies are old read the store in three groups, so that the reads of the
+// first group confirm the copies of the others. Ranks below firstGroupRanks, the readers
+// and as many again, read at once; those below secondGroupRanks read after groupReadDelay,
+// in case the first group is cut off from the store; the rest after twice that time. An
+// answer of the store and the load report about it take some 10 ms.
 const (
-	ranksFirst   = 2 * readerCount
-	ranksNext    = 8 * readerCount
-	patienceStep = 150 * time.Millisecond
+	firstGroupRanks  = 2 * readerCount
+	secondGroupRanks = 8 * readerCount
+	groupReadDelay   = 150 * time.Millisecond
 )
 
-// moveLogEvery is the least time between two lines about the source at level
-// info; the others are at level debug.
-const moveLogEvery = time.Second
+// sourceLogInterval is the minimum time between two records at level info about a changed
+// source; further ones are logged at level debug.
+const sourceLogInterval = time.Second
 
 // role is an entry's part in reading the store.
 type role struct {
-	follows  string        // address of the reader that it follows; empty for the store itself
-	patience time.Duration // before it reads the store because its copy is old
-	backup   bool          // others find out that the store answers again
-	why      string        // what it was chosen from
-	from     []voter
+	follows    string        // address of the entry that it follows; empty for the store itself
+	readDelay  time.Duration // additional delay before it reads the store because its copy is old
+	backup     bool          // enough other entries probe the store during an outage
+	reason     string        // basis of the choice, for logs
+	candidates []readerCandidate
 }
 
-// voter is an entry that may be a reader.
-type voter struct {
+// readerCandidate is an entry that may become a reader.
+type readerCandidate struct {
 	addr     string
 	domain   string
 	linkMbps float64
 	failing  bool
 }
 
-func voterOf(p peer.Presence, failing bool) voter {
-	return voter{p.Addr, p.Domain, p.LinkMbps, failing}
+func readerCandidateOf(p peer.Presence, failing bool) readerCandidate {
+	return readerCandidate{p.Addr, p.Domain, p.LinkMbps, failing}
 }
 
-// NewFollower returns the follower, not running, that keeps this entry's copy of the
-// store up to date, from the store or from other entries. It is called once,
-// before Run.
+// NewFollower returns a follower, not running, that keeps this entry's copy of the store up
+// to date, from the store or from other entries. It must be called once, before Run.
 func (m *Mesh) NewFollower(cfg mirror.Config, store mirror.Source, log logrus.FieldLogger) *mirror.Follower {
 	m.store = mirror.NewContact(store, log)
 	return mirror.NewFollower(mirror.Options{Config: cfg, Table: m.table, Store: m.store, Route: m, Log: log,
 		Stats: mirror.NewStats(m.metrics)})
 }
 
-// failing reports whether the own calls to the store fail.
+// failing reports whether this process's calls to the store fail.
 func (m *Mesh) failing() bool { return m.store != nil && m.store.Failing() }
 
-// Source implements mirror.Route: readers follow the store, others a reader.
+// Source implements mirror.Route: readers follow the store, other entries follow a reader
+// or the relay of their failure domain.
 func (m *Mesh) Source() (mirror.Source, <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.role.follows == "" {
-		return nil, m.moved
+		return nil, m.sourceChanged
 	}
-	return &peerSource{mesh: m, addr: m.role.follows}, m.moved
+	return &peerSource{mesh: m, addr: m.role.follows}, m.sourceChanged
 }
 
 // Patience implements mirror.Route.
 func (m *Mesh) Patience() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.role.patience
+	return m.role.readDelay
 }
 
 // Backup implements mirror.Route.
@@ -91,35 +93,35 @@
 	return m.role.backup
 }
 
-// choose finds this entry's role from what it knows of the others.
-func (m *Mesh) choose(now time.Time) {
-	from := []voter{voterOf(m.self, m.failing())}
+// updateRole chooses this entry's role from the state of all live entries.
+func (m *Mesh) updateRole(now time.Time) {
+	candidates := []readerCandidate{readerCandidateOf(m.self, m.failing())}
 	for _, p := range m.live {
-		from = append(from, voterOf(p, p.Store.Failing))
+		candidates = append(candidates, readerCandidateOf(p, p.Store.Failing))
 	}
-	if slices.Equal(from, m.role.from) {
+	if slices.Equal(candidates, m.role.candidates) {
 		return
 	}
 	old := m.role
-	m.role = chooseRole(m.self, from)
+	m.role = chooseRole(m.self, candidates)
 	if old.follows == m.role.follows {
 		return
 	}
-	close(m.moved)
-	m.moved = make(chan struct{})
-	m.moves.Inc(1)
-	m.logMove(now, old)
+	close(m.sourceChanged)
+	m.sourceChanged = make(chan struct{})
+	m.sourceChanges.Inc(1)
+	m.logSourceChange(now, old)
 }
 
-func (m *Mesh) logMove(now time.Time, old role) {
+func (m *Mesh) logSourceChange(now time.Time, old role) {
 	level := logrus.InfoLevel
-	if now.Sub(m.movedAt) < moveLogEvery {
+	if now.Sub(m.sourceLoggedAt) < sourceLogInterval {
 		level = logrus.DebugLevel
 	} else {
-		m.movedAt = now
+		m.sourceLoggedAt = now
 	}
-	m.log.WithFields(logrus.Fields{"from": sourceName(old.follows), "source": sourceName(m.role.follows), "reason": m.role.why,
-		"entries": len(m.role.from)}).Log(level, "Source of the copy changed.")
+	m.log.WithFields(logrus.Fields{"from": sourceName(old.follows), "source": sourceName(m.role.follows), "reason": m.role.reason,
+		"entries": len(m.role.candidates)}).Log(level, "Source of the copy changed.")
 }
 
 func sourceName(addr string) string {
@@ -129,70 +131,70 @@
 	return addr
 }
 
-// chooseRole returns the role of self, the first of from. Readers are chosen
-// among the entries that reach the store: one that does not, but answers, would
-// keep its followers from what others learn. All entries that hear the same
-// choose the same.
-func chooseRole(self peer.Presence, from []voter) role {
-	all := addrsOfVoters(from, func(voter) bool { return true })
-	reaching := addrsOfVoters(from, func(v voter) bool { return !v.failing })
-	r := role{from: from, why: "entries that reach the store"}
-	nobody := len(reaching) == 0
-	if nobody {
-		reaching, r.why = all, "no entry reaches the store"
-	} else if from[0].failing {
-		r.why = "own calls to the store fail"
+// chooseRole returns the role of self, the first of candidates. Readers are chosen among
+// the entries that reach the store: one that does not would still answer its followers
+// and so keep them from the changes that others receive. Entries with the same view of
+// the candidates make the same choice.
+func chooseRole(self peer.Presence, candidates []readerCandidate) role {
+	all := readerCandidateAddrs(candidates, func(readerCandidate) bool { return true })
+	reaching := readerCandidateAddrs(candidates, func(c readerCandidate) bool { return !c.failing })
+	r := role{candidates: candidates, reason: "entries that reach the store"}
+	noneReaches := len(reaching) == 0
+	if noneReaches {
+		reaching, r.reason = all, "no entry reaches the store"
+	} else if candidates[0].failing {
+		r.reason = "own calls to the store fail"
 	}
-	ranked := membership.Rank(readerKey, reaching, ranksNext)
+	ranked := membership.Rank(readerKey, reaching, secondGroupRanks)
 	readers := ranked[:min(readerCount, len(ranked))]
 	if !slices.Contains(readers, self.Addr) {
-		r.follows = followed(self, from, readers)
+		r.follows = chooseSource(self, candidates, readers)
 	}
 	switch rank := slices.Index(ranked, self.Addr); {
-	case rank >= ranksFirst:
-		r.patience = patienceStep
+	case rank >= firstGroupRanks:
+		r.readDelay = groupReadDelay
 	case rank < 0:
-		r.patience, r.backup = 2*patienceStep, nobody
+		r.readDelay, r.backup = 2*groupReadDelay, noneReaches
 	}
 	return r
 }
 
-func addrsOfVoters(from []voter, want func(voter) bool) []string {
+func readerCandidateAddrs(candidates []readerCandidate, want func(readerCandidate) bool) []string {
 	var out []string
-	for _, v := range from {
-		if want(v) {
-			out = append(out, v.addr)
+	for _, c := range candidates {
+		if want(c) {
+			out = append(out, c.addr)
 		}
 	}
 	return out
 }
 
-// followed returns whom an entry follows that is no reader: a reader of its failure
-// domain; without one, an entry there that follows a reader for all of the domain, so
-// that what the store sends crosses to it once. A configuration of 1,400 routes has
-// some 300 kB, and a border 3.4 MB/s for everything.
-func followed(self peer.Presence, from []voter, readers []string) string {
-	own := func(v voter) bool { return v.domain == self.Domain }
-	near := addrsOfVoters(from, func(v voter) bool { return own(v) && slices.Contains(readers, v.addr) })
+// chooseSource returns the entry that a non-reader follows: a reader of its failure domain
+// or, if there is none, the domain relay, so that the store's data crosses to the domain
+// only once. A configuration of 1,400 routes has about 300 kB, and a link between failure
+// domains carries 3.4 MB/s in total.
+func chooseSource(self peer.Presence, candidates []readerCandidate, readers []string) string {
+	inDomain := func(c readerCandidate) bool { return c.domain == self.Domain }
+	near := readerCandidateAddrs(candidates, func(c readerCandidate) bool { return inDomain(c) && slices.Contains(readers, c.addr) })
 	if len(near) > 0 {
 		return membership.First(self.Host, near)
 	}
-	if head := domainHead(from, own); head != "" && head != self.Addr {
-		return head
+	if relay := chooseDomainRelay(candidates, inDomain); relay != "" && relay != self.Addr {
+		return relay
 	}
 	return membership.First(self.Host, readers)
 }
 
-// domainHead returns the entry that follows a reader for its failure domain: one that
-// reaches the store, so that it is not one whose links are down, with a fast link.
-func domainHead(from []voter, own func(voter) bool) string {
-	most := 0.0
-	for _, v := range from {
-		if own(v) && !v.failing {
-			most = max(most, v.linkMbps)
+// chooseDomainRelay returns the entry that follows a reader on behalf of its failure domain.
+// It has a fast link and reaches the store, which shows that its links are up.
+func chooseDomainRelay(candidates []readerCandidate, inDomain func(readerCandidate) bool) string {
+	fastest := 0.0
+	for _, c := range candidates {
+		if inDomain(c) && !c.failing {
+			fastest = max(fastest, c.linkMbps)
 		}
 	}
-	return membership.First(headKey, addrsOfVoters(from, func(v voter) bool {
-		return own(v) && !v.failing && v.linkMbps >= peer.FastShare*most
+	return membership.First(domainRelayKey, readerCandidateAddrs(candidates, func(c readerCandidate) bool {
+		return inDomain(c) && !c.failing && c.linkMbps >= peer.FastShare*fastest
 	}))
 }
--- a/mesh/forward.go
+++ b/mesh/forward.go
@@ -8,26 +8,26 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// forwarded is a report that this entry passes on to the other entries, because the agent
-// named it as its forwarder.
-type forwarded struct {
+// forwardedReport is a report that this entry forwards to the other entries because the
+// agent named it as its forwarder.
+type forwardedReport struct {
 	from   streamID
 	report peer.RelayedState
 }
 
-// relayed returns the form in which a report is passed on.
-func relayed(agent peer.Presence, s peer.EngineState) peer.RelayedState {
+// toRelayedState returns the form in which a report is forwarded.
+func toRelayedState(agent peer.Presence, s peer.EngineState) peer.RelayedState {
 	return peer.RelayedState{Engine: agent.Engine, Pieces: agent.Pieces, Domain: agent.Domain,
 		Incarnation: agent.Incarnation, State: s}
 }
 
-// engineReportOf is the reverse of relayed.
-func engineReportOf(r peer.RelayedState) engineReport {
+// fromRelayedState is the inverse of toRelayedState.
+func fromRelayedState(r peer.RelayedState) engineReport {
 	return engineReport{peer.Presence{Engine: r.Engine, Pieces: r.Pieces, Domain: r.Domain, Incarnation: r.Incarnation}, r.State}
 }
 
-// forward takes a report that an agent sent here. It is passed on if the agent named this
-// entry as its forwarder.
+// forward handles a report that an agent sent to this entry. The report is forwarded to the
+// other entries if the agent named this one as its forwarder.
 func (m *Mesh) forward(from streamID, agent peer.Presence, s peer.EngineState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -35,35 +35,36 @@
 		m.stopForwarding(from, agent.Engine)
 		return
 	}
-	w := relayed(agent, s)
-	m.forwarded[agent.Engine] = forwarded{from, w}
-	m.offerReport(w)
+	r := toRelayedState(agent, s)
+	m.forwarded[agent.Engine] = forwardedReport{from, r}
+	m.broadcastReport(r)
 }
 
-// agentGone ends what was passed on for an agent's stream.
-func (m *Mesh) agentGone(from streamID, engine string) {
+// agentStreamEnded stops forwarding the reports received on an agent's stream.
+func (m *Mesh) agentStreamEnded(from streamID, engine string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stopForwarding(from, engine)
 }
 
-// stopForwarding tells the others that this entry does not forward reports of an engine any more;
-// the lock is held. A newer stream of the same agent goes on.
+// stopForwarding informs the other entries that this one no longer forwards reports of an
+// engine. It does nothing if a newer stream of the same agent has taken over. The lock must
+// be held.
 func (m *Mesh) stopForwarding(from streamID, engine string) {
 	if s, ok := m.forwarded[engine]; !ok || s.from != from {
 		return
 	}
 	delete(m.forwarded, engine)
-	m.offerReport(peer.RelayedState{Engine: engine, Gone: true})
+	m.broadcastReport(peer.RelayedState{Engine: engine, Gone: true})
 }
 
-func (m *Mesh) offerReport(w peer.RelayedState) {
+func (m *Mesh) broadcastReport(r peer.RelayedState) {
 	for _, l := range m.links {
-		l.relay(w)
+		l.queueRelayed(r)
 	}
 }
 
-// allForwarded returns all reports that this entry passes on; the lock is held.
+// allForwarded returns all reports that this entry forwards. The lock must be held.
 func (m *Mesh) allForwarded() map[string]peer.RelayedState {
 	out := make(map[string]peer.RelayedState, len(m.forwarded))
 	for engine, s := range m.forwarded {
@@ -72,19 +73,19 @@
 	return out
 }
 
-// reportsMessage joins reports that wait to be passed on.
-func reportsMessage(waiting map[string]peer.RelayedState) *peer.EngineStates {
-	states := slices.SortedFunc(maps.Values(waiting), func(a, b peer.RelayedState) int { return cmp.Compare(a.Engine, b.Engine) })
+// reportsMessage returns a message with the reports to be forwarded, ordered by engine.
+func reportsMessage(pending map[string]peer.RelayedState) *peer.EngineStates {
+	states := slices.SortedFunc(maps.Values(pending), func(a, b peer.RelayedState) int { return cmp.Compare(a.Engine, b.Engine) })
 	return &peer.EngineStates{States: states}
 }
 
-// reportsHeard takes what another entry passes on.
-func (m *Mesh) reportsHeard(from streamID, msg *peer.EngineStates) {
+// receiveReports handles reports that another entry forwards.
+func (m *Mesh) receiveReports(from streamID, msg *peer.EngineStates) {
 	for _, r := range msg.States {
 		if r.Gone {
-			m.engines.drop(from, r.Engine)
+			m.engines.remove(from, r.Engine)
 			continue
 		}
-		m.engines.hear(from, engineReportOf(r))
+		m.engines.add(from, fromRelayedState(r))
 	}
 }
--- a/mesh/forwarder.go
+++ b/mesh/forwarder.go
@@ -5,33 +5,34 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// PublishEngineState tells the entries that this agent is linked to the state of its engine; links
-// that open later tell it first. One of them passes it on to all others.
+// PublishEngineState sends the state of this agent's engine to the entries that the agent
+// is linked to, and to others when a link to them opens. One entry forwards it to all
+// entries.
 func (m *Mesh) PublishEngineState(s peer.EngineState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.said != nil {
-		s.Seq = m.said.Seq + 1
+	if m.latestReport != nil {
+		s.Seq = m.latestReport.Seq + 1
 	}
-	m.said = &s
+	m.latestReport = &s
 	for addr, l := range m.links {
-		l.say(m.reportFor(addr))
+		l.setReport(m.reportFor(addr))
 	}
 }
 
-// reportFor returns an agent's newest report as an entry is to be told, or nil; the lock
-// is held.
+// reportFor returns the agent's latest report as it is sent to the entry at addr, or nil.
+// The lock must be held.
 func (m *Mesh) reportFor(addr string) *peer.EngineState {
-	if m.said == nil {
+	if m.latestReport == nil {
 		return nil
 	}
-	s := *m.said
+	s := *m.latestReport
 	s.Forward = addr == m.forwarder
 	return &s
 }
 
-// chooseForwarder names another entry as forwarder if the link to the last one is lost;
-// the lock is held.
+// chooseForwarder chooses another entry as forwarder if the link to the current one is lost.
+// The lock must be held.
 func (m *Mesh) chooseForwarder() {
 	if hasAddr(m.live, m.forwarder) && m.links[m.forwarder] != nil || len(m.live) == 0 {
 		return
@@ -40,14 +41,14 @@
 	m.forwarder = m.nearestLive()
 	m.log.WithFields(logrus.Fields{"from": old, "forwarder": m.forwarder}).Debug("Forwarder changed.")
 	for _, addr := range []string{old, m.forwarder} {
-		if l := m.links[addr]; l != nil && m.said != nil {
-			l.say(m.reportFor(addr))
+		if l := m.links[addr]; l != nil && m.latestReport != nil {
+			l.setReport(m.reportFor(addr))
 		}
 	}
 }
 
-// nearestLive returns a live entry, of the own failure domain if there is one; the
-// lock is held.
+// nearestLive returns a live entry, preferably of the own failure domain. The lock must be
+// held.
 func (m *Mesh) nearestLive() string {
 	var live []candidate
 	for _, p := range m.live {
--- a/mesh/link.go
+++ b/mesh/link.go
@@ -10,70 +10,70 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// link is the way to one entry.
+// link maintains a stream to one entry and queues the messages for it.
 type link struct {
-	mesh *Mesh
-	addr string
-	end  context.CancelFunc
-	wake chan struct{} // something waits to be sent
+	mesh   *Mesh
+	addr   string
+	cancel context.CancelFunc
+	wake   chan struct{} // signals that messages are pending
 
-	mu      sync.Mutex
-	state   *peer.EngineState            // an agent's newest report
-	told    bool                         // the entry was told of it
-	resend  bool                         // all that is known of crashes is due
-	account *peer.Loads                  // what an entry has not told yet
-	states  map[string]peer.RelayedState // reports of agents that it has not passed on yet
+	mu         sync.Mutex
+	report     *peer.EngineState            // latest report, at agents
+	reportSent bool                         // report was sent to the entry
+	crashesDue bool                         // all crash records must be sent
+	loads      *peer.Loads                  // pending load report, at entries
+	relayed    map[string]peer.RelayedState // pending reports of agents, by engine
 }
 
-// offer adds an account to what waits to be sent.
-func (l *link) offer(msg *peer.Loads) {
+// queueLoads merges a load report into the pending one.
+func (l *link) queueLoads(msg *peer.Loads) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.account = merge(l.account, msg)
+	l.loads = mergeLoads(l.loads, msg)
 	l.signal()
 }
 
-// say replaces an agent's report.
-func (l *link) say(s *peer.EngineState) {
+// setReport replaces the agent's report.
+func (l *link) setReport(s *peer.EngineState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.state, l.told = s, false
+	l.report, l.reportSent = s, false
 	l.signal()
 }
 
-// relay adds an agent's report to what waits to be passed on.
-func (l *link) relay(w peer.RelayedState) {
+// queueRelayed adds an agent's report to those to be forwarded.
+func (l *link) queueRelayed(r peer.RelayedState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.states == nil {
-		l.states = map[string]peer.RelayedState{}
+	if l.relayed == nil {
+		l.relayed = map[string]peer.RelayedState{}
 	}
-	l.states[w.Engine] = w
+	l.relayed[r.Engine] = r
 	l.signal()
 }
 
-// opened notes that a stream has begun, on which nothing was said yet.
-func (l *link) opened(states map[string]peer.RelayedState) {
+// streamOpened resets the send state for a new stream, on which nothing was sent yet.
+func (l *link) streamOpened(states map[string]peer.RelayedState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.told, l.states, l.resend = false, states, true
+	l.reportSent, l.relayed, l.crashesDue = false, states, true
 	l.signal()
 }
 
-// tellAll makes the link tell all that is known of crashes.
-func (l *link) tellAll() {
+// requestCrashes makes the link send all crash records.
+func (l *link) requestCrashes() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.resend = true
+	l.crashesDue = true
 	l.signal()
 }
 
-// takeResend reports whether all that is known of crashes is due, and takes it for told.
-func (l *link) takeResend() bool {
+// takeCrashesDue reports whether all crash records must be sent, and clears that flag.
+func (l *link) takeCrashesDue() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	due := l.resend
-	l.resend = false
+	due := l.crashesDue
+	l.crashesDue = false
 	return due
 }
 
@@ -84,41 +84,41 @@
 	}
 }
 
-// take returns the messages that wait to be sent.
-func (l *link) take() []peer.Message {
+// takePending returns the pending messages and marks them as sent.
+func (l *link) takePending() []peer.Message {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []peer.Message
-	if l.state != nil && !l.told {
-		out = append(out, l.state)
-		l.told = true
+	if l.report != nil && !l.reportSent {
+		out = append(out, l.report)
+		l.reportSent = true
 	}
-	if len(l.states) > 0 {
-		out = append(out, reportsMessage(l.states))
-		l.states = nil
+	if len(l.relayed) > 0 {
+		out = append(out, reportsMessage(l.relayed))
+		l.relayed = nil
 	}
-	if l.account != nil {
-		out = append(out, l.account)
-		l.account = nil
+	if l.loads != nil {
+		out = append(out, l.loads)
+		l.loads = nil
 	}
 	return out
 }
 
 func (l *link) run(ctx context.Context) {
-	for tries := 0; ctx.Err() == nil; tries++ {
-		timeout, pause := l.mesh.cfg.attempt(tries)
+	for attempts := 0; ctx.Err() == nil; attempts++ {
+		timeout, pause := l.mesh.cfg.dialAttempt(attempts)
 		if l.session(ctx, timeout) {
-			tries, pause = 0, l.mesh.cfg.RetryAfter
+			attempts, pause = 0, l.mesh.cfg.RetryAfter
 		}
-		l.mesh.linkBroke(l)
+		l.mesh.linkLost(l)
 		if !loop.Sleep(ctx, pause) {
 			return
 		}
 	}
 }
 
-// session opens a stream and sends what is offered until it breaks. It reports
-// whether the entry was reached.
+// session opens a stream and sends queued messages until it breaks. It reports whether the
+// entry was reached.
 func (l *link) session(ctx context.Context, dialTimeout time.Duration) bool {
 	dialCtx, cancel := clock.WithTimeout(ctx, dialTimeout)
 	defer cancel()
@@ -136,22 +136,22 @@
 	ended := make(chan struct{})
 	defer func() {
 		s.Close()
-		<-ended // so that nothing is heard of the entry after it counts as lost
+		<-ended // no message of the entry may be handled after it counts as lost
 	}()
 	l.mesh.mu.Lock()
-	l.opened(l.mesh.allForwarded())
+	l.streamOpened(l.mesh.allForwarded())
 	l.mesh.mu.Unlock()
 	go l.receive(ctx, s, ended)
-	crashes := toldCrashes{table: l.mesh.crashes}
+	crashes := crashCursor{table: l.mesh.crashes}
 	for {
-		news := crashes.news()
-		if msg := l.dueCrashes(&crashes); msg != nil && s.Send(ctx, msg) != nil {
+		changed := crashes.changed()
+		if msg := l.nextCrashes(&crashes); msg != nil && s.Send(ctx, msg) != nil {
 			return true
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-l.wake:
-			for _, msg := range l.take() {
+			for _, msg := range l.takePending() {
 				if s.Send(ctx, l.mesh.stamped(msg)) != nil {
 					return true
 				}
@@ -164,20 +164,20 @@
 	}
 }
 
-// dueCrashes returns what the entry is to be told of crashes now, or nil. An agent sees
-// none itself: it tells what it has kept when the link opens.
-func (l *link) dueCrashes(told *toldCrashes) *peer.Crashes {
+// nextCrashes returns the crash records to send to the entry now, or nil. An agent observes
+// no crashes itself: it sends what it has kept when the link opens.
+func (l *link) nextCrashes(cursor *crashCursor) *peer.Crashes {
 	switch {
-	case told.table == nil:
+	case cursor.table == nil:
 		return nil
-	case l.takeResend():
-		return told.all()
+	case l.takeCrashesDue():
+		return cursor.snapshot()
 	}
-	return told.seen()
+	return cursor.observed()
 }
 
-// receive takes the members that the entry knows. An agent, which hears no
-// load messages, so also learns that the entry lives.
+// receive handles the messages of the entry: members, assignments and crash records. An
+// agent, which receives no load reports, also learns from them that the entry is live.
 func (l *link) receive(ctx context.Context, s *peer.Stream, ended chan struct{}) {
 	defer close(ended)
 	for {
@@ -187,47 +187,47 @@
 		}
 		switch v := msg.(type) {
 		case *peer.Presences:
-			l.mesh.told(v)
+			l.mesh.addMembers(v)
 			if l.mesh.listener == nil && v.Sender.Addr != "" {
-				l.mesh.linked(v.Sender)
+				l.mesh.entryLinked(v.Sender)
 			}
 		case *peer.Assignment:
-			l.mesh.assigned(*v)
+			l.mesh.onAssignment(*v)
 		case *peer.Crashes:
-			l.mesh.learnCrashes(v)
+			l.mesh.mergeCrashes(v)
 		}
 	}
 }
 
-// linked notes that an agent's link to an entry is up; it counts as heard
-// until the link breaks. The entry can be asked from now on: the assignment that comes
-// next on the link is acted upon at once.
-func (m *Mesh) linked(p peer.Presence) {
+// entryLinked records that an agent's link to an entry is up; the entry counts as live until
+// the link breaks. This must happen before the assignment that follows on the link is
+// handled, because handling it sends requests to the entry at once.
+func (m *Mesh) entryLinked(p peer.Presence) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	now := clock.Now()
-	m.members.Observe(now.Add(linkedFor), p)
+	m.members.Observe(now.Add(linkValidity), p)
 	m.setLive(m.members.Live(now))
 }
 
-// linkBroke notes that an entry cannot be reached, unless another link to it has
-// replaced this one.
-func (m *Mesh) linkBroke(l *link) {
-	if m.noteBroken(l) && m.unassigned != nil {
-		m.unassigned(l.addr)
+// linkLost records that an entry is unreachable, unless another link to it has replaced l.
+func (m *Mesh) linkLost(l *link) {
+	if m.markBroken(l) && m.onEntryLost != nil {
+		m.onEntryLost(l.addr)
 	}
 }
 
-// noteBroken reports whether no other link to the entry has replaced this one.
-func (m *Mesh) noteBroken(l *link) bool {
+// markBroken marks the entry of a link as unreachable. It returns false if another link to
+// the entry has replaced l.
+func (m *Mesh) markBroken(l *link) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now := m.links[l.addr]; now != nil && now != l {
+	if current := m.links[l.addr]; current != nil && current != l {
 		return false
 	}
 	m.members.MarkUnreachable(l.addr)
 	return true
 }
 
-// linkedFor is longer than any link lasts.
-const linkedFor = 24 * time.Hour
+// linkValidity exceeds the lifetime of any link.
+const linkValidity = 24 * time.Hour
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -1,7 +1,7 @@
-// Package mesh connects the processes of `springgate gateway` and its agents: entries find each other
-// from a few seeds, tell each other what they have in flight, and hear from the
-// agents what the engines beside them serve. There is no leader and no shared
-// state; what a process says is forgotten when it is not heard any more.
+// Package mesh connects the processes of `springgate gateway` and their agents. Entries
+// discover each other from a few seeds, exchange the loads that they have in flight, and
+// receive from the agents the state of the engines beside them. There is no leader and no
+// shared state; what a process has reported is discarded once it is no longer reachable.
 package mesh
 
 import (
@@ -12,40 +12,41 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// Config holds the times of a Mesh.
+// Config holds the intervals and timeouts of a Mesh.
 type Config struct {
-	// Interval is the time between two rounds of load messages; one is sent
-	// only if the load changed. At 12 requests/s an engine gets 0.6 requests
-	// in 50 ms, and what other entries sent meanwhile is not seen. Default 15 ms.
+	// Interval is the time between two rounds of load reports; one is sent only if the
+	// load changed. At 12 requests/s an engine gets 0.6 requests in 50 ms, and what other
+	// entries send to it between two reports is not seen. Default 15 ms.
 	Interval time.Duration
-	// IntervalPerEntry is the least interval for each live entry, so that the
-	// messages of one entry do not grow with their number; homes make up for
-	// older accounts. Default 1.5 ms: 15 ms at 10 entries, 0.6 s at 390.
+	// IntervalPerEntry, times the number of live entries, is a lower bound of the
+	// interval, so that an entry does not send more messages in larger fleets; the home
+	// entries of targets make up for older reports. Default 1.5 ms: 15 ms at 10 entries,
+	// 0.6 s at 390.
 	IntervalPerEntry time.Duration
-	// Heartbeat is the longest time without a message. Default 500 ms.
+	// Heartbeat is the maximum time between two messages. Default 500 ms.
 	Heartbeat time.Duration
-	// ExpireAfter is how long an entry that is not heard counts as live.
-	// Default 1.6 s, three heartbeats.
+	// ExpireAfter is how long an entry counts as live after its last message. Default
+	// 1.6 s, three heartbeats.
 	ExpireAfter time.Duration
-	// CatchUpAfter is how long the own copy of the store may be behind a
-	// peer's before it is read from there. A watch at the store is quicker
-	// unless it is cut. Default 300 ms.
+	// CatchUpAfter is how long the own copy of the store may be behind a peer's before
+	// the changes are read from that peer. Unless it is cut off, a watch of the store is
+	// faster. Default 300 ms.
 	CatchUpAfter time.Duration
-	// StaleAfter is the age of the own copy from which on BehindAfter is
-	// not waited for: a watch at the store ends each 1 s, and 1.2 s after the
-	// last one in a burst. Default 1.2 s.
+	// StaleAfter is the age of the own copy above which it catches up without waiting
+	// for CatchUpAfter. A watch of the store ends every 1 s, and 1.2 s after the last
+	// one in a burst of changes. Default 1.2 s.
 	StaleAfter time.Duration
-	// RetryAfter is the pause before a link that broke is opened again; it
-	// doubles with every other attempt up to MaxRetryAfter while the entry cannot be
-	// reached. When all processes start at once, agents are up some 100 ms before the
-	// entries. Defaults 50 ms and 400 ms.
+	// RetryAfter is the pause before a broken link is opened again; while the entry is
+	// unreachable it doubles with every other attempt, up to MaxRetryAfter. When all
+	// processes start together, agents are up some 100 ms before the entries. Defaults
+	// 50 ms and 400 ms.
 	RetryAfter, MaxRetryAfter time.Duration
-	// FirstDialTimeout bounds the first attempts to reach an entry, and doubles
-	// likewise up to DialTimeout. The opening packet to a host without power is lost
-	// and sent again after 1 s; a new attempt comes sooner. Defaults 60 ms, ten times
-	// the longest way there and back, and 250 ms, for links that are full. After a
-	// loss of power that ends up to 0.4 s later at the entries than at an agent, it
-	// is linked 0.1 s after they are back, where 250 ms from the start made it 0.3 s.
+	// FirstDialTimeout bounds the first attempts to dial an entry; it doubles in the same
+	// way, up to DialTimeout. A SYN to a host without power is lost and retransmitted
+	// after 1 s, so a new attempt succeeds sooner. Defaults 60 ms, ten times the longest
+	// round trip, and 250 ms, for saturated links. If the entries are powered on up to
+	// 0.4 s after an agent, the agent is linked 0.1 s after they are up; with 250 ms from
+	// the first attempt on it took 0.3 s.
 	FirstDialTimeout, DialTimeout time.Duration
 }
 
@@ -63,57 +64,59 @@
 	return c
 }
 
-// attempt returns how long the n-th attempt in a row to reach an entry may take, and
-// the pause after it if it fails.
-func (c Config) attempt(n int) (timeout, pause time.Duration) {
-	doubled := min(n/2, 16) // far beyond the bounds
-	return min(c.FirstDialTimeout<<doubled, c.DialTimeout), min(c.RetryAfter<<doubled, c.MaxRetryAfter)
+// dialAttempt returns the timeout of the n-th consecutive attempt to dial an entry, and the
+// pause after it if it fails.
+func (c Config) dialAttempt(n int) (timeout, pause time.Duration) {
+	doublings := min(n/2, 16) // avoids overflow; the bounds are reached earlier
+	return min(c.FirstDialTimeout<<doublings, c.DialTimeout), min(c.RetryAfter<<doublings, c.MaxRetryAfter)
 }
 
-// accountInterval is the least time between two accounts to so many entries.
-func (c Config) accountInterval(entries int) time.Duration {
+// loadInterval returns the minimum time between two load reports to that many entries.
+func (c Config) loadInterval(entries int) time.Duration {
 	return max(c.Interval, time.Duration(entries)*c.IntervalPerEntry)
 }
 
-// member is an entry that was heard, or of which another one told.
+// member is an entry that sent a message, or that another entry reported.
 type member struct {
 	peer.Presence
-	heardAt time.Time // zero if only told of
-	// storeAt is when it saw by its own call that the store had nothing beyond
-	// its Revision; zero if it has not.
-	storeAt time.Time
-	clock   peerClock
+	receivedAt time.Time // zero if only reported by others
+	// storeSeenAt is when the entry's own calls last showed that the store had nothing
+	// beyond its Revision; zero if they never did.
+	storeSeenAt time.Time
+	clock       peerClock
 }
 
-// clockWindow is how long a reading of a peer's clock bounds the way of its
-// accounts: longer than a link is cut or a process stands still, and so short
-// that clocks 500 ppm apart, the most that one is slewed by, differ by 30 ms in two
-// of them.
+// clockWindow is how long a reading of a peer's clock is used to bound the transit time of
+// its reports. It is longer than a network cut or a process pause lasts, and short enough
+// that clocks 500 ppm apart, the maximum slew rate, drift by only 30 ms in two windows.
 const clockWindow = 30 * time.Second
 
-// peerClock tells when a peer's clock was at a value, by the quickest of the accounts
-// of the last one to two windows; it has no readings when it is new. The time that
-// the quickest took is not seen. It is pure.
+// peerClock maps values of a peer's clock to local time, using the report with the shortest
+// transit time in the last one to two windows; the zero value has no readings. The transit
+// time of that report is not measured and remains as an error. It performs no I/O and reads
+// no clock.
 type peerClock struct {
-	since       time.Time // begin of the window
-	last, least time.Time // earliest zero of the peer's clock in the window before and in this
+	windowStart       time.Time // start of the current window
+	prevZero, minZero time.Time // earliest zero of the peer's clock in the previous and the current window
 }
 
-// heard returns the clock after a reading.
-func (c peerClock) heard(now time.Time, reading time.Duration) peerClock {
+// observe returns the clock updated with a reading.
+func (c peerClock) observe(now time.Time, reading time.Duration) peerClock {
 	zero := now.Add(-reading)
-	if c.since.IsZero() {
-		return peerClock{since: now, last: zero, least: zero}
+	if c.windowStart.IsZero() {
+		return peerClock{windowStart: now, prevZero: zero, minZero: zero}
 	}
-	if now.Sub(c.since) >= clockWindow {
-		return peerClock{since: now, last: c.least, least: zero}
+	if now.Sub(c.windowStart) >= clockWindow {
+		return peerClock{windowStart: now, prevZero: c.minZero, minZero: zero}
 	}
-	c.least = earlier(c.least, zero)
+	c.minZero = earlier(c.minZero, zero)
 	return c
 }
 
-// at returns when the clock was at a value, or somewhat later.
-func (c peerClock) at(value time.Duration) time.Time { return earlier(c.last, c.least).Add(value) }
+// at returns when the peer's clock was at value, or a slightly later time.
+func (c peerClock) at(value time.Duration) time.Time {
+	return earlier(c.prevZero, c.minZero).Add(value)
+}
 
 func earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
@@ -122,14 +125,14 @@
 	return a
 }
 
-// Members is the set of entries that one process knows. It is pure.
+// Members is the set of entries that a process knows. It performs no I/O and reads no clock.
 type Members struct {
-	self        string // address; never a member
+	self        string // own address; never a member
 	expireAfter time.Duration
 	byAddr      map[string]*member
 }
 
-// NewMembers returns a set that knows the seeds by address only.
+// NewMembers returns a set in which only the addresses of the seeds are known.
 func NewMembers(self string, seeds []string, expireAfter time.Duration) *Members {
 	m := &Members{self: self, expireAfter: expireAfter, byAddr: map[string]*member{}}
 	for _, s := range seeds {
@@ -138,11 +141,11 @@
 	return m
 }
 
-// AddAddr adds an address that may be an entry's.
+// AddAddr adds an address that may belong to an entry.
 func (m *Members) AddAddr(addr string) { m.AddFromPeer(peer.Presence{Addr: addr}) }
 
-// AddFromPeer adds an entry of which another one told. What an entry says of itself goes
-// before that.
+// AddFromPeer adds an entry as reported by another one. What the entry has reported about
+// itself takes precedence.
 func (m *Members) AddFromPeer(p peer.Presence) {
 	if p.Addr == "" || p.Addr == m.self {
 		return
@@ -153,10 +156,10 @@
 	m.byAddr[p.Addr] = &member{Presence: p}
 }
 
-// Observe takes what an entry says of itself. It reports whether the entry was
-// not live before. Words of an earlier incarnation are ignored while the later one
-// is live; after that they are of a process that was started when its host's clock
-// had been set back.
+// Observe records a message from the entry itself. It reports whether the entry was not live
+// before. Messages of an earlier incarnation are ignored while the later one is live; after
+// that they are accepted, because a process that starts after its host's clock was set back
+// has a lower incarnation.
 func (m *Members) Observe(now time.Time, p peer.Presence) bool {
 	if p.Addr == "" || p.Addr == m.self {
 		return false
@@ -166,13 +169,13 @@
 		return false
 	}
 	isNew := old == nil || !m.live(now, old) || old.Incarnation != p.Incarnation
-	x := &member{Presence: p, heardAt: now}
+	x := &member{Presence: p, receivedAt: now}
 	if old != nil && old.Incarnation == p.Incarnation {
 		x.clock = old.clock
 	}
-	x.clock = x.clock.heard(now, fromMilliseconds(p.Store.ClockMs))
+	x.clock = x.clock.observe(now, fromMilliseconds(p.Store.ClockMs))
 	if p.Store.Known {
-		x.storeAt = x.clock.at(fromMilliseconds(p.Store.ClockMs - p.Store.AgeMs))
+		x.storeSeenAt = x.clock.at(fromMilliseconds(p.Store.ClockMs - p.Store.AgeMs))
 	}
 	m.byAddr[p.Addr] = x
 	return isNew && !p.Leaving
@@ -180,18 +183,18 @@
 
 func fromMilliseconds(n int64) time.Duration { return time.Duration(n) * time.Millisecond }
 
-// MarkUnreachable notes that an entry cannot be reached.
+// MarkUnreachable records that an entry cannot be reached.
 func (m *Members) MarkUnreachable(addr string) {
 	if old := m.byAddr[addr]; old != nil {
-		old.heardAt = time.Time{}
+		old.receivedAt = time.Time{}
 	}
 }
 
 func (m *Members) live(now time.Time, x *member) bool {
-	return !x.heardAt.IsZero() && now.Sub(x.heardAt) <= m.expireAfter && !x.Leaving
+	return !x.receivedAt.IsZero() && now.Sub(x.receivedAt) <= m.expireAfter && !x.Leaving
 }
 
-// Live returns the entries heard lately, ordered by address.
+// Live returns the live entries, ordered by address.
 func (m *Members) Live(now time.Time) []peer.Presence {
 	var out []peer.Presence
 	for _, x := range m.byAddr {
@@ -203,7 +206,7 @@
 	return out
 }
 
-// Addrs returns all addresses that may be entries, in order.
+// Addrs returns all addresses that may belong to entries, in order.
 func (m *Members) Addrs() []string {
 	out := make([]string, 0, len(m.byAddr))
 	for a := range m.byAddr {
@@ -213,7 +216,7 @@
 	return out
 }
 
-// Candidates returns all entries that are known of, in order of their addresses.
+// Candidates returns all known entries, ordered by address.
 func (m *Members) Candidates(now time.Time) []candidate {
 	var out []candidate
 	for _, addr := range m.Addrs() {
@@ -223,8 +226,8 @@
 	return out
 }
 
-// MostAdvanced returns the live entry whose copy of the store reaches furthest beyond
-// revision, of a failure domain if one of those is as far, or false.
+// MostAdvanced returns the live entry whose copy of the store has the highest revision
+// beyond revision, preferring entries in domain among equals; ok is false if there is none.
 func (m *Members) MostAdvanced(now time.Time, revision int64, domain string) (addr string, ok bool) {
 	near := false
 	for _, x := range m.Live(now) {
@@ -235,13 +238,14 @@
 	return addr, ok
 }
 
-// ConfirmedAt returns when an entry last saw that the store had nothing beyond
-// revision; zero if none tells so. What entries heard from others does not
-// count: in a circle, the time on the way would make it newer with each round.
+// ConfirmedAt returns when an entry last saw by its own calls that the store had nothing
+// beyond revision, or zero. Confirmations that entries received from others do not count:
+// passed around a cycle, the error of the transit time would make them younger in each
+// round.
 func (m *Members) ConfirmedAt(revision int64) (at time.Time) {
 	for _, x := range m.byAddr {
-		if x.Revision <= revision && x.storeAt.After(at) {
-			at = x.storeAt
+		if x.Revision <= revision && x.storeSeenAt.After(at) {
+			at = x.storeSeenAt
 		}
 	}
 	return at
--- a/mesh/members_test.go
+++ b/mesh/members_test.go
@@ -36,10 +36,10 @@
 	assert.Assert(t, !m.Observe(start, presence("b:1", 1, 0)), "known already")
 	assert.DeepEqual(t, addrs(m.Live(start.Add(expire))), []string{"b:1"})
 	assert.Equal(t, len(m.Live(start.Add(expire+1))), 0)
-	assert.DeepEqual(t, m.Addrs(), []string{"b:1"}) // it is still called
+	assert.DeepEqual(t, m.Addrs(), []string{"b:1"}) // it is still dialed
 }
 
-func TestWordsOfAnEarlierIncarnationAreIgnored(t *testing.T) {
+func TestEarlierIncarnationIsIgnored(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
 	m.Observe(start, presence("b:1", 2, 9))
 	assert.Assert(t, !m.Observe(start, presence("b:1", 1, 50)))
@@ -56,7 +56,7 @@
 	assert.Equal(t, len(m.Live(start)), 0)
 }
 
-func TestLostMemberIsNotLiveUntilHeard(t *testing.T) {
+func TestUnreachableMemberIsNotLiveUntilObserved(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
 	m.Observe(start, presence("b:1", 1, 0))
 	m.MarkUnreachable("b:1")
@@ -64,7 +64,7 @@
 	assert.Assert(t, m.Observe(start, presence("b:1", 1, 0)))
 }
 
-func TestAheadIsTheFurthestLiveCopy(t *testing.T) {
+func TestMostAdvancedReturnsTheHighestLiveRevision(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
 	m.Observe(start, presence("b:1", 1, 5))
 	m.Observe(start, presence("c:1", 1, 8))
@@ -76,9 +76,9 @@
 	assert.Assert(t, !ok)
 }
 
-// A process that starts after its host's clock was set back has a lower
-// incarnation than the one before it.
-func TestLowerIncarnationIsHeardWhenTheHigherIsGone(t *testing.T) {
+// A process that starts after its host's clock was set back has a lower incarnation than the
+// one before it.
+func TestLowerIncarnationIsAcceptedWhenTheHigherIsNotLive(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
 	m.Observe(start, presence("b:1", 5, 9))
 	assert.Assert(t, !m.Observe(start.Add(expire), presence("b:1", 3, 1)), "the other one is live")
@@ -87,50 +87,51 @@
 	m.MarkUnreachable("b:1")
 	assert.Assert(t, m.Observe(start.Add(expire+2), presence("b:1", 2, 1)), "its link broke")
 
-	// As an agent hears of an entry.
-	m.Observe(start.Add(linkedFor), presence("c:1", 5, 9))
+	// As an agent records a linked entry.
+	m.Observe(start.Add(linkValidity), presence("c:1", 5, 9))
 	m.MarkUnreachable("c:1")
-	assert.Assert(t, m.Observe(start.Add(linkedFor+time.Second), presence("c:1", 3, 1)))
+	assert.Assert(t, m.Observe(start.Add(linkValidity+time.Second), presence("c:1", 3, 1)))
 }
 
-// accountAt is an account in which the store was seen at the moment it was written.
-func accountAt(clock time.Duration) peer.Presence {
+// presenceSeenAt returns a presence of an entry that saw the store when it sent this, at clock.
+func presenceSeenAt(clock time.Duration) peer.Presence {
 	p := presence("b:1", 1, 7)
 	p.Store = peer.StoreContact{Known: true, ClockMs: clock.Milliseconds()}
 	return p
 }
 
-// However long an account waits, the store was seen when it was written.
-func TestAccountGrowsOldOnItsWay(t *testing.T) {
+// However long a report is in transit, the store was seen when the report was sent.
+func TestTransitTimeDoesNotMoveConfirmation(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
-	m.Observe(start, accountAt(time.Hour))
-	for _, way := range []time.Duration{time.Millisecond, 450 * time.Millisecond, 3 * time.Second, time.Minute} {
-		m.Observe(start.Add(10*time.Second+way), accountAt(time.Hour+10*time.Second))
-		assert.Equal(t, m.ConfirmedAt(7), start.Add(10*time.Second), "%v on its way", way)
+	m.Observe(start, presenceSeenAt(time.Hour))
+	for _, transit := range []time.Duration{time.Millisecond, 450 * time.Millisecond, 3 * time.Second, time.Minute} {
+		m.Observe(start.Add(10*time.Second+transit), presenceSeenAt(time.Hour+10*time.Second))
+		assert.Equal(t, m.ConfirmedAt(7), start.Add(10*time.Second), "%v on its way", transit)
 	}
-	// The next process counts from anew.
-	p := accountAt(time.Second)
+	// The clock of the next incarnation starts again at zero.
+	p := presenceSeenAt(time.Second)
 	p.Incarnation = 2
 	m.Observe(start.Add(2*time.Minute), p)
 	assert.Equal(t, m.ConfirmedAt(7), start.Add(2*time.Minute))
 }
 
-// Clocks that run apart, or one that stood still with its host, are made up for.
-func TestClocksOfPeersRunApart(t *testing.T) {
-	const apart = 500e-6
+// Clock drift between peers, and a clock that stopped while its host was suspended, must be
+// compensated.
+func TestPeerClockDriftIsCompensated(t *testing.T) {
+	const drift = 500e-6
 	for _, sign := range []float64{-1, 1} {
 		m := NewMembers("a:1", nil, expire)
 		for at := time.Duration(0); at < 24*time.Hour; at += time.Second {
-			m.Observe(start.Add(at), accountAt(time.Duration(float64(at)*(1+sign*apart))))
-			wrong := start.Add(at).Sub(m.ConfirmedAt(7))
-			assert.Assert(t, wrong >= 0 && wrong <= 35*time.Millisecond, "wrong by %v after %v", wrong, at)
+			m.Observe(start.Add(at), presenceSeenAt(time.Duration(float64(at)*(1+sign*drift))))
+			offset := start.Add(at).Sub(m.ConfirmedAt(7))
+			assert.Assert(t, offset >= 0 && offset <= 35*time.Millisecond, "wrong by %v after %v", offset, at)
 		}
 	}
 	m := NewMembers("a:1", nil, expire)
-	m.Observe(start, accountAt(0))
-	still := 5 * time.Second
-	for at := still; at < still+2*clockWindow+time.Second; at += time.Second {
-		m.Observe(start.Add(at), accountAt(at-still))
+	m.Observe(start, presenceSeenAt(0))
+	stopped := 5 * time.Second
+	for at := stopped; at < stopped+2*clockWindow+time.Second; at += time.Second {
+		m.Observe(start.Add(at), presenceSeenAt(at-stopped))
 	}
-	assert.Assert(t, start.Add(still+2*clockWindow).Sub(m.ConfirmedAt(7)) <= 0)
+	assert.Assert(t, start.Add(stopped+2*clockWindow).Sub(m.ConfirmedAt(7)) <= 0)
 }
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -15,76 +15,77 @@
 	"github.com/springgate/springgate/quarantine"
 )
 
-// Listener is told what others say. Its methods must not block.
+// Listener is notified of messages from other processes. Its methods must not block.
 type Listener interface {
-	// Loads is what the entry at an address has in flight.
+	// Loads receives the load report of the entry at address from.
 	Loads(from string, l *peer.Loads)
-	// EntryLost says that an entry is not heard any more.
+	// EntryLost is called when an entry is no longer live.
 	EntryLost(addr string)
-	// EngineState is what an agent says; nil when it is not heard any more.
+	// EngineState receives the state of an agent's engine; s is nil once it is not
+	// reported any more.
 	EngineState(agent peer.Presence, s *peer.EngineState)
-	// Assignment returns what the engine beside an agent is to serve, or nil,
-	// and a channel that is closed when that may have changed.
+	// Assignment returns what the engine beside an agent must serve, or nil, and a
+	// channel that is closed when that may have changed.
 	Assignment(agent peer.Presence) (*peer.Assignment, <-chan struct{})
-	// Announced returns the versions that were seen named lately.
+	// Announced returns the model versions that operators have recently named.
 	Announced(now time.Time) []peer.SeenVersion
-	// Notices returns what is believed of targets by what they say of themselves.
+	// Notices returns the current notices of targets about themselves.
 	Notices() []peer.TargetNotice
 }
 
-// Mesh is this process's part of the network.
+// Mesh is this process's end of the links to all other processes.
 type Mesh struct {
-	cfg        Config
-	self       peer.Presence
-	pool       *peer.Pool
-	log        logrus.FieldLogger
-	listener   Listener
-	assigned   func(peer.Assignment)
-	unassigned func(addr string)
-	table      *mirror.Table // nil at agents
-	metrics    metrics.Registry
-	made       time.Time         // zero of the clock that is told to others
-	moves      metrics.Counter   // changes of the source of the own copy
-	store      *mirror.Contact   // set by Follow
-	crashes    *quarantine.Table // of requests; nil for none
-	engines    *reportRegistry
-	seed       bool // others begin with this entry
+	cfg           Config
+	self          peer.Presence
+	pool          *peer.Pool
+	log           logrus.FieldLogger
+	listener      Listener
+	onAssignment  func(peer.Assignment)
+	onEntryLost   func(addr string)
+	table         *mirror.Table // nil at agents
+	metrics       metrics.Registry
+	startedAt     time.Time         // zero of the clock that is sent to others
+	sourceChanges metrics.Counter   // of the own copy
+	store         *mirror.Contact   // set by NewFollower
+	crashes       *quarantine.Table // crash records; nil for none
+	engines       *reportRegistry
+	isSeed        bool // other processes start discovery at this entry
 
-	mu            sync.Mutex
-	members       *Members
-	links         map[string]*link
-	live          []peer.Presence
-	changed       chan struct{} // closed when live changes
-	leaving       bool
-	said          *peer.EngineState    // an agent's newest report, for links that open later
-	forwarder     string               // address of the entry that passes it on
-	forwarded     map[string]forwarded // reports that this entry passes on, by engine
-	behindSince   time.Time
-	catchingUp    bool
-	role          role
-	crashesDiffer map[string]time.Time // since when other entries know other crashes, by address
-	differing     differences          // copies of others that are not as the own one
-	repairAt      time.Time            // when the own copy may be read again for that
-	differed      metrics.Counter
-	repairs       metrics.Counter
-	moved         chan struct{} // closed when role changes its source
-	movedAt       time.Time     // of the last line about that
+	mu              sync.Mutex
+	members         *Members
+	links           map[string]*link
+	live            []peer.Presence
+	liveChanged     chan struct{} // closed when live changes
+	leaving         bool
+	latestReport    *peer.EngineState          // latest report, at agents; sent on links that open later
+	forwarder       string                     // address of the entry that forwards it
+	forwarded       map[string]forwardedReport // reports that this entry forwards, by engine
+	behindSince     time.Time
+	catchingUp      bool
+	role            role
+	crashMismatches map[string]time.Time // since when the crash digests of other entries differ, by address
+	copyDifferences differences          // copies of other entries that differ from the own one
+	nextRepairAt    time.Time            // earliest time of the next full read because of a difference
+	copiesDiffered  metrics.Counter
+	repairs         metrics.Counter
+	sourceChanged   chan struct{} // closed when role.follows changes
+	sourceLoggedAt  time.Time     // when a change of the source was last logged at level info
 }
 
-// Options are what a Mesh is made of.
+// Options are the dependencies and settings of a Mesh.
 type Options struct {
-	Config   Config
-	Self     peer.Presence
-	Seeds    []string
-	Pool     *peer.Pool
-	Listener Listener              // nil at agents
+	Config       Config
+	Self         peer.Presence
+	Seeds        []string
+	Pool         *peer.Pool
+	Listener     Listener              // nil at agents
 	OnAssignment func(peer.Assignment) // at agents
-	// OnEntryLost is told, at agents, that an entry is not heard any more; nil for none.
+	// OnEntryLost is called, at agents, when the link to an entry is lost; nil for none.
 	OnEntryLost func(addr string)
-	Table      *mirror.Table // own copy of the store; nil at agents
-	Log        logrus.FieldLogger
-	Metrics    metrics.Registry // nil for none
-	// Crashes is kept in step with the others'; nil for none.
+	Table       *mirror.Table // own copy of the store; nil at agents
+	Log         logrus.FieldLogger
+	Metrics     metrics.Registry // nil for none
+	// Crashes is replicated with the other processes; nil for none.
 	Crashes *quarantine.Table
 }
 
@@ -94,16 +95,16 @@
 	if o.Metrics == nil {
 		o.Metrics = metrics.NewRegistry()
 	}
-	return &Mesh{cfg: cfg, self: o.Self, pool: o.Pool, log: o.Log, listener: o.Listener, assigned: o.OnAssignment, unassigned: o.OnEntryLost, table: o.Table,
-		metrics: o.Metrics, made: clock.Now(), moves: metrics.NewRegisteredCounter("mesh.source_changes", o.Metrics),
+	return &Mesh{cfg: cfg, self: o.Self, pool: o.Pool, log: o.Log, listener: o.Listener, onAssignment: o.OnAssignment, onEntryLost: o.OnEntryLost, table: o.Table,
+		metrics: o.Metrics, startedAt: clock.Now(), sourceChanges: metrics.NewRegisteredCounter("mesh.source_changes", o.Metrics),
 		members: NewMembers(o.Self.Addr, o.Seeds, cfg.ExpireAfter), links: map[string]*link{},
-		engines: newReportRegistry(o.Listener), seed: slices.Contains(o.Seeds, o.Self.Addr), forwarded: map[string]forwarded{},
-		crashes: o.Crashes, crashesDiffer: map[string]time.Time{},
-		differing: differences{}, differed: metrics.NewRegisteredCounter("mesh.copies_differed", o.Metrics),
-		repairs: metrics.NewRegisteredCounter("mesh.copy_repairs", o.Metrics), changed: make(chan struct{}), moved: make(chan struct{})}
+		engines: newReportRegistry(o.Listener), isSeed: slices.Contains(o.Seeds, o.Self.Addr), forwarded: map[string]forwardedReport{},
+		crashes: o.Crashes, crashMismatches: map[string]time.Time{},
+		copyDifferences: differences{}, copiesDiffered: metrics.NewRegisteredCounter("mesh.copies_differed", o.Metrics),
+		repairs: metrics.NewRegisteredCounter("mesh.copy_repairs", o.Metrics), liveChanged: make(chan struct{}), sourceChanged: make(chan struct{})}
 }
 
-// Leave tells the others that this process is leaving.
+// Leave announces to the other processes that this one is leaving.
 func (m *Mesh) Leave() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -111,7 +112,7 @@
 	m.signalChange()
 }
 
-// Entries returns the live entries, without this process.
+// Entries returns the live entries except this process.
 func (m *Mesh) Entries() []peer.Presence {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,24 +128,24 @@
 	return p
 }
 
-// storeContact returns the revision of the own copy, and what the own calls to
-// the store say of it.
+// storeContact returns the revision of the own copy, and what the calls of this process
+// show about the store.
 func (m *Mesh) storeContact(now time.Time) (int64, peer.StoreContact) {
 	at, revision := m.table.Read()
-	c := peer.StoreContact{Known: !at.IsZero(), Failing: m.failing(), ClockMs: now.Sub(m.made).Milliseconds()}
+	c := peer.StoreContact{Known: !at.IsZero(), Failing: m.failing(), ClockMs: now.Sub(m.startedAt).Milliseconds()}
 	if c.Known {
 		c.AgeMs = milliseconds(now.Sub(at))
 	}
 	return revision, c
 }
 
-// milliseconds rounds up, so that no age grows less on its way.
+// milliseconds rounds up, so that an age is never understated.
 func milliseconds(d time.Duration) int64 {
 	return (d + time.Millisecond - 1).Milliseconds()
 }
 
-// stamped returns an account with the state of the store and the ages as they are
-// when the account leaves; it may have waited for the link.
+// stamped returns a load report with the state of the store and the ages as of now, because
+// the report may have been queued for some time. Other messages are returned unchanged.
 func (m *Mesh) stamped(msg peer.Message) peer.Message {
 	loads, ok := msg.(*peer.Loads)
 	if !ok {
@@ -164,17 +165,17 @@
 	return &out
 }
 
-// Run keeps links to all entries and refreshes the members until ctx ends.
-// loads returns what this process has in flight; nil at agents.
+// Run maintains links to other entries and refreshes the members until ctx ends. loads
+// returns what this process has in flight; it is nil at agents.
 func (m *Mesh) Run(ctx context.Context, loads func() []peer.TargetLoad) {
 	ticker := time.NewTicker(m.cfg.Interval)
 	defer ticker.Stop()
-	account := newAccount(m.cfg.Heartbeat)
+	reporter := newLoadReporter(m.cfg.Heartbeat)
 	for {
 		now := clock.Now()
 		m.refresh(ctx, now)
 		if loads != nil {
-			m.tellLoads(now, account, loads)
+			m.sendLoads(now, reporter, loads)
 		}
 		select {
 		case <-ticker.C:
@@ -184,24 +185,24 @@
 	}
 }
 
-// refresh opens links to entries that have none, and notes who is live.
+// refresh updates the links, the live members and, at entries, the role and the copy.
 func (m *Mesh) refresh(ctx context.Context, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.linkTo(ctx, m.wantedLinks(now))
+	m.updateLinks(ctx, m.wantedLinks(now))
 	m.setLive(m.members.Live(now))
 	if m.table == nil {
 		m.chooseForwarder()
 		return
 	}
 	m.table.Confirm(m.members.ConfirmedAt(m.table.Revision()))
-	m.choose(now)
-	m.compare(ctx, now)
+	m.updateRole(now)
+	m.catchUpIfBehind(ctx, now)
 	m.repair(ctx, now)
 }
 
-// wantedLinks returns the addresses of the entries that this process is linked to:
-// all of them for an entry, a few for an agent.
+// wantedLinks returns the addresses of the entries that this process links to: all of them
+// for an entry, a few for an agent.
 func (m *Mesh) wantedLinks(now time.Time) []string {
 	if m.self.Engine == "" {
 		return m.members.Addrs()
@@ -209,21 +210,21 @@
 	return chooseLinks(m.self, m.members.Candidates(now))
 }
 
-// linkTo opens links that are missing and ends those that are not wanted.
-func (m *Mesh) linkTo(ctx context.Context, addrs []string) {
+// updateLinks opens missing links and closes those that are not wanted any more.
+func (m *Mesh) updateLinks(ctx context.Context, addrs []string) {
 	wanted := make(map[string]bool, len(addrs))
 	for _, addr := range addrs {
 		wanted[addr] = true
 		if m.links[addr] == nil {
-			linkCtx, end := context.WithCancel(ctx)
-			l := &link{mesh: m, addr: addr, end: end, state: m.reportFor(addr), wake: make(chan struct{}, 1)}
+			linkCtx, cancel := context.WithCancel(ctx)
+			l := &link{mesh: m, addr: addr, cancel: cancel, report: m.reportFor(addr), wake: make(chan struct{}, 1)}
 			m.links[addr] = l
 			go l.run(linkCtx)
 		}
 	}
 	for addr, l := range m.links {
 		if !wanted[addr] {
-			l.end()
+			l.cancel()
 			delete(m.links, addr)
 			m.members.MarkUnreachable(addr)
 		}
@@ -238,8 +239,8 @@
 	for _, old := range m.live {
 		if !hasAddr(live, old.Addr) {
 			m.log.WithField("peer", old.Addr).Warn("Entry lost.")
-			delete(m.differing, old.Addr)
-			delete(m.crashesDiffer, old.Addr)
+			delete(m.copyDifferences, old.Addr)
+			delete(m.crashMismatches, old.Addr)
 			if m.listener != nil {
 				m.listener.EntryLost(old.Addr)
 			}
@@ -254,10 +255,11 @@
 	m.signalChange()
 }
 
-// signalChange wakes those that wait for a change of the members; the lock is held.
+// signalChange wakes goroutines that wait for a change of the members. The lock must be
+// held.
 func (m *Mesh) signalChange() {
-	close(m.changed)
-	m.changed = make(chan struct{})
+	close(m.liveChanged)
+	m.liveChanged = make(chan struct{})
 }
 
 func sameAddrs(a, b []peer.Presence) bool {
@@ -281,14 +283,14 @@
 	return false
 }
 
-// tellLoads hands an account to all links, if one is due or the store has news.
-func (m *Mesh) tellLoads(now time.Time, a *account, loads func() []peer.TargetLoad) {
+// sendLoads queues a load report on all links if one is due or the store state changed.
+func (m *Mesh) sendLoads(now time.Time, r *loadReporter, loads func() []peer.TargetLoad) {
 	storeAt, _ := m.table.Read()
-	urgent := a.urgent(now, storeAt, m.failing())
-	if !urgent && !a.due(now, m.cfg.accountInterval(len(m.Entries()))) {
+	urgent := r.urgent(now, storeAt, m.failing())
+	if !urgent && !r.due(now, m.cfg.loadInterval(len(m.Entries()))) {
 		return
 	}
-	msg := a.next(now, loads())
+	msg := r.next(now, loads())
 	if msg == nil && urgent {
 		msg = &peer.Loads{}
 	}
@@ -299,19 +301,19 @@
 	defer m.mu.Unlock()
 	msg.Leaving = m.leaving
 	for _, l := range m.links {
-		l.offer(msg)
+		l.queueLoads(msg)
 	}
 }
 
-// heard notes what an entry says of itself.
-func (m *Mesh) heard(p peer.Presence) {
+// observe records a message from the entry itself.
+func (m *Mesh) observe(p peer.Presence) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.members.Observe(clock.Now(), p)
 }
 
-// told notes what an entry tells of others.
-func (m *Mesh) told(msg *peer.Presences) {
+// addMembers adds the members that another entry reported.
+func (m *Mesh) addMembers(msg *peer.Presences) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, p := range msg.Others {
@@ -322,15 +324,15 @@
 	}
 }
 
-func (m *Mesh) lost(addr string) {
+func (m *Mesh) markUnreachable(addr string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.members.MarkUnreachable(addr)
 }
 
-// Nearest returns up to n live entries that this process should ask for key, in
-// order: those of the own failure domain by rendezvous hashing, then others.
-// Entries with slow links are left out.
+// Nearest returns up to n live entries from which this process should request key, in order:
+// those of the own failure domain by rendezvous hashing, then others. Entries with slow
+// links are left out.
 func (m *Mesh) Nearest(key string, n int) []string {
 	var near, far []peer.Presence
 	for _, p := range m.Entries() {
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -20,14 +20,14 @@
 
 // node is an entry or an agent of the tests on loopback.
 type node struct {
-	mesh   *Mesh
-	table  *mirror.Table
-	book   *dispatch.Book
-	homes  *Reserver
-	server *peer.Server
+	mesh     *Mesh
+	table    *mirror.Table
+	book     *dispatch.Book
+	reserver *Reserver
+	server   *peer.Server
 
 	mu          sync.Mutex
-	loads       map[string]int // targets in the last account, by sender
+	loads       map[string]int // targets in the last load report, by sender
 	engines     map[string]*peer.EngineState
 	assignments chan peer.Assignment
 	changed     chan struct{}
@@ -59,7 +59,7 @@
 		o.Listener, o.Table = n, n.table
 	}
 	n.mesh = New(o)
-	n.homes = NewReserver(n.mesh, n.book, 0)
+	n.reserver = NewReserver(n.mesh, n.book, 0)
 	ctx, cancel := context.WithCancel(t.Context())
 	var loads func() []peer.TargetLoad
 	if !agent {
@@ -85,11 +85,11 @@
 	case *peer.MirrorRead:
 		n.mesh.ServeMirror(ctx, s, m)
 	case *peer.Reserve:
-		n.homes.Serve(ctx, s, m)
+		n.reserver.Serve(ctx, s, m)
 	}
 }
 
-func (n *node) note(f func()) {
+func (n *node) update(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
@@ -98,22 +98,22 @@
 }
 
 func (n *node) Loads(from string, l *peer.Loads) {
-	n.note(func() {
+	n.update(func() {
 		if l.Full {
 			n.loads[from] = len(l.Targets)
 		}
 		for _, x := range l.Notices {
-			if told, ok := x.Decode(); ok {
-				n.book.Learn(clock.Now(), told)
+			if notice, ok := x.Decode(); ok {
+				n.book.Learn(clock.Now(), notice)
 			}
 		}
 	})
 }
 
-func (n *node) EntryLost(string) { n.note(func() {}) }
+func (n *node) EntryLost(string) { n.update(func() {}) }
 
 func (n *node) EngineState(agent peer.Presence, s *peer.EngineState) {
-	n.note(func() { n.engines[agent.Engine] = s })
+	n.update(func() { n.engines[agent.Engine] = s })
 }
 
 func (n *node) Assignment(peer.Presence) (*peer.Assignment, <-chan struct{}) {
@@ -124,13 +124,13 @@
 
 func (n *node) Notices() []peer.TargetNotice {
 	var out []peer.TargetNotice
-	for _, told := range n.book.Notices() {
-		out = append(out, peer.EncodeNotice(told))
+	for _, notice := range n.book.Notices() {
+		out = append(out, peer.EncodeNotice(notice))
 	}
 	return out
 }
 
-// until waits until ok holds; it is asked after each message and each round.
+// until waits until ok returns true; it is called after each message and every 5 ms.
 func (n *node) until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for t.Context().Err() == nil {
@@ -159,7 +159,7 @@
 	b.until(t, "the load of a", func() bool { return b.loads[a.server.Addr()] == 1 })
 }
 
-// An entry that is cut off from the store reads what a peer has.
+// An entry that is cut off from the store reads a peer's copy.
 func TestEntryCatchesUpFromAPeer(t *testing.T) {
 	a := startNode(t, "a", 1, nil, false, nil)
 	b := startNode(t, "b", 1, []string{a.server.Addr()}, false, nil)
@@ -171,7 +171,7 @@
 	assert.Equal(t, string(items[0].Value), "v")
 }
 
-func TestAgentIsAssignedAndHeard(t *testing.T) {
+func TestAgentReceivesAssignmentAndReportsItsEngine(t *testing.T) {
 	a := startNode(t, "a", 1, nil, false, nil)
 	b := startNode(t, "b", 1, []string{a.server.Addr()}, false, nil)
 	agent := startNode(t, "agent", 1, []string{a.server.Addr()}, true, nil)
@@ -185,8 +185,8 @@
 	}
 }
 
-// A target's home decides; an entry that cannot ask it goes on alone.
-func TestReserveAsksTheHome(t *testing.T) {
+// A target's home decides; an entry that cannot reach the home decides on its own.
+func TestReserveCallsTheHome(t *testing.T) {
 	a := startNode(t, "a", 1, nil, false, nil)
 	b := startNode(t, "b", 1, []string{a.server.Addr()}, false, nil)
 	a.until(t, "both", func() bool { return len(a.mesh.Entries()) == 1 && len(b.mesh.Entries()) == 1 })
@@ -203,10 +203,10 @@
 	for _, n := range []*node{a, b} {
 		n.book.Apply([]*fleet.Instance{instance}, services)
 	}
-	b.homes.timeout = time.Minute
+	b.reserver.timeout = time.Minute
 	choice := dispatch.Choice{Instance: *instance, Admission: dispatch.Admission{MaxWait: 100 * time.Millisecond}}
-	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted)
-	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceDenied, "the home has granted its only place")
+	assert.Equal(t, b.reserver.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted)
+	assert.Equal(t, b.reserver.Reserve(t.Context(), choice, 10), dispatch.PlaceDenied, "the home has granted its only place")
 	a.server.Close()
-	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted, "nobody to ask")
+	assert.Equal(t, b.reserver.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted, "nobody to ask")
 }
--- a/mesh/reach.go
+++ b/mesh/reach.go
@@ -5,27 +5,29 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// Bounds of the links of one agent. Agents linked to every entry cost links that grow with
-// the product of both, all opened in the second in which a fleet starts.
+// Limits on the links of one agent. If agents linked to all entries, the number of links
+// would grow with the product of both, and all would be opened in the second in which a
+// fleet starts.
 const (
-	// nearLinks is how many entries of its own failure domain an agent is linked to:
-	// they hand out pieces, each the ones that it reads for the domain.
+	// nearLinks is how many entries of its own failure domain an agent links to. They serve
+	// pieces, each entry those that it fetches on behalf of the domain.
 	nearLinks = 8
-	// farLinks is how many others it is linked to, for the time when those of its
-	// own domain are gone. One may be lost with them, one may be restarting.
+	// farLinks is how many entries of other failure domains an agent links to, as a
+	// fallback for those of its own domain. One of them may be lost in the same incident
+	// and another one restarting.
 	farLinks = 3
 )
 
 // candidate is an entry that an agent may link to.
 type candidate struct {
-	peer.Presence // of a seed that never answered, the address only
+	peer.Presence // only the address is set for a seed that never answered
 	live          bool
 }
 
-// chooseLinks returns the addresses of the entries that an agent should be linked to,
-// the preferred one first: some of its own failure domain, some others, and seeds of
-// which nothing is known while none of its own domain answers. Links that work are
-// kept, so that members that come and go move few of them. It is pure.
+// chooseLinks returns the addresses of the entries that an agent should link to, the
+// preferred one first: some of its own failure domain, some of others and, while no entry of
+// its own domain is live, the seeds of which only the address is known. Working links are
+// kept, so that members joining and leaving move few links. It performs no I/O.
 func chooseLinks(self peer.Presence, known []candidate) []string {
 	var near, far, unknown []candidate
 	for _, c := range known {
@@ -47,8 +49,8 @@
 	return out
 }
 
-// preferred returns up to n addresses: live entries before others, fast links before
-// slow ones, then by rendezvous hashing.
+// preferred returns up to n addresses: live entries before others, fast links before slow
+// ones, then by rendezvous hashing.
 func preferred(host string, list []candidate, n int) []string {
 	all := make([]peer.Presence, len(list))
 	for i, c := range list {
--- a/mesh/reach_test.go
+++ b/mesh/reach_test.go
@@ -9,20 +9,20 @@
 	"pgregory.net/rapid"
 )
 
-func entryOf(addr, domain string, mbps float64, live bool) candidate {
+func entryCandidate(addr, domain string, mbps float64, live bool) candidate {
 	return candidate{peer.Presence{Addr: addr, Domain: domain, LinkMbps: mbps}, live}
 }
 
-// An agent links to entries of its own failure domain, fast ones first, and to a few
-// others; a seed of which nothing is known is asked until one of the domain answers.
+// An agent links to entries of its own failure domain, fast ones first, and to a few others.
+// Seeds of which only the address is known are linked while no entry of the domain is live.
 func TestAgentLinksToFewEntries(t *testing.T) {
 	self := peer.Presence{Host: "h", Domain: "a", Engine: "e"}
 	var known []candidate
 	for i := range 20 {
-		known = append(known, entryOf(fmt.Sprint("near-", i), "a", float64(40+160*(i%2)), true),
-			entryOf(fmt.Sprint("far-", i), "b", 40, true))
+		known = append(known, entryCandidate(fmt.Sprint("near-", i), "a", float64(40+160*(i%2)), true),
+			entryCandidate(fmt.Sprint("far-", i), "b", 40, true))
 	}
-	known = append(known, entryOf("seed", "", 0, false))
+	known = append(known, entryCandidate("seed", "", 0, false))
 	got := chooseLinks(self, known)
 	assert.Equal(t, len(got), nearLinks+farLinks)
 	byAddr := map[string]candidate{}
@@ -40,13 +40,13 @@
 	assert.DeepEqual(t, chooseLinks(self, known[len(known)-1:]), []string{"seed"})
 }
 
-// Links that work stay when members come or go.
-func TestLinksThatWorkAreKept(t *testing.T) {
+// Working links are kept when members join.
+func TestWorkingLinksAreKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		self := peer.Presence{Host: "h", Domain: "a", Engine: "e"}
 		var known []candidate
 		for i := range rapid.IntRange(1, 40).Draw(t, "entries") {
-			known = append(known, entryOf(fmt.Sprint("e-", i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain"), 100, false))
+			known = append(known, entryCandidate(fmt.Sprint("e-", i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain"), 100, false))
 		}
 		linked := map[string]bool{}
 		for _, addr := range chooseLinks(self, known) {
@@ -55,7 +55,7 @@
 		for i := range known {
 			known[i].live = linked[known[i].Addr]
 		}
-		joined := append(known, entryOf("new-a", "a", 100, false), entryOf("new-b", "b", 100, false))
+		joined := append(known, entryCandidate("new-a", "a", 100, false), entryCandidate("new-b", "b", 100, false))
 		next := map[string]bool{}
 		for _, addr := range chooseLinks(self, joined) {
 			next[addr] = true
--- a/mesh/reports.go
+++ b/mesh/reports.go
@@ -6,135 +6,135 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// streamID names a stream that another process opened, for the reports that came on it.
+// streamID identifies a stream that another process opened, as the origin of reports.
 type streamID uint64
 
-// engineReport is what an agent tells of its engine.
+// engineReport is an agent's report of the state of its engine.
 type engineReport struct {
 	agent peer.Presence
 	state peer.EngineState
 }
 
-// newerThan orders reports of one engine: by the agent's incarnation, then by its count.
-func (w engineReport) newerThan(o engineReport) bool {
-	if w.agent.Incarnation != o.agent.Incarnation {
-		return w.agent.Incarnation > o.agent.Incarnation
+// newerThan orders reports of one engine by the agent's incarnation, then by sequence number.
+func (rep engineReport) newerThan(o engineReport) bool {
+	if rep.agent.Incarnation != o.agent.Incarnation {
+		return rep.agent.Incarnation > o.agent.Incarnation
 	}
-	return w.state.Seq > o.state.Seq
+	return rep.state.Seq > o.state.Seq
 }
 
-// engineReports are the reports heard of engines, each from the agents themselves and from
-// entries that pass them on; the newest of an engine counts. A report is held as long as
-// a stream on which it came. It is pure.
+// engineReports holds the reports of engines, received from the agents themselves and from
+// entries that forward them; the newest of an engine is in effect. A report is kept until
+// the stream on which it arrived ends. It performs no I/O and reads no clock.
 type engineReports map[string]map[streamID]engineReport // by address of the engine
 
-// newest returns the report that counts for an engine.
+// newest returns the report in effect for an engine.
 func (e engineReports) newest(engine string) (best engineReport, ok bool) {
-	for _, w := range e[engine] {
-		if !ok || w.newerThan(best) {
-			best, ok = w, true
+	for _, rep := range e[engine] {
+		if !ok || rep.newerThan(best) {
+			best, ok = rep, true
 		}
 	}
 	return best, ok
 }
 
-// hear takes a report. The result is whether it is now the one that counts.
-func (e engineReports) hear(from streamID, w engineReport) bool {
-	engine := w.agent.Engine
+// add records a report and returns whether it is now the one in effect.
+func (e engineReports) add(from streamID, rep engineReport) bool {
+	engine := rep.agent.Engine
 	old, known := e.newest(engine)
 	if e[engine] == nil {
 		e[engine] = map[streamID]engineReport{}
 	}
-	e[engine][from] = w
-	return !known || w.newerThan(old)
+	e[engine][from] = rep
+	return !known || rep.newerThan(old)
 }
 
-// drop forgets a stream's report of an engine. It returns the report that counts now,
-// and whether that changed.
-func (e engineReports) drop(from streamID, engine string) (w engineReport, known, changed bool) {
-	before, was := e.newest(engine)
+// remove deletes a stream's report of an engine. It returns the report now in effect, and
+// whether that changed. If none is left, it returns the last one and known is false.
+func (e engineReports) remove(from streamID, engine string) (rep engineReport, known, changed bool) {
+	old, existed := e.newest(engine)
 	delete(e[engine], from)
 	if len(e[engine]) == 0 {
 		delete(e, engine)
 	}
-	w, known = e.newest(engine)
-	changed = was && (!known || before.newerThan(w))
+	rep, known = e.newest(engine)
+	changed = existed && (!known || old.newerThan(rep))
 	if !known {
-		w = before
+		rep = old
 	}
-	return w, known, changed
+	return rep, known, changed
 }
 
-// dropped is an engine of which the report that counts has changed because a stream
+// reportChange says that the report in effect for an engine has changed because a stream
 // ended.
-type dropped struct {
+type reportChange struct {
 	report engineReport
-	known  bool // otherwise nothing is known any more, and report is the last one
+	known  bool // if false, no report is left and this is the last one
 }
 
-// end forgets all reports of a stream.
-func (e engineReports) end(from streamID) []dropped {
-	var out []dropped
+// removeStream deletes all reports of a stream.
+func (e engineReports) removeStream(from streamID) []reportChange {
+	var out []reportChange
 	for engine, reports := range e {
-		if _, said := reports[from]; !said {
+		if _, ok := reports[from]; !ok {
 			continue
 		}
-		if w, known, changed := e.drop(from, engine); changed {
-			out = append(out, dropped{w, known})
+		if rep, known, changed := e.remove(from, engine); changed {
+			out = append(out, reportChange{rep, known})
 		}
 	}
 	return out
 }
 
-// reportRegistry keeps the reports and tells the listener, in order.
+// reportRegistry stores the reports and notifies the listener of changes in order.
 type reportRegistry struct {
 	listener Listener
 
 	mu      sync.Mutex
 	reports engineReports
-	last    streamID
+	lastID  streamID
 }
 
 func newReportRegistry(l Listener) *reportRegistry {
 	return &reportRegistry{listener: l, reports: engineReports{}}
 }
 
-// open returns a name for a new stream.
-func (b *reportRegistry) open() streamID {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.last++
-	return b.last
+// openStream returns an ID for a new stream.
+func (r *reportRegistry) openStream() streamID {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.lastID++
+	return r.lastID
 }
 
-func (b *reportRegistry) hear(from streamID, w engineReport) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if b.reports.hear(from, w) {
-		b.listener.EngineState(w.agent, &w.state)
+func (r *reportRegistry) add(from streamID, rep engineReport) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.reports.add(from, rep) {
+		r.listener.EngineState(rep.agent, &rep.state)
 	}
 }
 
-func (b *reportRegistry) drop(from streamID, engine string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if w, known, changed := b.reports.drop(from, engine); changed {
-		b.tell(dropped{w, known})
+func (r *reportRegistry) remove(from streamID, engine string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if rep, known, changed := r.reports.remove(from, engine); changed {
+		r.notify(reportChange{rep, known})
 	}
 }
 
-func (b *reportRegistry) end(from streamID) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for _, d := range b.reports.end(from) {
-		b.tell(d)
+func (r *reportRegistry) removeStream(from streamID) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, c := range r.reports.removeStream(from) {
+		r.notify(c)
 	}
 }
 
-func (b *reportRegistry) tell(d dropped) {
-	if d.known {
-		b.listener.EngineState(d.report.agent, &d.report.state)
+func (r *reportRegistry) notify(c reportChange) {
+	if c.known {
+		r.listener.EngineState(c.report.agent, &c.report.state)
 		return
 	}
-	b.listener.EngineState(d.report.agent, nil)
+	r.listener.EngineState(c.report.agent, nil)
 }
--- a/mesh/reports_test.go
+++ b/mesh/reports_test.go
@@ -11,30 +11,31 @@
 	return engineReport{peer.Presence{Engine: "e", Incarnation: incarnation}, peer.EngineState{Addr: "e", Version: version, Seq: seq}}
 }
 
-// The newest report counts whatever way it came, and what is left when a way ends.
-func TestNewestWordOfAnEngineCounts(t *testing.T) {
+// The newest report is in effect on whatever stream it arrived, and the newest remaining one
+// once that stream ends.
+func TestNewestReportOfAnEngineIsInEffect(t *testing.T) {
 	e := engineReports{}
-	assert.Assert(t, e.hear(1, report(1, 1, 5)))
-	assert.Assert(t, !e.hear(2, report(1, 1, 5)), "the same report from an entry that passes it on")
-	assert.Assert(t, e.hear(2, report(1, 2, 6)))
-	assert.Assert(t, !e.hear(1, report(1, 1, 5)), "an old report that came late")
+	assert.Assert(t, e.add(1, report(1, 1, 5)))
+	assert.Assert(t, !e.add(2, report(1, 1, 5)), "the same report from an entry that passes it on")
+	assert.Assert(t, e.add(2, report(1, 2, 6)))
+	assert.Assert(t, !e.add(1, report(1, 1, 5)), "an old report that came late")
 	w, _ := e.newest("e")
 	assert.Equal(t, w.state.Version, 6)
-	got := e.end(2)
+	got := e.removeStream(2)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].report.state.Version, 5, "the agent itself said it")
 	assert.Assert(t, got[0].known)
-	got = e.end(1)
+	got = e.removeStream(1)
 	assert.Assert(t, len(got) == 1 && !got[0].known, "nobody speaks of the engine")
 	assert.Equal(t, len(e), 0)
 }
 
-// A new agent counts from the beginning.
-func TestWordsOfANewAgentGoBeforeThoseOfTheOld(t *testing.T) {
+// A new incarnation of an agent starts its sequence again.
+func TestReportsOfANewIncarnationTakePrecedence(t *testing.T) {
 	e := engineReports{}
-	e.hear(1, report(1, 40, 5))
-	assert.Assert(t, e.hear(2, report(2, 1, 0)))
-	assert.Equal(t, len(e.end(1)), 0, "the old agent's stream ends later")
+	e.add(1, report(1, 40, 5))
+	assert.Assert(t, e.add(2, report(2, 1, 0)))
+	assert.Equal(t, len(e.removeStream(1)), 0, "the old agent's stream ends later")
 	w, ok := e.newest("e")
 	assert.Assert(t, ok && w.state.Version == 0)
 }
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -12,24 +12,23 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// Reserver asks the home entries of targets for places. The home is an entry of
-// the target's failure domain, chosen by rendezvous hashing. It implements
-// gateway.Reserver.
+// Reserver reserves places at targets with their home entries. The home of a target is an
+// entry of its failure domain, chosen by rendezvous hashing. It implements gateway.Reserver.
 type Reserver struct {
 	mesh *Mesh
 	book *dispatch.Book
-	// timeout bounds the question. The way to another region and back takes
-	// 6 ms; a home that is slower is not waited for.
+	// timeout bounds a call to a home. The round trip to another region takes 6 ms; a
+	// home that is slower is not waited for.
 	timeout time.Duration
-	off     bool // no home is asked
+	off     bool // homes are not asked
 
-	granted, denied, unanswered metrics.Counter // questions to other homes
+	granted, denied, unanswered metrics.Counter // results of calls to other homes
 }
 
-// reserveTimeout is four times the longest way there and back.
+// reserveTimeout is four times the longest round trip.
 const reserveTimeout = 25 * time.Millisecond
 
-// NewReserver returns a reserver that answers for this entry's book.
+// NewReserver returns a reserver that serves other entries from this entry's book.
 func NewReserver(m *Mesh, b *dispatch.Book, off mechanism.Off) *Reserver {
 	counter := func(name string) metrics.Counter { return metrics.NewRegisteredCounter("mesh.places_"+name, m.metrics) }
 	return &Reserver{mesh: m, book: b, timeout: reserveTimeout, off: off.Has(mechanism.Homes),
@@ -41,19 +40,19 @@
 	t := c.Instance
 	home := r.mesh.home(t.ID, t.Domain)
 	if r.off || home == r.mesh.self.Addr {
-		return dispatch.PlaceGranted // the own book has decided
+		return dispatch.PlaceGranted // the choice made from the own book stands
 	}
 	reply, ok := r.ask(ctx, home, c, prompt)
 	if !ok {
 		r.unanswered.Inc(1)
-		return r.unsure(c)
+		return r.decideWithoutHome(c)
 	}
-	if told, ok := reply.Notice.Decode(); ok {
-		r.book.Learn(clock.Now(), told)
+	if notice, ok := reply.Notice.Decode(); ok {
+		r.book.Learn(clock.Now(), notice)
 	}
 	switch {
 	case reply.Granted && !reply.Known:
-		return r.unsure(c)
+		return r.decideWithoutHome(c)
 	case reply.Granted:
 		r.granted.Inc(1)
 		return dispatch.PlaceGranted
@@ -69,9 +68,10 @@
 	return dispatch.PlaceDenied
 }
 
-// unsure decides on a target whose home says nothing of it. What others send to one that
-// takes a bounded rate must be known.
-func (r *Reserver) unsure(c dispatch.Choice) dispatch.Reservation {
+// decideWithoutHome decides when the home did not answer or does not know the target. A
+// target with a bounded rate is not used then, because what other entries send there is not
+// known.
+func (r *Reserver) decideWithoutHome(c dispatch.Choice) dispatch.Reservation {
 	if !c.Paced {
 		return dispatch.PlaceGranted
 	}
@@ -79,7 +79,7 @@
 	return dispatch.PlaceHeld
 }
 
-// ask asks a home for a place; ok is false if it does not answer in time.
+// ask requests a place from a home; ok is false if the home does not answer in time.
 func (r *Reserver) ask(ctx context.Context, home string, c dispatch.Choice, prompt int) (reply *peer.ReserveReply, ok bool) {
 	ctx, cancel := clock.WithTimeout(ctx, r.timeout)
 	defer cancel()
@@ -93,19 +93,19 @@
 	return reply, ok
 }
 
-// Serve answers another entry.
+// Serve answers a request of another entry.
 func (r *Reserver) Serve(ctx context.Context, s *peer.Stream, q *peer.Reserve) {
-	if told, ok := q.Notice.Decode(); ok {
-		r.book.Learn(clock.Now(), told)
+	if notice, ok := q.Notice.Decode(); ok {
+		r.book.Learn(clock.Now(), notice)
 	}
 	p := r.book.Reserve(clock.Now(), q.From, q.Instance, q.Prompt, dispatch.Admission{
 		MaxWait: time.Duration(q.MaxWaitMs) * time.Millisecond, MaxGap: time.Duration(q.MaxGapMs) * time.Millisecond,
 		MaxLoad: q.MaxLoad})
-	// The asker does not wait long for an answer.
+	// On failure the requester's timeout applies.
 	_ = s.SendLast(ctx, &peer.ReserveReply{Granted: p.Granted, Known: p.Known, WaitMs: milliseconds(p.Wait), Notice: peer.EncodeNotice(p.Told)})
 }
 
-// home returns the entry that decides who may use a target.
+// home returns the home entry of a target, which decides who may use it.
 func (m *Mesh) home(target, domain string) string {
 	var near, all []string
 	for _, p := range append([]peer.Presence{m.self}, m.Entries()...) {
--- a/mesh/reserve_test.go
+++ b/mesh/reserve_test.go
@@ -12,30 +12,30 @@
 	"gotest.tools/v3/assert"
 )
 
-// homeAndAsker are two entries and a target whose home is the first.
-func homeAndAsker(t *testing.T) (home, asker *node, target *fleet.Instance) {
+// startHomeAndRequester starts two entries and returns a target whose home is the first.
+func startHomeAndRequester(t *testing.T) (home, requester *node, target *fleet.Instance) {
 	home = startNode(t, "a", 1, nil, false, nil)
-	asker = startNode(t, "b", 1, []string{home.server.Addr()}, false, nil)
-	home.until(t, "both", func() bool { return len(home.mesh.Entries()) == 1 && len(asker.mesh.Entries()) == 1 })
-	target = &fleet.Instance{ID: homedAt(asker, home, "i"), Service: "s", Domain: "a", Slots: 8}
-	for _, n := range []*node{home, asker} {
+	requester = startNode(t, "b", 1, []string{home.server.Addr()}, false, nil)
+	home.until(t, "both", func() bool { return len(home.mesh.Entries()) == 1 && len(requester.mesh.Entries()) == 1 })
+	target = &fleet.Instance{ID: targetIDWithHome(requester, home, "i"), Service: "s", Domain: "a", Slots: 8}
+	for _, n := range []*node{home, requester} {
 		n.book.Apply([]*fleet.Instance{target}, map[string]*fleet.Service{"s": {Name: "s"}})
 	}
-	asker.homes.timeout = time.Minute
-	return home, asker, target
+	requester.reserver.timeout = time.Minute
+	return home, requester, target
 }
 
-// homedAt returns the ID of a target whose home is an entry. The addresses, and so the
-// homes, differ from run to run.
-func homedAt(asker, home *node, prefix string) string {
+// targetIDWithHome returns the ID of a target whose home is the entry home. The addresses, and
+// so the homes, differ from run to run.
+func targetIDWithHome(requester, home *node, prefix string) string {
 	for n := 0; ; n++ {
-		if id := fmt.Sprintf("%s-%d", prefix, n); asker.mesh.home(id, "a") == home.server.Addr() {
+		if id := fmt.Sprintf("%s-%d", prefix, n); requester.mesh.home(id, "a") == home.server.Addr() {
 			return id
 		}
 	}
 }
 
-func nameLimit(n *node, target *fleet.Instance, perS float64) {
+func announceLimit(n *node, target *fleet.Instance, perS float64) {
 	now := clock.Now()
 	n.book.HearNotice(now, *target, notice.Statement{Limit: notice.Limit{Named: true, PerS: perS}}, now)
 }
@@ -44,40 +44,41 @@
 	return dispatch.Choice{Instance: *target, Paced: true, Admission: dispatch.Admission{MaxWait: time.Hour}}
 }
 
-// A home that has not heard of a limit granted what the asker knew to be too much.
-func TestHomeLearnsALimitFromTheAsker(t *testing.T) {
-	home, asker, target := homeAndAsker(t)
-	nameLimit(asker, target, 1)
-	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(target), 10), dispatch.PlaceHeld)
+// Guards against a home that does not know a limit and grants more than the limit that the
+// requester knows.
+func TestHomeLearnsALimitFromTheRequester(t *testing.T) {
+	home, requester, target := startHomeAndRequester(t)
+	announceLimit(requester, target, 1)
+	assert.Equal(t, requester.reserver.Reserve(t.Context(), paced(target), 10), dispatch.PlaceHeld)
 	assert.Equal(t, home.book.NoticeOf(target.ID).Limit.PerS, 1.0)
 }
 
-func TestAskerLearnsALimitFromTheHome(t *testing.T) {
-	home, asker, target := homeAndAsker(t)
-	nameLimit(home, target, 1)
+func TestRequesterLearnsALimitFromTheHome(t *testing.T) {
+	home, requester, target := startHomeAndRequester(t)
+	announceLimit(home, target, 1)
 	choice := paced(target)
 	choice.Paced = false
-	assert.Equal(t, asker.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceHeld)
-	assert.Equal(t, asker.book.NoticeOf(target.ID).Limit.PerS, 1.0)
+	assert.Equal(t, requester.reserver.Reserve(t.Context(), choice, 10), dispatch.PlaceHeld)
+	assert.Equal(t, requester.book.NoticeOf(target.ID).Limit.PerS, 1.0)
 }
 
-// An entry that could not ask the home took a place as granted, also at a target whose
-// limit all entries share.
+// Guards against using a target whose limit is shared by all entries when its home cannot be
+// called: an entry then took the place as granted.
 func TestPacedTargetIsNotUsedWithoutItsHome(t *testing.T) {
-	home, asker, target := homeAndAsker(t)
+	home, requester, target := startHomeAndRequester(t)
 	unknown := *target
-	unknown.ID = homedAt(asker, home, "unknown")
-	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(&unknown), 10), dispatch.PlaceHeld, "a home that does not know it")
+	unknown.ID = targetIDWithHome(requester, home, "unknown")
+	assert.Equal(t, requester.reserver.Reserve(t.Context(), paced(&unknown), 10), dispatch.PlaceHeld, "a home that does not know it")
 	home.server.Close()
-	assert.Equal(t, asker.homes.Reserve(t.Context(), paced(target), 10), dispatch.PlaceHeld, "nobody to ask")
+	assert.Equal(t, requester.reserver.Reserve(t.Context(), paced(target), 10), dispatch.PlaceHeld, "nobody to ask")
 	choice := paced(target)
 	choice.Paced = false
-	assert.Equal(t, asker.homes.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted)
+	assert.Equal(t, requester.reserver.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted)
 }
 
-// Entries tell each other of limits in their accounts.
-func TestFullAccountsTellOfLimits(t *testing.T) {
-	home, asker, target := homeAndAsker(t)
-	nameLimit(asker, target, 2)
+// Full load reports carry the limits that the sender knows.
+func TestFullLoadReportsCarryLimits(t *testing.T) {
+	home, requester, target := startHomeAndRequester(t)
+	announceLimit(requester, target, 2)
 	home.until(t, "the limit", func() bool { return home.book.NoticeOf(target.ID).Limit.PerS == 2 })
 }
--- a/mesh/serve.go
+++ b/mesh/serve.go
@@ -7,50 +7,50 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// known returns this entry and the live others, for those who ask, and a channel that
-// is closed when they change.
-func (m *Mesh) known() (self peer.Presence, live []peer.Presence, changed <-chan struct{}) {
+// knownEntries returns this entry and the live others as sent to other processes, and a
+// channel that is closed when they change.
+func (m *Mesh) knownEntries() (self peer.Presence, live []peer.Presence, changed <-chan struct{}) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.presence(), m.live, m.changed
+	return m.presence(), m.live, m.liveChanged
 }
 
 // Serve handles a stream that another process opened with its Presence.
 func (m *Mesh) Serve(ctx context.Context, s *peer.Stream, first *peer.Presence) {
 	if first.Addr != "" {
-		m.heard(*first)
+		m.observe(*first)
 	}
-	go m.tell(ctx, s, *first)
-	id := m.engines.open()
+	go m.sendMembers(ctx, s, *first)
+	id := m.engines.openStream()
 	for {
 		msg, err := s.Recv(ctx)
 		if err != nil {
 			break
 		}
-		m.take(id, first, msg)
+		m.handle(id, first, msg)
 	}
-	m.agentGone(id, first.Engine)
-	m.engines.end(id)
+	m.agentStreamEnded(id, first.Engine)
+	m.engines.removeStream(id)
 }
 
-// take handles one message of a stream that another process opened.
-func (m *Mesh) take(id streamID, first *peer.Presence, msg peer.Message) {
+// handle processes one message of a stream that another process opened.
+func (m *Mesh) handle(id streamID, first *peer.Presence, msg peer.Message) {
 	switch v := msg.(type) {
 	case *peer.Loads:
 		from := *first
 		from.Leaving, from.Revision, from.Store = v.Leaving, v.Revision, v.Store
-		m.heard(from)
+		m.observe(from)
 		m.compareCopies(clock.Now(), from.Addr, v)
 		if v.Full {
-			m.compareCrashes(clock.Now(), from.Addr, v.CrashDigest)
+			m.compareCrashDigest(clock.Now(), from.Addr, v.CrashDigest)
 		}
 		m.listener.Loads(from.Addr, v)
 	case *peer.EngineState:
-		m.engines.hear(id, engineReport{*first, *v})
+		m.engines.add(id, engineReport{*first, *v})
 		m.forward(id, *first, *v)
 	case *peer.EngineStates:
-		m.reportsHeard(id, v)
+		m.receiveReports(id, v)
 	case *peer.Crashes:
-		m.learnCrashes(v)
+		m.mergeCrashes(v)
 	}
 }
--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -18,15 +18,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// processes are a fleet over several failure domains whose processes all start at once,
-// over pipes that count what is sent.
+// processes is a fleet over several failure domains whose processes all start at once, over
+// pipes that count what is sent.
 type processes struct {
 	members []*process // entries first
 	byAddr  map[string]*process
 	entries int
 }
 
-// process is an entry or an agent of them.
+// process is an entry or an agent of the fleet.
 type process struct {
 	fleet *processes
 	self  peer.Presence
@@ -35,13 +35,13 @@
 	meter *peer.Meter
 	stop  context.CancelFunc
 
-	mu       sync.Mutex
-	dark     atomic.Bool // its host has no power
-	down     bool        // refuses connections
-	conns    []*peer.Conn
-	engines  map[string]peer.EngineState // by address, as the mesh tells
-	assigned map[string]bool             // entries that assign, at agents
-	early    bool                        // one assigned before it was known as live
+	mu            sync.Mutex
+	poweredOff    atomic.Bool // the host has no power
+	down          bool        // refuses connections
+	conns         []*peer.Conn
+	engines       map[string]peer.EngineState // by address, as the mesh reported
+	assigned      map[string]bool             // at agents: entries that have sent an assignment
+	assignedEarly bool                        // at agents: an entry assigned before it was known as live
 }
 
 const fleetDomains = 5
@@ -82,15 +82,15 @@
 	} else {
 		o.OnAssignment = func(a peer.Assignment) {
 			known := hasAddr(m.mesh.Entries(), a.Entry)
-			m.note(func() { m.assigned[a.Entry], m.early = true, m.early || !known })
+			m.locked(func() { m.assigned[a.Entry], m.assignedEarly = true, m.assignedEarly || !known })
 		}
-		o.OnEntryLost = func(addr string) { m.note(func() { delete(m.assigned, addr) }) }
+		o.OnEntryLost = func(addr string) { m.locked(func() { delete(m.assigned, addr) }) }
 	}
 	next := New(o)
-	m.note(func() { m.mesh = next })
+	m.locked(func() { m.mesh = next })
 	ctx, cancel := context.WithCancel(context.Background())
 	m.stop = cancel
-	m.note(func() { m.down = false })
+	m.locked(func() { m.down = false })
 	go m.mesh.Run(ctx, loads)
 	if m.self.Addr == "" {
 		m.mesh.PublishEngineState(peer.EngineState{Addr: m.self.Engine, Model: "m", Version: 1})
@@ -99,7 +99,7 @@
 
 func (m *process) serve(ctx context.Context, s *peer.Stream, first peer.Message) {
 	var mesh *Mesh
-	m.note(func() { mesh = m.mesh }) // it is another one after a restart
+	m.locked(func() { mesh = m.mesh }) // replaced at a restart
 	if p, ok := first.(*peer.Presence); ok {
 		mesh.Serve(ctx, s, p)
 	}
@@ -107,8 +107,8 @@
 
 func (m *process) dial(ctx context.Context, addr string) (net.Conn, error) {
 	to := m.fleet.byAddr[addr]
-	if to.dark.Load() {
-		<-ctx.Done() // the opening packet is lost
+	if to.poweredOff.Load() {
+		<-ctx.Done() // the SYN is lost
 		return nil, ctx.Err()
 	}
 	to.mu.Lock()
@@ -132,19 +132,19 @@
 	return near, nil
 }
 
-func (m *process) note(f func()) {
+func (m *process) locked(f func()) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	f()
 }
 
-// Listener.
+// Methods of Listener.
 func (*process) Loads(string, *peer.Loads)              {}
-func (*process) EntryLost(string)                            {}
+func (*process) EntryLost(string)                       {}
 func (*process) Announced(time.Time) []peer.SeenVersion { return nil }
 func (*process) Notices() []peer.TargetNotice           { return nil }
 func (m *process) EngineState(a peer.Presence, s *peer.EngineState) {
-	m.note(func() {
+	m.locked(func() {
 		if s == nil {
 			delete(m.engines, a.Engine)
 			return
@@ -159,7 +159,7 @@
 func (m *process) kill() {
 	m.stop()
 	m.pool.Close()
-	m.note(func() {
+	m.locked(func() {
 		m.down = true
 		for _, c := range m.conns {
 			c.Close()
@@ -171,10 +171,10 @@
 	for _, m := range c.members {
 		m.kill()
 	}
-	time.Sleep(time.Second) // pauses between attempts end
+	time.Sleep(time.Second) // until pauses between attempts are over
 }
 
-// sent sums up what all processes sent over a border.
+// sent returns what all processes sent over a border.
 func (c *processes) sent(b peer.Border) (bytes, messages int64) {
 	for _, m := range c.members {
 		n, k := m.meter.SentAll(b)
@@ -183,44 +183,44 @@
 	return bytes, messages
 }
 
-// lacking returns how many reports of engines the live entries lack, where each should
-// know a version of each engine.
-func (c *processes) lacking(version int) int {
-	lacking := 0
+// missingReports returns how many engine reports the live entries lack, if each should know
+// version of each engine.
+func (c *processes) missingReports(version int) int {
+	missing := 0
 	for _, m := range c.members[:c.entries] {
-		m.note(func() {
+		m.locked(func() {
 			for _, agent := range c.members[c.entries:] {
 				if !m.down && m.engines[agent.self.Engine].Version != version {
-					lacking++
+					missing++
 				}
 			}
 		})
 	}
-	return lacking
+	return missing
 }
 
-func (c *processes) say(version int) {
+func (c *processes) publish(version int) {
 	for _, agent := range c.members[c.entries:] {
 		agent.mesh.PublishEngineState(peer.EngineState{Addr: agent.self.Engine, Model: "m", Version: version})
 	}
 }
 
-// All entries learn what all engines serve, though agents are linked to few of them;
-// also after a failure domain has lost all its entries, and when they are back.
+// All entries know what all engines serve although agents link to few entries, also after a
+// failure domain has lost all its entries and after these are back.
 func TestEntriesKnowAllEnginesThroughFewLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startFleet(20, 30)
 		defer c.stop()
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, c.lacking(1), 0)
+		assert.Equal(t, c.missingReports(1), 0)
 		for _, agent := range c.members[c.entries:] {
 			linked := len(agent.mesh.Entries())
 			assert.Assert(t, linked >= 1+farLinks && linked <= nearLinks+farLinks, "%d links", linked)
-			agent.note(func() { assert.Equal(t, len(agent.assigned), linked) })
+			agent.locked(func() { assert.Equal(t, len(agent.assigned), linked) })
 		}
-		c.say(2)
+		c.publish(2)
 		time.Sleep(200 * time.Millisecond)
-		assert.Equal(t, c.lacking(2), 0)
+		assert.Equal(t, c.missingReports(2), 0)
 
 		var lost []*process
 		for _, m := range c.members[:c.entries] {
@@ -230,12 +230,12 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		c.say(3)
+		c.publish(3)
 		time.Sleep(200 * time.Millisecond)
-		assert.Equal(t, c.lacking(3), 0, "agents of the domain name other speakers")
+		assert.Equal(t, c.missingReports(3), 0, "agents of the domain name other speakers")
 		for _, agent := range c.members[c.entries:] {
 			for _, m := range lost {
-				agent.note(func() { assert.Assert(t, !agent.assigned[m.self.Addr]) })
+				agent.locked(func() { assert.Assert(t, !agent.assigned[m.self.Addr]) })
 			}
 		}
 		for _, m := range lost {
@@ -243,7 +243,7 @@
 			m.start()
 		}
 		time.Sleep(3 * time.Second)
-		assert.Equal(t, c.lacking(3), 0)
+		assert.Equal(t, c.missingReports(3), 0)
 		for _, agent := range c.members[c.entries:] {
 			near := 0
 			for _, p := range agent.mesh.Entries() {
@@ -256,14 +256,14 @@
 	})
 }
 
-// The hosts of the entries get power back up to 0.4 s later than an agent's.
-func TestEntriesAreReachedSoonAfterTheirHostsAreBack(t *testing.T) {
+// The hosts of the entries get power up to 0.4 s later than an agent's.
+func TestEntriesAreLinkedSoonAfterTheirHostsGetPower(t *testing.T) {
 	for _, later := range []time.Duration{50, 150, 250, 350, 400} {
 		synctest.Test(t, func(t *testing.T) {
 			c := startFleet(5, 5)
 			defer c.stop()
 			for _, m := range c.members[:c.entries] {
-				m.dark.Store(true)
+				m.poweredOff.Store(true)
 				m.kill()
 			}
 			agent := c.members[c.entries]
@@ -272,7 +272,7 @@
 			agent.start()
 			time.Sleep(later * time.Millisecond)
 			for _, m := range c.members[:c.entries] {
-				m.dark.Store(false)
+				m.poweredOff.Store(false)
 				m.start()
 			}
 			time.Sleep(250 * time.Millisecond)
@@ -281,30 +281,30 @@
 	}
 }
 
-// An agent that is told what its engine is to serve can ask the entry that told it.
-func TestEntryThatAssignsCanBeAsked(t *testing.T) {
+// An agent that receives an assignment can at once send requests to the entry that sent it.
+func TestAssigningEntryIsKnownToTheAgent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startFleet(5, 5)
 		defer c.stop()
 		time.Sleep(2 * time.Second)
 		for _, agent := range c.members[c.entries:] {
-			agent.note(func() { assert.Assert(t, !agent.early, "an entry that assigned was not known yet") })
+			agent.locked(func() { assert.Assert(t, !agent.assignedEarly, "an entry that assigned was not known yet") })
 		}
 	})
 }
 
-// An agent that ends is forgotten by all entries.
-func TestAgentThatEndsIsForgottenEverywhere(t *testing.T) {
+// All entries drop the state of an agent's engine when the agent stops.
+func TestStoppedAgentIsRemovedAtAllEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := startFleet(10, 5)
 		defer c.stop()
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, c.lacking(1), 0)
+		assert.Equal(t, c.missingReports(1), 0)
 		gone := c.members[len(c.members)-1]
 		gone.kill()
 		time.Sleep(200 * time.Millisecond)
 		for _, m := range c.members[:c.entries] {
-			m.note(func() {
+			m.locked(func() {
 				_, known := m.engines[gone.self.Engine]
 				assert.Assert(t, !known)
 				assert.Equal(t, len(m.engines), 4)
@@ -313,8 +313,9 @@
 	})
 }
 
-// startBytes returns what one process sends between failure domains in the first 4 s, as
-// the mean of a fleet of a quarter entries, and in the 4 s after that.
+// startBytes returns the mean number of bytes and messages that a process sends between
+// failure domains in the first 4 s, and the bytes in the 4 s after that, for a fleet of which
+// a quarter are entries.
 func startBytes(t testing.TB, members int) (first, next, messages int64) {
 	c := startFleet(members/4, members-members/4)
 	defer c.stop()
@@ -322,13 +323,13 @@
 	first, messages = c.sent(peer.Far)
 	time.Sleep(4 * time.Second)
 	all, _ := c.sent(peer.Far)
-	assert.Equal(t, c.lacking(1), 0)
+	assert.Equal(t, c.missingReports(1), 0)
 	n := int64(members)
 	return first / n, (all - first) / n, messages / n
 }
 
-// What a process sends between failure domains when all start at once grows by less
-// than the fleet does: whole lists to everybody at each change grew with its cube.
+// What a process sends between failure domains when all start at once grows more slowly than
+// the fleet. Full lists to all at each change grew with the cube of the fleet's size.
 func TestStartSendsLittleBetweenFailureDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		small, _, _ := startBytes(t, 24)
@@ -337,8 +338,8 @@
 	})
 }
 
-// BenchmarkStart states the bytes and messages that one process sends between failure
-// domains in the first 4 s after all have started, and the bytes of the 4 s after that.
+// BenchmarkStart reports the bytes and messages that one process sends between failure domains
+// in the first 4 s after all have started, and the bytes of the 4 s after that.
 func BenchmarkStart(b *testing.B) {
 	for _, members := range []int{12, 48, 150} {
 		b.Run(fmt.Sprint(members), func(b *testing.B) {
--- a/mesh/source.go
+++ b/mesh/source.go
@@ -10,7 +10,7 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// peerSource is a peer's copy of the store as a source of mirrors.
+// peerSource is a peer's copy of the store as a mirror.Source.
 type peerSource struct {
 	mesh *Mesh
 	addr string
@@ -33,10 +33,10 @@
 	begun := clock.Now()
 	msg, err := s.mesh.pool.Call(ctx, s.addr, peer.Control, q)
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return mirror.Batch{}, ctx.Err() // called off, which says nothing of the peer
+		return mirror.Batch{}, ctx.Err() // canceled by the caller; the peer may be healthy
 	}
 	if err != nil {
-		s.mesh.lost(s.addr)
+		s.mesh.markUnreachable(s.addr)
 		return mirror.Batch{}, errors.Wrap(mirror.ErrUnavailable, err.Error())
 	}
 	reply, ok := msg.(*peer.MirrorBatch)
@@ -46,10 +46,10 @@
 	if reply.Status == peer.MirrorCompacted {
 		return mirror.Batch{}, mirror.ErrCompacted
 	}
-	// The answer has grown older on its way, by no more than all the time that
-	// the peer did not hold the question.
-	way := clock.Since(begun) - time.Duration(reply.HeldMs)*time.Millisecond
-	b := mirror.Batch{Revision: reply.Revision, UpTo: reply.UpTo, Age: time.Duration(reply.AgeMs)*time.Millisecond + max(0, way)}
+	// The answer is older on arrival than the peer stated, by at most the elapsed time less
+	// the time for which the peer held the request.
+	transit := clock.Since(begun) - time.Duration(reply.HeldMs)*time.Millisecond
+	b := mirror.Batch{Revision: reply.Revision, UpTo: reply.UpTo, Age: time.Duration(reply.AgeMs)*time.Millisecond + max(0, transit)}
 	for _, e := range reply.Events {
 		b.Events = append(b.Events, mirror.Event{Deleted: e.Deleted,
 			Item: mirror.Item{Key: e.Key, Value: e.Value, Revision: e.Revision}})
@@ -60,7 +60,7 @@
 // ServeMirror answers a peer's read of this process's copy.
 func (m *Mesh) ServeMirror(ctx context.Context, s *peer.Stream, q *peer.MirrorRead) {
 	reply := m.readMirror(ctx, q)
-	// The reader notices a reply that does not arrive by its own timeout.
+	// On failure the reader's timeout applies.
 	_ = s.SendLast(ctx, reply)
 }
 
@@ -82,9 +82,9 @@
 	return answer(begun, b)
 }
 
-// answer returns the message for a batch read for a question that came at begun.
-// The question counts as held up to when the age was read: what passes after that
-// is in neither.
+// answer returns the message for a batch, in reply to a request that arrived at begun. The
+// request counts as held until the age was read; later delays are not part of HeldMs, so
+// that the reader adds them to the age.
 func answer(begun time.Time, b mirror.Batch) *peer.MirrorBatch {
 	out := &peer.MirrorBatch{Revision: b.Revision, UpTo: b.UpTo, AgeMs: milliseconds(b.Age), HeldMs: b.At.Sub(begun).Milliseconds()}
 	for _, e := range b.Events {
--- a/mesh/store_test.go
+++ b/mesh/store_test.go
@@ -10,16 +10,16 @@
 	"github.com/springgate/springgate/mirror"
 )
 
-// fault is what happens to calls of one entry at the store.
+// fault is a fault of one entry or of its calls to the store.
 type fault string
 
 const (
-	works   fault = ""
-	silent  fault = "silent"  // no answer, also to calls that wait
-	refused fault = "refused" // calls that wait are answered, others fail at once
-	reset   fault = "reset"   // all calls fail at once, also those that wait
-	killed  fault = "killed"  // the entry dies
-	frozen  fault = "frozen"  // the entry stops, its connections stay open
+	healthy fault = ""
+	silent  fault = "silent"  // no call is answered, not even watches in progress
+	refused fault = "refused" // watches in progress are answered, new calls fail at once
+	reset   fault = "reset"   // all calls fail at once, also watches in progress
+	killed  fault = "killed"  // the entry is killed
+	frozen  fault = "frozen"  // the entry hangs, its connections stay open
 )
 
 var errFault = errors.New("store does not answer")
@@ -28,11 +28,11 @@
 type storeView struct {
 	store *mirror.Table
 
-	mu      sync.Mutex
-	fault   fault
-	changed chan struct{}        // closed when fault changes
-	calls   []time.Time          // when they began
-	hold    func() time.Duration // for how long an answer is held back once it is made; nil for not at all
+	mu          sync.Mutex
+	fault       fault
+	changed     chan struct{}        // closed when fault changes
+	calls       []time.Time          // when they began
+	answerDelay func() time.Duration // delay between making and returning an answer; nil for none
 }
 
 func (*storeView) Name() string { return "store" }
@@ -52,8 +52,8 @@
 	v.changed = make(chan struct{})
 }
 
-// since returns how many calls began after t.
-func (v *storeView) since(t time.Time) int {
+// callsSince returns how many calls began after t.
+func (v *storeView) callsSince(t time.Time) int {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	n := 0
@@ -65,14 +65,14 @@
 	return n
 }
 
-// last returns when the last call began.
-func (v *storeView) last() time.Time {
+// lastCall returns when the last call began.
+func (v *storeView) lastCall() time.Time {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.calls[len(v.calls)-1]
 }
 
-// call answers by f as far as the fault lets it.
+// call returns the result of f unless the fault prevents it.
 func (v *storeView) call(ctx context.Context, f func(context.Context) (mirror.Batch, error)) (mirror.Batch, error) {
 	v.mu.Lock()
 	v.calls = append(v.calls, time.Now())
@@ -94,7 +94,7 @@
 	go func() {
 		b, err := f(inner)
 		b.Age = 0
-		v.holdBack()
+		v.delayAnswer()
 		answered <- answer{b, err}
 	}()
 	for {
@@ -114,10 +114,10 @@
 	}
 }
 
-// holdBack keeps an answer that is made already for a while.
-func (v *storeView) holdBack() {
+// delayAnswer delays an answer that is already made.
+func (v *storeView) delayAnswer() {
 	v.mu.Lock()
-	hold := v.hold
+	hold := v.answerDelay
 	v.mu.Unlock()
 	if hold != nil {
 		time.Sleep(hold())
@@ -128,14 +128,14 @@
 	return v.call(ctx, func(context.Context) (mirror.Batch, error) { return v.pages() })
 }
 
-// pages reads all items in two pages, the second later than the first, as the store's
-// pages are no snapshot.
+// pages reads all items in two pages, the second later than the first, because the store's
+// pages are not a snapshot.
 func (v *storeView) pages() (mirror.Batch, error) {
 	first, err := v.store.Range(time.Now())
 	if err != nil {
 		return mirror.Batch{}, err
 	}
-	v.holdBack()
+	v.delayAnswer()
 	second, err := v.store.Range(time.Now())
 	onFirst := func(e mirror.Event) bool { return e.Key < secondPage }
 	out := mirror.Batch{Revision: first.Revision, UpTo: second.Revision}
@@ -144,7 +144,7 @@
 	return out, err
 }
 
-// secondPage is the key that the second page of a whole read begins with.
+// secondPage is the first key of the second page.
 const secondPage = "servers/10"
 
 func (v *storeView) Watch(ctx context.Context, _ string, after int64, wait time.Duration) (mirror.Batch, error) {
--- a/mesh/suspension_test.go
+++ b/mesh/suspension_test.go
@@ -10,12 +10,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// A machine that was suspended told others that it had seen the store a moment ago, took
-// entries for live that had been silent for long, and its clock, by which others date what
-// it saw, lagged by the suspension for good.
+// Guards against faults after a host was suspended: it claimed to have just seen the store,
+// took entries for live that had been silent for long, and its clock, by which others date
+// what it saw, lagged by the suspension for good.
 //
-// The store falls silent before the suspension: an entry may call it in the very moment in
-// which the machine wakes, and its copy is then as young as it says.
+// The store stops answering before the suspension. Otherwise an entry might call it as soon as
+// the host resumes, and its copy would then be as young as it claims.
 func TestSuspension(t *testing.T) {
 	for _, d := range []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -25,7 +25,7 @@
 			for _, e := range all.all {
 				e.view.set(silent)
 			}
-			synctest.Wait() // all have taken what is on its way
+			synctest.Wait() // until all messages in flight are handled
 			m := all.all[0].mesh
 			before := m.ownPresence().Store
 			assert.Check(t, before.Known && before.AgeMs <= 1000, "age %d ms", before.AgeMs)
@@ -34,7 +34,7 @@
 			assert.Check(t, after.AgeMs >= before.AgeMs+d.Milliseconds(), "age %d ms", after.AgeMs)
 			assert.Check(t, after.ClockMs >= before.ClockMs+d.Milliseconds(), "clock %d ms", after.ClockMs)
 			time.Sleep(time.Second)
-			all.all[1].suffer(frozen)
+			all.all[1].inject(frozen)
 			machine.Suspend(d)
 			time.Sleep(2 * m.cfg.Interval)
 			assert.Check(t, len(m.Entries()) == 0, "silent for %v, but live", d)
@@ -43,7 +43,7 @@
 	}
 }
 
-// ownPresence returns what the mesh says of itself.
+// ownPresence returns what the mesh sends about itself.
 func (m *Mesh) ownPresence() peer.Presence {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/mesh/updates.go
+++ b/mesh/updates.go
@@ -14,40 +14,43 @@
 // fleet starts.
 const memberUpdateInterval = 100 * time.Millisecond
 
-// introducers is how many entries tell an entry of the others, beside the seeds: one that
-// learns of them from few still links to all, and all so learn of it.
-const introducers = 3
+// introducerCount is how many entries, besides the seeds, announce the other members to an
+// entry. A few suffice: an entry that learns the members links to all of them, so that all
+// learn of it.
+const introducerCount = 3
 
 // memberUpdates tracks which members have been announced on a stream. Each is announced
-// once: whole lists at each change grow with the product of members and streams. It is pure.
+// once: sending full lists at each change grows with the product of members and streams. It
+// performs no I/O.
 type memberUpdates struct {
 	to          peer.Presence
-	seed        bool            // this entry is one that others begin with
-	told        map[string]bool // addresses
-	begun       bool
-	saidLeaving bool
+	seed        bool            // this entry is a seed
+	announced   map[string]bool // by address
+	senderSent  bool
+	leavingSent bool
 }
 
 func newMemberUpdates(to peer.Presence, seed bool) *memberUpdates {
-	return &memberUpdates{to: to, seed: seed, told: map[string]bool{}}
+	return &memberUpdates{to: to, seed: seed, announced: map[string]bool{}}
 }
 
-// next returns what the other side has not been told yet, or nil.
-func (n *memberUpdates) next(self peer.Presence, live []peer.Presence) *peer.Presences {
-	if n.to.Engine == "" {
-		return n.forEntry(self, live)
+// next returns what has not been announced on the stream yet, or nil.
+func (u *memberUpdates) next(self peer.Presence, live []peer.Presence) *peer.Presences {
+	if u.to.Engine == "" {
+		return u.forEntry(self, live)
 	}
-	return n.forAgent(self, live)
+	return u.forAgent(self, live)
 }
 
-// forEntry tells the addresses of all others, if this entry is to tell them.
-func (n *memberUpdates) forEntry(self peer.Presence, live []peer.Presence) *peer.Presences {
-	if !n.seed && !slices.Contains(membership.Rank(n.to.Addr, append(addrsOf(live), self.Addr), introducers), self.Addr) {
+// forEntry announces the addresses of all other entries if this entry is an introducer of
+// the receiver.
+func (u *memberUpdates) forEntry(self peer.Presence, live []peer.Presence) *peer.Presences {
+	if !u.seed && !slices.Contains(membership.Rank(u.to.Addr, append(addrsOf(live), self.Addr), introducerCount), self.Addr) {
 		return nil
 	}
 	msg := &peer.Presences{}
 	for _, p := range live {
-		if p.Addr != n.to.Addr && n.isNew(p.Addr) {
+		if p.Addr != u.to.Addr && u.markAnnounced(p.Addr) {
 			msg.Addrs = append(msg.Addrs, p.Addr)
 		}
 	}
@@ -57,63 +60,63 @@
 	return msg
 }
 
-// forAgent tells of this entry, and of those that the agent should link to as far as
-// they are known here.
-func (n *memberUpdates) forAgent(self peer.Presence, live []peer.Presence) *peer.Presences {
+// forAgent announces this entry and, of the live ones, those that the agent should link to.
+func (u *memberUpdates) forAgent(self peer.Presence, live []peer.Presence) *peer.Presences {
 	msg := &peer.Presences{}
-	if !n.begun || self.Leaving != n.saidLeaving {
+	if !u.senderSent || self.Leaving != u.leavingSent {
 		msg.Sender = self
 	}
 	known := []candidate{{self, true}}
 	for _, p := range live {
 		known = append(known, candidate{p, true})
 	}
-	chosen := chooseLinks(n.to, known)
+	chosen := chooseLinks(u.to, known)
 	for _, p := range live {
-		if slices.Contains(chosen, p.Addr) && n.isNew(p.Addr) {
+		if slices.Contains(chosen, p.Addr) && u.markAnnounced(p.Addr) {
 			msg.Others = append(msg.Others, p)
 		}
 	}
 	if msg.Sender.Addr == "" && len(msg.Others) == 0 {
 		return nil
 	}
-	n.begun, n.saidLeaving = true, self.Leaving
+	u.senderSent, u.leavingSent = true, self.Leaving
 	return msg
 }
 
-// isNew takes an address for told and reports whether it was not.
-func (n *memberUpdates) isNew(addr string) bool {
-	was := n.told[addr]
-	n.told[addr] = true
-	return !was
+// markAnnounced marks an address as announced and reports whether it was not before.
+func (u *memberUpdates) markAnnounced(addr string) bool {
+	known := u.announced[addr]
+	u.announced[addr] = true
+	return !known
 }
 
-// tell tells a stream of the members and, if it is an agent's, what its engine is to
-// serve. An agent knows the entry before it hears that: it asks the entry for pieces.
-func (m *Mesh) tell(ctx context.Context, s *peer.Stream, to peer.Presence) {
-	n := newMemberUpdates(to, m.seed)
-	changed, ok := m.sendUpdate(ctx, s, n)
+// sendMembers sends the members and, on a stream of an agent, assignments and crash records.
+// The agent must know this entry before its first assignment arrives, because it then
+// requests pieces from the entry.
+func (m *Mesh) sendMembers(ctx context.Context, s *peer.Stream, to peer.Presence) {
+	u := newMemberUpdates(to, m.isSeed)
+	changed, ok := m.sendUpdate(ctx, s, u)
 	if !ok {
 		return
 	}
 	if to.Engine != "" {
-		go m.tellAssignments(ctx, s, to)
-		go m.tellCrashes(ctx, s)
+		go m.sendAssignments(ctx, s, to)
+		go m.sendCrashesToAgent(ctx, s)
 	}
-	m.sendUpdates(ctx, s, n, changed)
+	m.sendUpdates(ctx, s, u, changed)
 }
 
-// sendUpdate sends what the stream has not been told. It returns a channel that is closed
-// at the next change, and false if the stream has ended.
-func (m *Mesh) sendUpdate(ctx context.Context, s *peer.Stream, n *memberUpdates) (changed <-chan struct{}, ok bool) {
-	self, live, changed := m.known()
-	msg := n.next(self, live)
+// sendUpdate sends what has not been announced on the stream. It returns a channel that is
+// closed at the next change; ok is false if the stream has ended.
+func (m *Mesh) sendUpdate(ctx context.Context, s *peer.Stream, u *memberUpdates) (changed <-chan struct{}, ok bool) {
+	self, live, changed := m.knownEntries()
+	msg := u.next(self, live)
 	return changed, msg == nil || s.Send(ctx, msg) == nil
 }
 
-// sendUpdates tells a stream of the members as they change.
-func (m *Mesh) sendUpdates(ctx context.Context, s *peer.Stream, n *memberUpdates, changed <-chan struct{}) {
-	for ok := true; ok; changed, ok = m.sendUpdate(ctx, s, n) {
+// sendUpdates announces members on a stream as they change.
+func (m *Mesh) sendUpdates(ctx context.Context, s *peer.Stream, u *memberUpdates, changed <-chan struct{}) {
+	for ok := true; ok; changed, ok = m.sendUpdate(ctx, s, u) {
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -125,8 +128,8 @@
 	}
 }
 
-// tellAssignments tells an agent what its engine is to serve whenever that changes.
-func (m *Mesh) tellAssignments(ctx context.Context, s *peer.Stream, to peer.Presence) {
+// sendAssignments sends an agent the assignment of its engine whenever it changes.
+func (m *Mesh) sendAssignments(ctx context.Context, s *peer.Stream, to peer.Presence) {
 	for {
 		assignment, changed := m.listener.Assignment(to)
 		if assignment != nil && s.Send(ctx, assignment) != nil {
--- a/mesh/updates_test.go
+++ b/mesh/updates_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func fleetOf(n int) []peer.Presence {
+func presencesOf(n int) []peer.Presence {
 	var out []peer.Presence
 	for i := range n {
 		out = append(out, peer.Presence{Host: fmt.Sprint("h-", i), Domain: fmt.Sprint("d-", i%5), Addr: fmt.Sprint("e-", i), Incarnation: 1, LinkMbps: 200})
@@ -16,42 +16,43 @@
 	return out
 }
 
-// Each member is told of once on a stream, however often members change.
-func TestEachEntryIsToldOfOnce(t *testing.T) {
-	self, all := peer.Presence{Addr: "self", Domain: "d-0"}, fleetOf(35)
+// Each member is announced once on a stream, however often members change.
+func TestEachEntryIsAnnouncedOnce(t *testing.T) {
+	self, all := peer.Presence{Addr: "self", Domain: "d-0"}, presencesOf(35)
 	n := newMemberUpdates(peer.Presence{Addr: "e-3"}, true)
-	told := map[string]int{}
+	announced := map[string]int{}
 	for k := range all {
 		if msg := n.next(self, all[:k+1]); msg != nil {
 			for _, addr := range msg.Addrs {
-				told[addr]++
+				announced[addr]++
 			}
 		}
 	}
-	assert.Equal(t, len(told), len(all)-1, "all but the receiver")
-	for addr, times := range told {
+	assert.Equal(t, len(announced), len(all)-1, "all but the receiver")
+	for addr, times := range announced {
 		assert.Equal(t, times, 1, addr)
 	}
 	assert.Assert(t, n.next(self, all) == nil)
 }
 
-// An entry is told by the seeds and three more, so that what is told does not grow with
-// the cube of the fleet.
-func TestFewEntriesTellOne(t *testing.T) {
-	all := fleetOf(35)
-	telling := 0
+// Members are announced to an entry only by the seeds and three more, so that the number of
+// announcements does not grow with the cube of the fleet.
+func TestFewEntriesAnnounceMembersToAnEntry(t *testing.T) {
+	all := presencesOf(35)
+	announcing := 0
 	for i, self := range all {
 		others := append(append([]peer.Presence(nil), all[:i]...), all[i+1:]...)
 		if newMemberUpdates(peer.Presence{Addr: "new"}, false).next(self, others) != nil {
-			telling++
+			announcing++
 		}
 	}
-	assert.Equal(t, telling, introducers)
+	assert.Equal(t, announcing, introducerCount)
 }
 
-// An agent is told of the entries that it links to, and enough of each to choose.
-func TestAgentIsToldOfTheEntriesNearby(t *testing.T) {
-	all := fleetOf(35)
+// Only the entries that an agent should link to are announced to it, with the data that it
+// needs to choose among them.
+func TestAgentLearnsTheEntriesToLinkTo(t *testing.T) {
+	all := presencesOf(35)
 	n := newMemberUpdates(peer.Presence{Host: "agent", Domain: "d-1", Engine: "engine"}, false)
 	self := peer.Presence{Addr: "self", Domain: "d-0"}
 	msg := n.next(self, all)
