--- a/mesh/account_test.go
+++ b/mesh/account_test.go
@@ -39,7 +39,7 @@
 			}
 		}
 		perSecond := (sent - 1) * entries / 10 // the first one is sent at once
-		assert.Assert(t, perSecond <= 700, "%d messages a second among %d entries", perSecond, entries)
+		assert.Assert(t, perSecond <= 700, "%d messages per second with %d entries", perSecond, entries)
 	}
 }
 
--- a/mesh/copies_test.go
+++ b/mesh/copies_test.go
@@ -139,8 +139,8 @@
 				}
 				time.Sleep(settleDuration)
 				for _, e := range all.all {
-					assert.Check(t, e.mesh.repairs.Count() == 0, "%s read the store again because copies differed", e.addr)
-					assert.Check(t, e.table.Revision() == all.store.Revision(), "%s", e.addr)
+					assert.Check(t, e.mesh.repairs.Count() == 0, "%s repaired its copy because it differed from a peer's", e.addr)
+					assert.Check(t, e.table.Revision() == all.store.Revision(), "%s is not at the revision of the store", e.addr)
 					assert.DeepEqual(t, contentsOf(e.table), contentsOf(all.store))
 				}
 			})
@@ -164,7 +164,7 @@
 		all.write("servers/01", true)
 		time.Sleep(time.Second)
 		assert.Equal(t, lost.table.Revision(), all.store.Revision())
-		assert.Assert(t, len(contentsOf(lost.table)) > len(contentsOf(all.store)), "the change is lost")
+		assert.Assert(t, len(contentsOf(lost.table)) > len(contentsOf(all.store)), "the copy must have missed the change")
 		time.Sleep(3 * time.Second)
 		assert.DeepEqual(t, contentsOf(lost.table), contentsOf(all.store))
 		time.Sleep(2 * time.Second)
@@ -172,7 +172,7 @@
 			assert.Assert(t, !e.seesDifference(), e.addr)
 			// Other entries read the store again only if they detect the difference before it is repaired.
 			n := e.mesh.repairs.Count()
-			assert.Check(t, n == 1 || n == 0 && e != lost, "%s read %d times, %s had lost the change", e.addr, n, lost.addr)
+			assert.Check(t, n == 1 || n == 0 && e != lost, "%s repaired its copy %d times; %s missed the change", e.addr, n, lost.addr)
 		}
 	})
 }
--- a/mesh/differ.go
+++ b/mesh/differ.go
@@ -91,9 +91,9 @@
 		err := mirror.ReadWhole(ctx, m.store, m.table)
 		l := m.log.WithField("revision", m.table.Revision())
 		if err != nil {
-			l.WithError(err).Warn("Could not read the store again.")
+			l.WithError(err).Warn("Full read of the store after a difference between copies failed.")
 			return
 		}
-		l.Info("Copy differed, read the store again.")
+		l.Info("Read the full store again because the own copy differed from a peer's.")
 	}()
 }
--- a/mesh/differ_test.go
+++ b/mesh/differ_test.go
@@ -14,11 +14,11 @@
 	d := differences{}
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
 	assert.Assert(t, !d.compare(at(0), "a", false))
-	assert.Assert(t, !d.compare(at(200), "a", true), "they agree again")
+	assert.Assert(t, !d.compare(at(200), "a", true), "the copies are equal again")
 	assert.Assert(t, !d.compare(at(500), "a", false))
 	assert.Assert(t, !d.any())
 	assert.Assert(t, d.compare(at(2500), "a", false))
-	assert.Assert(t, !d.compare(at(3000), "a", false), "told before")
+	assert.Assert(t, !d.compare(at(3000), "a", false), "reported before")
 	assert.Assert(t, d.any())
 	assert.Assert(t, !d.compare(at(3500), "a", true))
 	assert.Assert(t, !d.any())
--- a/mesh/follow.go
+++ b/mesh/follow.go
@@ -121,7 +121,7 @@
 		m.sourceLoggedAt = now
 	}
 	m.log.WithFields(logrus.Fields{"from": sourceName(old.follows), "source": sourceName(m.role.follows), "reason": m.role.reason,
-		"entries": len(m.role.candidates)}).Log(level, "Source of the copy changed.")
+		"entries": len(m.role.candidates)}).Log(level, "Source of the store copy changed.")
 }
 
 func sourceName(addr string) string {
--- a/mesh/follow_test.go
+++ b/mesh/follow_test.go
@@ -51,11 +51,11 @@
 					}
 					for n := range 6 {
 						for addr, delay := range lag(all.except(lost), all.change(), changeInterval) {
-							assert.Check(t, delay <= maxLag, "change %d: %s learnt of it after %v", n, addr, delay)
+							assert.Check(t, delay <= maxLag, "change %d: %s received it after %v", n, addr, delay)
 						}
 					}
 					for _, e := range all.except(lost) {
-						assert.Check(t, !e.sawOutage(), "the copy of %s was confirmed all along", e.addr)
+						assert.Check(t, !e.sawOutage(), "%s detected an outage although its copy was confirmed throughout", e.addr)
 					}
 				})
 			})
@@ -78,18 +78,18 @@
 				}
 				for range 3 {
 					for addr, delay := range lag(lost, all.change(), changeInterval) {
-						assert.Check(t, delay <= maxLag, "%s learnt of it after %v", addr, delay)
+						assert.Check(t, delay <= maxLag, "%s received the change after %v", addr, delay)
 					}
 				}
 				for _, e := range all.all {
-					assert.Check(t, !e.sawOutage(), "the copy of %s was confirmed all along", e.addr)
+					assert.Check(t, !e.sawOutage(), "%s detected an outage although its copy was confirmed throughout", e.addr)
 				}
 				for _, e := range lost {
 					e.view.set(healthy)
 				}
 				time.Sleep(10 * time.Second)
 				for _, e := range lost {
-					assert.Check(t, e.view.callsSince(time.Now().Add(-2*time.Second)) > 0, "%s reads the store again", e.addr)
+					assert.Check(t, e.view.callsSince(time.Now().Add(-2*time.Second)) > 0, "%s does not read the store again", e.addr)
 				}
 			})
 		})
@@ -115,7 +115,7 @@
 		}
 		for n := range 4 {
 			for addr, delay := range lag(all.all, all.change(), changeInterval) {
-				assert.Check(t, delay <= maxLag, "change %d: %s learnt of it after %v", n, addr, delay)
+				assert.Check(t, delay <= maxLag, "change %d: %s received it after %v", n, addr, delay)
 			}
 		}
 	})
@@ -125,7 +125,7 @@
 // copies.
 func TestEntriesWithoutTheStoreDoNotConfirmEachOther(t *testing.T) {
 	for _, delay := range []time.Duration{0, 20 * time.Millisecond} {
-		t.Run(fmt.Sprint("way ", delay), func(t *testing.T) {
+		t.Run(fmt.Sprint("delay ", delay), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				all := startEntriesStaggered(t, entryCount, delay, 0)
 				defer all.stop()
@@ -133,7 +133,7 @@
 				cut := time.Now()
 				for _, e := range all.all {
 					at, _ := e.table.Read()
-					assert.Check(t, at.Sub(e.view.lastCall()) <= watchWait, "%s tells of a read that it did not make", e.addr)
+					assert.Check(t, at.Sub(e.view.lastCall()) <= watchWait, "%s reports a read later than its last call", e.addr)
 				}
 				for i, e := range all.all {
 					e.view.set([]fault{silent, reset}[i%2]) // neither answers a watch
@@ -142,7 +142,7 @@
 				for _, e := range all.all {
 					b, err := e.table.Range(time.Now())
 					assert.NilError(t, err)
-					assert.Check(t, b.Age >= time.Since(cut)-delay, "%s holds its copy for %v old", e.addr, b.Age)
+					assert.Check(t, b.Age >= time.Since(cut)-delay, "%s considers its copy %v old", e.addr, b.Age)
 				}
 			})
 		})
@@ -169,7 +169,7 @@
 					}
 					for n := range 3 {
 						for addr, delay := range lag(all.except(lost), all.change(), changeInterval) {
-							assert.Check(t, delay <= maxLag, "change %d: %s learnt of it after %v", n, addr, delay)
+							assert.Check(t, delay <= maxLag, "change %d: %s received it after %v", n, addr, delay)
 						}
 					}
 				})
@@ -195,7 +195,7 @@
 		b, err := src.Watch(t.Context(), "", far.table.Revision(), 200*time.Millisecond)
 		assert.NilError(t, err)
 		age := time.Since(far.table.ContactAt())
-		assert.Check(t, b.Age >= age && b.Age <= age+10*time.Millisecond, "%v, and is %v old", b.Age, age)
+		assert.Check(t, b.Age >= age && b.Age <= age+10*time.Millisecond, "age %v, want %v", b.Age, age)
 	})
 }
 
@@ -248,7 +248,7 @@
 	cfg := Config{}.applyDefaults()
 	table := mirror.NewTable("")
 	m := New(Options{Table: table})
-	assert.Equal(t, m.catchUpDelay(start), cfg.CatchUpAfter, "there is no copy")
+	assert.Equal(t, m.catchUpDelay(start), cfg.CatchUpAfter, "without a copy")
 	table.Replace(start, mirror.Batch{Revision: 1})
 	assert.Equal(t, m.catchUpDelay(start.Add(cfg.StaleAfter)), cfg.CatchUpAfter)
 	assert.Equal(t, m.catchUpDelay(start.Add(cfg.StaleAfter+1)), time.Duration(0))
@@ -284,7 +284,7 @@
 				}
 				calls := all.callsSince(begin)
 				assert.Check(t, calls >= 170 && calls <= 183, "%d calls in a minute", calls)
-				assert.Check(t, oldest <= 1100*time.Millisecond, "a copy was %v old", oldest)
+				assert.Check(t, oldest <= 1100*time.Millisecond, "maximum age of a copy: %v", oldest)
 			})
 		})
 	}
@@ -314,11 +314,11 @@
 		}
 		assert.Equal(t, infrequent, 8)
 		for addr, delay := range lag(all.all, all.change(), changeInterval) {
-			assert.Check(t, delay <= maxLag, "%s learnt of it after %v", addr, delay)
+			assert.Check(t, delay <= maxLag, "%s received the change after %v", addr, delay)
 		}
 		for _, e := range all.all {
 			down, _ := e.follower.Outage()
-			assert.Check(t, !down, "%s does not know that the outage is over", e.addr)
+			assert.Check(t, !down, "%s has not detected the end of the outage", e.addr)
 		}
 	})
 }
@@ -343,15 +343,15 @@
 				assert.Check(t, calls <= entryCount*int(outage/time.Second), "%d calls", calls)
 				for _, e := range all.all {
 					down, _ := e.follower.Outage()
-					assert.Check(t, down, "%s does not know of the outage", e.addr)
+					assert.Check(t, down, "%s has not detected the outage", e.addr)
 					e.view.set(healthy)
 				}
 				for addr, delay := range lag(all.all, all.change(), changeInterval) {
-					assert.Check(t, delay <= maxLag, "%s learnt of it after %v", addr, delay)
+					assert.Check(t, delay <= maxLag, "%s received the change after %v", addr, delay)
 				}
 				for _, e := range all.all {
 					down, ended := e.follower.Outage()
-					assert.Check(t, !down && time.Since(ended) < outage, "%s does not know that the outage is over", e.addr)
+					assert.Check(t, !down && time.Since(ended) < outage, "%s has not detected the end of the outage", e.addr)
 				}
 			})
 		})
--- a/mesh/forwarder.go
+++ b/mesh/forwarder.go
@@ -39,7 +39,7 @@
 	}
 	old := m.forwarder
 	m.forwarder = m.nearestLive()
-	m.log.WithFields(logrus.Fields{"from": old, "forwarder": m.forwarder}).Debug("Forwarder changed.")
+	m.log.WithFields(logrus.Fields{"from": old, "forwarder": m.forwarder}).Debug("Forwarder of engine reports changed.")
 	for _, addr := range []string{old, m.forwarder} {
 		if l := m.links[addr]; l != nil && m.latestReport != nil {
 			l.setReport(m.reportFor(addr))
--- a/mesh/members_test.go
+++ b/mesh/members_test.go
@@ -33,7 +33,7 @@
 func TestMemberExpires(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
 	assert.Assert(t, m.Observe(start, presence("b:1", 1, 0)))
-	assert.Assert(t, !m.Observe(start, presence("b:1", 1, 0)), "known already")
+	assert.Assert(t, !m.Observe(start, presence("b:1", 1, 0)), "the member is live already")
 	assert.DeepEqual(t, addrs(m.Live(start.Add(expire))), []string{"b:1"})
 	assert.Equal(t, len(m.Live(start.Add(expire+1))), 0)
 	assert.DeepEqual(t, m.Addrs(), []string{"b:1"}) // it is still dialed
@@ -44,7 +44,7 @@
 	m.Observe(start, presence("b:1", 2, 9))
 	assert.Assert(t, !m.Observe(start, presence("b:1", 1, 50)))
 	assert.Equal(t, m.Live(start)[0].Revision, int64(9))
-	assert.Assert(t, m.Observe(start, presence("b:1", 3, 0)), "a restart is news")
+	assert.Assert(t, m.Observe(start, presence("b:1", 3, 0)), "a new incarnation counts as new")
 }
 
 func TestLeavingMemberIsNotLive(t *testing.T) {
@@ -81,11 +81,11 @@
 func TestLowerIncarnationIsAcceptedWhenTheHigherIsNotLive(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
 	m.Observe(start, presence("b:1", 5, 9))
-	assert.Assert(t, !m.Observe(start.Add(expire), presence("b:1", 3, 1)), "the other one is live")
+	assert.Assert(t, !m.Observe(start.Add(expire), presence("b:1", 3, 1)), "the higher incarnation is still live")
 	assert.Assert(t, m.Observe(start.Add(expire+1), presence("b:1", 3, 1)))
 	assert.Equal(t, m.Live(start.Add(expire + 1))[0].Incarnation, uint64(3))
 	m.MarkUnreachable("b:1")
-	assert.Assert(t, m.Observe(start.Add(expire+2), presence("b:1", 2, 1)), "its link broke")
+	assert.Assert(t, m.Observe(start.Add(expire+2), presence("b:1", 2, 1)), "the higher incarnation is unreachable")
 
 	// As an agent records a linked entry.
 	m.Observe(start.Add(linkValidity), presence("c:1", 5, 9))
@@ -106,7 +106,7 @@
 	m.Observe(start, presenceSeenAt(time.Hour))
 	for _, transit := range []time.Duration{time.Millisecond, 450 * time.Millisecond, 3 * time.Second, time.Minute} {
 		m.Observe(start.Add(10*time.Second+transit), presenceSeenAt(time.Hour+10*time.Second))
-		assert.Equal(t, m.ConfirmedAt(7), start.Add(10*time.Second), "%v on its way", transit)
+		assert.Equal(t, m.ConfirmedAt(7), start.Add(10*time.Second), "transit time %v", transit)
 	}
 	// The clock of the next incarnation starts again at zero.
 	p := presenceSeenAt(time.Second)
@@ -124,7 +124,7 @@
 		for at := time.Duration(0); at < 24*time.Hour; at += time.Second {
 			m.Observe(start.Add(at), presenceSeenAt(time.Duration(float64(at)*(1+sign*drift))))
 			offset := start.Add(at).Sub(m.ConfirmedAt(7))
-			assert.Assert(t, offset >= 0 && offset <= 35*time.Millisecond, "wrong by %v after %v", offset, at)
+			assert.Assert(t, offset >= 0 && offset <= 35*time.Millisecond, "error of %v after %v", offset, at)
 		}
 	}
 	m := NewMembers("a:1", nil, expire)
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -144,7 +144,7 @@
 		case <-changed:
 		case <-time.After(5 * time.Millisecond):
 		case <-t.Context().Done():
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -154,9 +154,9 @@
 	seeds := []string{a.server.Addr()}
 	b := startNode(t, "b", 1, seeds, false, nil)
 	c := startNode(t, "c", 1, seeds, false, nil)
-	b.until(t, "b hears a and c", func() bool { return len(b.mesh.Entries()) == 2 })
-	c.until(t, "c hears a and b", func() bool { return len(c.mesh.Entries()) == 2 })
-	b.until(t, "the load of a", func() bool { return b.loads[a.server.Addr()] == 1 })
+	b.until(t, "b to discover a and c", func() bool { return len(b.mesh.Entries()) == 2 })
+	c.until(t, "c to discover a and b", func() bool { return len(c.mesh.Entries()) == 2 })
+	b.until(t, "b to receive the load of a", func() bool { return b.loads[a.server.Addr()] == 1 })
 }
 
 // An entry that is cut off from the store reads a peer's copy.
@@ -166,7 +166,7 @@
 	item := mirror.Event{Item: mirror.Item{Key: "k", Value: []byte("v"), Revision: 3}}
 	b.table.Replace(time.Now(), mirror.Batch{Revision: 1})
 	a.table.Replace(time.Now(), mirror.Batch{Events: []mirror.Event{item}, Revision: 4})
-	b.until(t, "b has the item", func() bool { return b.table.Revision() == 4 })
+	b.until(t, "b to have the item", func() bool { return b.table.Revision() == 4 })
 	items, _ := b.table.Items()
 	assert.Equal(t, string(items[0].Value), "v")
 }
@@ -178,7 +178,7 @@
 	assert.Equal(t, (<-agent.assignments).Version, 7)
 	agent.mesh.PublishEngineState(peer.EngineState{Addr: "engine-of-agent", Model: "m", Version: 7})
 	for _, n := range []*node{a, b} {
-		n.until(t, "the engine's state", func() bool {
+		n.until(t, "the state of the engine", func() bool {
 			s := n.engines["engine-of-agent"]
 			return s != nil && s.Version == 7
 		})
@@ -189,7 +189,7 @@
 func TestReserveCallsTheHome(t *testing.T) {
 	a := startNode(t, "a", 1, nil, false, nil)
 	b := startNode(t, "b", 1, []string{a.server.Addr()}, false, nil)
-	a.until(t, "both", func() bool { return len(a.mesh.Entries()) == 1 && len(b.mesh.Entries()) == 1 })
+	a.until(t, "both entries to discover each other", func() bool { return len(a.mesh.Entries()) == 1 && len(b.mesh.Entries()) == 1 })
 	id := ""
 	// The addresses, and so the homes, differ from run to run.
 	for n := 0; id == ""; n++ {
@@ -208,5 +208,5 @@
 	assert.Equal(t, b.reserver.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted)
 	assert.Equal(t, b.reserver.Reserve(t.Context(), choice, 10), dispatch.PlaceDenied, "the home has granted its only place")
 	a.server.Close()
-	assert.Equal(t, b.reserver.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted, "nobody to ask")
+	assert.Equal(t, b.reserver.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted, "the home is unreachable")
 }
--- a/mesh/reach_test.go
+++ b/mesh/reach_test.go
@@ -31,12 +31,12 @@
 	}
 	for i, addr := range got {
 		assert.Equal(t, byAddr[addr].Domain == "a", i < nearLinks, addr)
-		assert.Assert(t, i >= nearLinks || byAddr[addr].LinkMbps == 200, "a slow link before a fast one")
+		assert.Assert(t, i >= nearLinks || byAddr[addr].LinkMbps == 200, "a slow link takes precedence over a fast one")
 	}
 	for i := range known {
 		known[i].live = known[i].Domain == "b"
 	}
-	assert.Equal(t, chooseLinks(self, known)[nearLinks+farLinks], "seed", "nobody of the domain answers")
+	assert.Equal(t, chooseLinks(self, known)[nearLinks+farLinks], "seed", "no entry of the domain is live")
 	assert.DeepEqual(t, chooseLinks(self, known[len(known)-1:]), []string{"seed"})
 }
 
@@ -62,7 +62,7 @@
 		}
 		for addr := range linked {
 			if !next[addr] {
-				t.Fatalf("the link to %s ends because others joined", addr)
+				t.Fatalf("the link to %s is dropped because others joined", addr)
 			}
 		}
 	})
--- a/mesh/reports_test.go
+++ b/mesh/reports_test.go
@@ -16,17 +16,17 @@
 func TestNewestReportOfAnEngineIsInEffect(t *testing.T) {
 	e := engineReports{}
 	assert.Assert(t, e.add(1, report(1, 1, 5)))
-	assert.Assert(t, !e.add(2, report(1, 1, 5)), "the same report from an entry that passes it on")
+	assert.Assert(t, !e.add(2, report(1, 1, 5)), "the same report forwarded by an entry")
 	assert.Assert(t, e.add(2, report(1, 2, 6)))
-	assert.Assert(t, !e.add(1, report(1, 1, 5)), "an old report that came late")
+	assert.Assert(t, !e.add(1, report(1, 1, 5)), "an old report that arrives late")
 	w, _ := e.newest("e")
 	assert.Equal(t, w.state.Version, 6)
 	got := e.removeStream(2)
 	assert.Equal(t, len(got), 1)
-	assert.Equal(t, got[0].report.state.Version, 5, "the agent itself said it")
+	assert.Equal(t, got[0].report.state.Version, 5, "the report from the agent itself remains")
 	assert.Assert(t, got[0].known)
 	got = e.removeStream(1)
-	assert.Assert(t, len(got) == 1 && !got[0].known, "nobody speaks of the engine")
+	assert.Assert(t, len(got) == 1 && !got[0].known, "no report of the engine remains")
 	assert.Equal(t, len(e), 0)
 }
 
@@ -35,7 +35,7 @@
 	e := engineReports{}
 	e.add(1, report(1, 40, 5))
 	assert.Assert(t, e.add(2, report(2, 1, 0)))
-	assert.Equal(t, len(e.removeStream(1)), 0, "the old agent's stream ends later")
+	assert.Equal(t, len(e.removeStream(1)), 0, "the stream of the old incarnation is not in effect")
 	w, ok := e.newest("e")
 	assert.Assert(t, ok && w.state.Version == 0)
 }
--- a/mesh/reserve_test.go
+++ b/mesh/reserve_test.go
@@ -16,7 +16,7 @@
 func startHomeAndRequester(t *testing.T) (home, requester *node, target *fleet.Instance) {
 	home = startNode(t, "a", 1, nil, false, nil)
 	requester = startNode(t, "b", 1, []string{home.server.Addr()}, false, nil)
-	home.until(t, "both", func() bool { return len(home.mesh.Entries()) == 1 && len(requester.mesh.Entries()) == 1 })
+	home.until(t, "both entries to discover each other", func() bool { return len(home.mesh.Entries()) == 1 && len(requester.mesh.Entries()) == 1 })
 	target = &fleet.Instance{ID: targetIDWithHome(requester, home, "i"), Service: "s", Domain: "a", Slots: 8}
 	for _, n := range []*node{home, requester} {
 		n.book.Apply([]*fleet.Instance{target}, map[string]*fleet.Service{"s": {Name: "s"}})
@@ -68,9 +68,9 @@
 	home, requester, target := startHomeAndRequester(t)
 	unknown := *target
 	unknown.ID = targetIDWithHome(requester, home, "unknown")
-	assert.Equal(t, requester.reserver.Reserve(t.Context(), paced(&unknown), 10), dispatch.PlaceHeld, "a home that does not know it")
+	assert.Equal(t, requester.reserver.Reserve(t.Context(), paced(&unknown), 10), dispatch.PlaceHeld, "the home does not know the target")
 	home.server.Close()
-	assert.Equal(t, requester.reserver.Reserve(t.Context(), paced(target), 10), dispatch.PlaceHeld, "nobody to ask")
+	assert.Equal(t, requester.reserver.Reserve(t.Context(), paced(target), 10), dispatch.PlaceHeld, "the home is unreachable")
 	choice := paced(target)
 	choice.Paced = false
 	assert.Equal(t, requester.reserver.Reserve(t.Context(), choice, 10), dispatch.PlaceGranted)
@@ -80,5 +80,5 @@
 func TestFullLoadReportsCarryLimits(t *testing.T) {
 	home, requester, target := startHomeAndRequester(t)
 	announceLimit(requester, target, 2)
-	home.until(t, "the limit", func() bool { return home.book.NoticeOf(target.ID).Limit.PerS == 2 })
+	home.until(t, "the home to receive the limit", func() bool { return home.book.NoticeOf(target.ID).Limit.PerS == 2 })
 }
--- a/mesh/role_test.go
+++ b/mesh/role_test.go
@@ -23,7 +23,7 @@
 	for _, p := range []peer.Presence{b, c, d} {
 		m.Observe(start, p)
 	}
-	assert.Assert(t, m.ConfirmedAt(6).IsZero(), "b and c saw more, d did not see it")
+	assert.Assert(t, m.ConfirmedAt(6).IsZero(), "b and c saw later revisions, d did not see the store")
 	assert.Equal(t, m.ConfirmedAt(7), start.Add(-300*time.Millisecond))
 	assert.Equal(t, m.ConfirmedAt(9), start.Add(-100*time.Millisecond))
 }
@@ -59,7 +59,7 @@
 func TestReadersAreAmongThoseThatReachTheStore(t *testing.T) {
 	for _, failing := range []int{0, 3, 20, 40} {
 		readers, _ := assignRoles(t, 40, failing)
-		assert.Equal(t, readers, readerCount, "%d of 40 do not reach it", failing)
+		assert.Equal(t, readers, readerCount, "%d of 40 do not reach the store", failing)
 	}
 }
 
@@ -80,7 +80,7 @@
 		r := chooseRole(peer.Presence{Addr: self.addr, Host: self.addr, Domain: self.domain}, candidates)
 		if r.follows != "" && domainOf[r.follows] != self.domain {
 			followedFrom[self.domain]++
-			assert.Equal(t, self.linkMbps, 200.0, "it has a fast link")
+			assert.Equal(t, self.linkMbps, 200.0, "a domain relay must have a fast link")
 		}
 	}
 	withReader := map[string]bool{}
@@ -110,7 +110,7 @@
 	}
 	assert.DeepEqual(t, count, map[time.Duration]int{0: firstGroupRanks, groupReadDelay: secondGroupRanks - firstGroupRanks, 2 * groupReadDelay: 40 - secondGroupRanks})
 	_, delays = assignRoles(t, 40, 6)
-	assert.Equal(t, delays[0], 2*groupReadDelay, "an entry whose calls fail leaves it to others")
+	assert.Equal(t, delays[0], 2*groupReadDelay, "an entry whose calls fail reads last")
 	assert.Equal(t, delays[6], time.Duration(0))
 }
 
--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -232,7 +232,7 @@
 		time.Sleep(3 * time.Second)
 		c.publish(3)
 		time.Sleep(200 * time.Millisecond)
-		assert.Equal(t, c.missingReports(3), 0, "agents of the domain name other speakers")
+		assert.Equal(t, c.missingReports(3), 0, "agents of the domain must choose other forwarders")
 		for _, agent := range c.members[c.entries:] {
 			for _, m := range lost {
 				agent.locked(func() { assert.Assert(t, !agent.assigned[m.self.Addr]) })
@@ -251,7 +251,7 @@
 					near++
 				}
 			}
-			assert.Equal(t, near, 4, "agents find the entries of their domain again")
+			assert.Equal(t, near, 4, "agents must link to the entries of their domain again")
 		}
 	})
 }
@@ -276,7 +276,7 @@
 				m.start()
 			}
 			time.Sleep(250 * time.Millisecond)
-			assert.Assert(t, len(agent.mesh.Entries()) > 0, "%d ms", later)
+			assert.Assert(t, len(agent.mesh.Entries()) > 0, "not linked; entries powered on %d ms after the agent", later)
 		})
 	}
 }
@@ -288,7 +288,7 @@
 		defer c.stop()
 		time.Sleep(2 * time.Second)
 		for _, agent := range c.members[c.entries:] {
-			agent.locked(func() { assert.Assert(t, !agent.assignedEarly, "an entry that assigned was not known yet") })
+			agent.locked(func() { assert.Assert(t, !agent.assignedEarly, "an assignment arrived before its entry was known") })
 		}
 	})
 }
--- a/mesh/suspension_test.go
+++ b/mesh/suspension_test.go
@@ -37,7 +37,7 @@
 			all.all[1].inject(frozen)
 			machine.Suspend(d)
 			time.Sleep(2 * m.cfg.Interval)
-			assert.Check(t, len(m.Entries()) == 0, "silent for %v, but live", d)
+			assert.Check(t, len(m.Entries()) == 0, "an entry that was silent for %v is still live", d)
 			all.stop()
 		})
 	}
--- a/mesh/updates_test.go
+++ b/mesh/updates_test.go
@@ -28,7 +28,7 @@
 			}
 		}
 	}
-	assert.Equal(t, len(announced), len(all)-1, "all but the receiver")
+	assert.Equal(t, len(announced), len(all)-1, "all entries but the receiver")
 	for addr, times := range announced {
 		assert.Equal(t, times, 1, addr)
 	}
