--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -20,14 +20,14 @@
 
 // node is an entry or an agent of the tests on loopback.
 type node struct {
-	mesh   *Mesh
-	table  *mirror.Table
-	book   *dispatch.Balancer
-	homes  *Reserver
-	server *peer.Server
+	mesh     *Mesh
+	table    *mirror.Table
+	book     *dispatch.Balancer
+	reserver *Reserver
+	server   *peer.Server
 
 	mu          sync.Mutex
-	loads       map[string]int // targets in the last account, by sender
+	loads       map[string]int // targets in the last load report, by sender
 	engines     map[string]*peer.EngineState
 	assignments chan peer.Assignment
 	changed     chan struct{}
@@ -52,14 +52,14 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	o := Options{Self: self, Seeds: seeds, Pool: peer.NewPool(hello, n.serve, meter), Log: log,
-		Config: Config{RetryAfter: 20 * time.Millisecond, BehindAfter: 20 * time.Millisecond}}
+		Config: Config{RetryAfter: 20 * time.Millisecond, CatchUpAfter: 20 * time.Millisecond}}
 	if agent {
-		o.Assigned = func(a peer.Assignment) { n.assignments <- a }
+		o.OnAssignment = func(a peer.Assignment) { n.assignments <- a }
 	} else {
 		o.Listener, o.Table = n, n.table
 	}
 	n.mesh = New(o)
-	n.homes = NewReserver(n.mesh, n.book, 0)
+	n.reserver = NewReserver(n.mesh, n.book, 0)
 	ctx, cancel := context.WithCancel(t.Context())
 	var loads func() []peer.TargetLoad
 	if !agent {
@@ -85,11 +85,11 @@
 	case *peer.MirrorRead:
 		n.mesh.ServeMirror(ctx, s, m)
 	case *peer.Reserve:
-		n.homes.Serve(ctx, s, m)
+		n.reserver.Serve(ctx, s, m)
 	}
 }
 
-func (n *node) note(f func()) {
+func (n *node) update(f func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	f()
@@ -98,22 +98,22 @@
 }
 
 func (n *node) Loads(from string, l *peer.Loads) {
-	n.note(func() {
+	n.update(func() {
 		if l.Full {
 			n.loads[from] = len(l.Targets)
 		}
 		for _, x := range l.Notices {
-			if told, ok := x.Decode(); ok {
-				n.book.MergeReport(clock.Now(), told)
+			if notice, ok := x.Decode(); ok {
+				n.book.MergeReport(clock.Now(), notice)
 			}
 		}
 	})
 }
 
-func (n *node) Lost(string) { n.note(func() {}) }
+func (n *node) EntryLost(string) { n.update(func() {}) }
 
 func (n *node) EngineState(agent peer.Presence, s *peer.EngineState) {
-	n.note(func() { n.engines[agent.Engine] = s })
+	n.update(func() { n.engines[agent.Engine] = s })
 }
 
 func (n *node) Assignment(peer.Presence) (*peer.Assignment, <-chan struct{}) {
@@ -124,13 +124,13 @@
 
 func (n *node) Notices() []peer.TargetNotice {
 	var out []peer.TargetNotice
-	for _, told := range n.book.Reports() {
-		out = append(out, peer.EncodeNotice(told))
+	for _, notice := range n.book.Reports() {
+		out = append(out, peer.EncodeNotice(notice))
 	}
 	return out
 }
 
-// until waits until ok holds; it is asked after each message and each round.
+// until waits until ok returns true; it is called after each message and every 5 ms.
 func (n *node) until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for t.Context().Err() == nil {
@@ -144,7 +144,7 @@
 		case <-changed:
 		case <-time.After(5 * time.Millisecond):
 		case <-t.Context().Done():
-			t.Fatalf("never: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 	}
 }
@@ -154,42 +154,42 @@
 	seeds := []string{a.server.Addr()}
 	b := startNode(t, "b", 1, seeds, false, nil)
 	c := startNode(t, "c", 1, seeds, false, nil)
-	b.until(t, "b hears a and c", func() bool { return len(b.mesh.Entries()) == 2 })
-	c.until(t, "c hears a and b", func() bool { return len(c.mesh.Entries()) == 2 })
-	b.until(t, "the load of a", func() bool { return b.loads[a.server.Addr()] == 1 })
+	b.until(t, "b to discover a and c", func() bool { return len(b.mesh.Entries()) == 2 })
+	c.until(t, "c to discover a and b", func() bool { return len(c.mesh.Entries()) == 2 })
+	b.until(t, "b to receive the load of a", func() bool { return b.loads[a.server.Addr()] == 1 })
 }
 
-// An entry that is cut off from the store reads what a peer has.
+// An entry that is cut off from the store reads a peer's copy.
 func TestEntryCatchesUpFromAPeer(t *testing.T) {
 	a := startNode(t, "a", 1, nil, false, nil)
 	b := startNode(t, "b", 1, []string{a.server.Addr()}, false, nil)
 	item := mirror.Event{Item: mirror.Item{Key: "k", Value: []byte("v"), Revision: 3}}
 	b.table.Replace(time.Now(), mirror.Batch{Revision: 1})
 	a.table.Replace(time.Now(), mirror.Batch{Events: []mirror.Event{item}, Revision: 4})
-	b.until(t, "b has the item", func() bool { return b.table.Revision() == 4 })
+	b.until(t, "b to have the item", func() bool { return b.table.Revision() == 4 })
 	items, _ := b.table.Items()
 	assert.Equal(t, string(items[0].Value), "v")
 }
 
-func TestAgentIsAssignedAndHeard(t *testing.T) {
+func TestAgentReceivesAssignmentAndReportsItsEngine(t *testing.T) {
 	a := startNode(t, "a", 1, nil, false, nil)
 	b := startNode(t, "b", 1, []string{a.server.Addr()}, false, nil)
 	agent := startNode(t, "agent", 1, []string{a.server.Addr()}, true, nil)
 	assert.Equal(t, (<-agent.assignments).Version, 7)
-	agent.mesh.Say(peer.EngineState{Addr: "engine-of-agent", Model: "m", Version: 7})
+	agent.mesh.PublishEngineState(peer.EngineState{Addr: "engine-of-agent", Model: "m", Version: 7})
 	for _, n := range []*node{a, b} {
-		n.until(t, "the engine's state", func() bool {
+		n.until(t, "the state of the engine", func() bool {
 			s := n.engines["engine-of-agent"]
 			return s != nil && s.Version == 7
 		})
 	}
 }
 
-// A target's home decides; an entry that cannot ask it goes on alone.
-func TestReserveAsksTheHome(t *testing.T) {
+// A target's home decides; an entry that cannot reach the home decides on its own.
+func TestReserveCallsTheHome(t *testing.T) {
 	a := startNode(t, "a", 1, nil, false, nil)
 	b := startNode(t, "b", 1, []string{a.server.Addr()}, false, nil)
-	a.until(t, "both", func() bool { return len(a.mesh.Entries()) == 1 && len(b.mesh.Entries()) == 1 })
+	a.until(t, "both entries to discover each other", func() bool { return len(a.mesh.Entries()) == 1 && len(b.mesh.Entries()) == 1 })
 	id := ""
 	// The addresses, and so the homes, differ from run to run.
 	for n := 0; id == ""; n++ {
@@ -203,10 +203,10 @@
 	for _, n := range []*node{a, b} {
 		n.book.Apply([]*fleet.Instance{instance}, services)
 	}
-	b.homes.timeout = time.Minute
+	b.reserver.timeout = time.Minute
 	choice := dispatch.Choice{Instance: *instance, Admission: dispatch.Admission{MaxWait: 100 * time.Millisecond}}
-	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationGranted)
-	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationDenied, "the home has granted its only place")
+	assert.Equal(t, b.reserver.Reserve(t.Context(), choice, 10), dispatch.ReservationGranted)
+	assert.Equal(t, b.reserver.Reserve(t.Context(), choice, 10), dispatch.ReservationDenied, "the home has granted its only place")
 	a.server.Close()
-	assert.Equal(t, b.homes.Reserve(t.Context(), choice, 10), dispatch.ReservationGranted, "nobody to ask")
+	assert.Equal(t, b.reserver.Reserve(t.Context(), choice, 10), dispatch.ReservationGranted, "the home is unreachable")
 }
