--- a/command/sidecar.go
+++ b/command/sidecar.go
@@ -102,9 +102,9 @@
 	defer cancel()
 	var agent *sidecar.Sidecar
 	network := mesh.New(mesh.Options{Self: p.self, Seeds: p.settings.Seeds, Pool: p.pool, Log: telemetry.Part(p.log, "mesh"),
-		Crashes:    quarantine.NewTable(),
-		OnAssignment:   func(a peer.Assignment) { agent.Assign(clock.Now(), a) },
-		OnEntryLost: func(entry string) { agent.RemoveEntry(entry) }})
+		Crashes:      quarantine.NewTable(),
+		OnAssignment: func(a peer.Assignment) { agent.Assign(clock.Now(), a) },
+		OnEntryLost:  func(entry string) { agent.RemoveEntry(entry) }})
 	agent = sidecar.New(sidecar.Config{Off: f.off, FirstStart: p.settings.FirstStart}, platform.NewEngines(), p.settings.EngineAddr, entrySource{network, p.call},
 		network.PublishEngineState, sidecar.NewStats(p.metrics), telemetry.Part(p.log, "sidecar"))
 	peers, err := peer.Listen(p.self.Pieces, p.hello(), agent.ServePiece, p.meter)
