--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -133,7 +133,7 @@
 			f.regained(src)
 			continue
 		}
-		if errors.Is(err, ErrMoved) {
+		if errors.Is(err, ErrSourceChanged) {
 			continue
 		}
 		f.failures++
@@ -203,7 +203,7 @@
 	go func() {
 		select {
 		case <-moved:
-			cancel(ErrMoved)
+			cancel(ErrSourceChanged)
 		case <-ctx.Done():
 		}
 	}()
@@ -213,8 +213,8 @@
 			"revision": f.table.Revision()}).Info("History is gone, reading all again.")
 		err = f.readAll(ctx, src)
 	}
-	if err != nil && errors.Is(context.Cause(ctx), ErrMoved) {
-		return ErrMoved
+	if err != nil && errors.Is(context.Cause(ctx), ErrSourceChanged) {
+		return ErrSourceChanged
 	}
 	if err != nil && ctx.Err() == nil && !f.lost {
 		f.lost = true
--- a/mirror/table.go
+++ b/mirror/table.go
@@ -19,9 +19,9 @@
 	ErrCompacted = errors.New("mirror: history compacted")
 	// ErrUnavailable says that a source answered but cannot serve.
 	ErrUnavailable = errors.New("mirror: source unavailable")
-	// ErrMoved says that a watch was called off because another source is to be
+	// ErrSourceChanged says that a watch was called off because another source is to be
 	// followed.
-	ErrMoved = errors.New("mirror: another source is followed")
+	ErrSourceChanged = errors.New("mirror: another source is followed")
 )
 
 // Item is one key of the store.
