--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -45,7 +45,7 @@
 	metrics    metrics.Registry
 	made       time.Time         // zero of the clock that is told to others
 	moves      metrics.Counter   // changes of the source of the own copy
-	store      *mirror.Contact   // set by Follow
+	store      *mirror.MonitoredStore   // set by Follow
 	crashes    *quarantine.Table // of requests; nil for none
 	engines    *reportRegistry
 	seed       bool // others begin with this entry
--- a/mirror/contact.go
+++ b/mirror/contact.go
@@ -17,9 +17,9 @@
 // rangeOverdueAfter is likewise of a read of a whole copy, which goes on all the same.
 const rangeOverdueAfter = time.Second
 
-// Contact is the store as this process reaches it: a Source that knows whether
+// MonitoredStore is the store as this process reaches it: a Source that knows whether
 // its calls fail. Its methods may be called concurrently.
-type Contact struct {
+type MonitoredStore struct {
 	store Source
 	log   logrus.FieldLogger
 
@@ -32,22 +32,22 @@
 }
 
 // NewContact returns the contact to a store that was not called yet.
-func NewContact(store Source, log logrus.FieldLogger) *Contact {
-	return &Contact{store: store, log: log, again: make(chan struct{})}
+func NewContact(store Source, log logrus.FieldLogger) *MonitoredStore {
+	return &MonitoredStore{store: store, log: log, again: make(chan struct{})}
 }
 
 // Name implements Source.
-func (c *Contact) Name() string { return c.store.Name() }
+func (c *MonitoredStore) Name() string { return c.store.Name() }
 
 // Paid implements Paid.
-func (c *Contact) Paid() bool {
+func (c *MonitoredStore) Paid() bool {
 	p, ok := c.store.(Paid)
 	return ok && p.Paid()
 }
 
 // Failing reports whether the last call failed, or waits for longer than it
 // should.
-func (c *Contact) Failing() bool {
+func (c *MonitoredStore) Failing() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.failures > 0
@@ -55,14 +55,14 @@
 
 // last returns when the last call began and how many have failed since one
 // worked.
-func (c *Contact) last() (called time.Time, failures int) {
+func (c *MonitoredStore) last() (called time.Time, failures int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.called, c.failures
 }
 
 // reached returns a channel that is closed when a call works after others failed.
-func (c *Contact) reached() <-chan struct{} {
+func (c *MonitoredStore) reached() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.again
@@ -70,7 +70,7 @@
 
 // Range implements Source. Pages are read one after the other, so the copy is as
 // old as the first.
-func (c *Contact) Range(ctx context.Context, prefix string) (Batch, error) {
+func (c *MonitoredStore) Range(ctx context.Context, prefix string) (Batch, error) {
 	call := c.begin()
 	overdue := clock.AfterFunc(rangeOverdueAfter, func() { c.fail(call, errors.New("mirror: read of a whole copy is overdue")) })
 	b, err := c.store.Range(ctx, prefix)
@@ -82,7 +82,7 @@
 
 // Watch implements Source. An answer without changes was made when the wait was
 // over, or later; one with changes at any time since the call began.
-func (c *Contact) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Batch, error) {
+func (c *MonitoredStore) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Batch, error) {
 	call := c.begin()
 	overdue := clock.AfterFunc(wait+overdueAfter, func() { c.fail(call, errors.New("mirror: watch is overdue")) })
 	b, err := c.store.Watch(ctx, prefix, after, wait)
@@ -101,7 +101,7 @@
 	failed bool // it was counted; guarded by Contact.mu
 }
 
-func (c *Contact) begin() *storeCall {
+func (c *MonitoredStore) begin() *storeCall {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.called = clock.Now()
@@ -109,7 +109,7 @@
 }
 
 // end notes the result of a call; one that was called off says nothing.
-func (c *Contact) end(ctx context.Context, call *storeCall, err error) {
+func (c *MonitoredStore) end(ctx context.Context, call *storeCall, err error) {
 	switch {
 	case err == nil || errors.Is(err, ErrCompacted):
 		c.work(call.begun)
@@ -120,7 +120,7 @@
 
 // fail notes that a call failed, unless a later one worked. A call that is overdue
 // and then fails counts once.
-func (c *Contact) fail(call *storeCall, err error) {
+func (c *MonitoredStore) fail(call *storeCall, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if call.failed || call.begun.Before(c.worked) {
@@ -134,7 +134,7 @@
 	}
 }
 
-func (c *Contact) work(begun time.Time) {
+func (c *MonitoredStore) work(begun time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.worked = later(c.worked, begun)
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -82,7 +82,7 @@
 type Follower struct {
 	cfg   Config
 	table *Table
-	store *Contact
+	store *MonitoredStore
 	route Route
 	log   logrus.FieldLogger
 	stats *Stats
@@ -98,7 +98,7 @@
 type Options struct {
 	Config Config
 	Table  *Table
-	Store  *Contact
+	Store  *MonitoredStore
 	Route  Route
 	Log    logrus.FieldLogger
 	Stats  *Stats
--- a/mirror/table_test.go
+++ b/mirror/table_test.go
@@ -153,7 +153,7 @@
 func (routeFunc) Backup() bool            { return false }
 
 // newFollower returns a follower of table with the default times.
-func newFollower(table *Table, store *Contact, route routeFunc) *Follower {
+func newFollower(table *Table, store *MonitoredStore, route routeFunc) *Follower {
 	return NewFollower(Options{Table: table, Store: store, Route: route, Log: quiet(), Stats: NewStats(metrics.NewRegistry())})
 }
 
