--- a/mesh/follow.go
+++ b/mesh/follow.go
@@ -59,7 +59,7 @@
 // store up to date, from the store or from other entries. It is called once,
 // before Run.
 func (m *Mesh) Follow(cfg mirror.Config, store mirror.Source, log logrus.FieldLogger) *mirror.Follower {
-	m.store = mirror.NewContact(store, log)
+	m.store = mirror.NewMonitoredStore(store, log)
 	return mirror.NewFollower(mirror.Options{Config: cfg, Table: m.table, Store: m.store, Route: m, Log: log,
 		Stats: mirror.NewStats(m.metrics)})
 }
--- a/mirror/contact.go
+++ b/mirror/contact.go
@@ -31,8 +31,8 @@
 	again    chan struct{}
 }
 
-// NewContact returns the contact to a store that was not called yet.
-func NewContact(store Source, log logrus.FieldLogger) *MonitoredStore {
+// NewMonitoredStore returns the contact to a store that was not called yet.
+func NewMonitoredStore(store Source, log logrus.FieldLogger) *MonitoredStore {
 	return &MonitoredStore{store: store, log: log, again: make(chan struct{})}
 }
 
--- a/mirror/contact_test.go
+++ b/mirror/contact_test.go
@@ -48,7 +48,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				contact := NewContact(c.store, quiet())
+				contact := NewMonitoredStore(c.store, quiet())
 				read := func() (Batch, error) { return contact.Watch(t.Context(), "", 1, c.wait) }
 				if c.wholePrefix {
 					read = func() (Batch, error) { return contact.Range(t.Context(), "") }
@@ -65,7 +65,7 @@
 // A watch that is overdue and then given up failed once.
 func TestCallThatTimesOutCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := NewContact(&hanging{}, quiet())
+		c := NewMonitoredStore(&hanging{}, quiet())
 		for n := 1; n <= 3; n++ {
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			_, err := c.Watch(ctx, "", 1, time.Second)
@@ -122,7 +122,7 @@
 				store := &paidTable{Table: NewTable("")}
 				store.Replace(time.Now(), Batch{Revision: 1})
 				table := NewTable("")
-				contact := NewContact(store, quiet())
+				contact := NewMonitoredStore(store, quiet())
 				f := newFollower(table, contact, func() Source { return contact })
 				go f.Run(ctx)
 				synctest.Wait()
--- a/mirror/guard_test.go
+++ b/mirror/guard_test.go
@@ -30,7 +30,7 @@
 		var revision atomic.Int64
 		revision.Store(7)
 		table := NewTable("")
-		f := newFollower(table, NewContact(storeAt(&revision), quiet()), func() Source { return &hanging{} })
+		f := newFollower(table, NewMonitoredStore(storeAt(&revision), quiet()), func() Source { return &hanging{} })
 		go f.Run(ctx)
 		time.Sleep(1400 * time.Millisecond)
 		assert.Equal(t, table.Revision(), int64(7))
@@ -53,7 +53,7 @@
 		none := func() (Batch, error) { return Batch{}, ErrUnavailable }
 		peer := &scripted{name: "peer", all: none, watch: func(int64) (Batch, error) { return none() }}
 		table := NewTable("")
-		f := newFollower(table, NewContact(storeAt(&revision), quiet()), func() Source { return peer })
+		f := newFollower(table, NewMonitoredStore(storeAt(&revision), quiet()), func() Source { return peer })
 		go f.Run(ctx)
 		synctest.Wait()
 		assert.Equal(t, table.Revision(), int64(7))
@@ -75,7 +75,7 @@
 		}}
 		peer := &scripted{name: "peer", all: func() (Batch, error) { return Batch{Revision: 1}, nil },
 			watch: func(after int64) (Batch, error) { return Batch{Revision: after}, nil }}
-		contact := NewContact(store, quiet())
+		contact := NewMonitoredStore(store, quiet())
 		_, err := contact.Watch(ctx, "", 1, 0)
 		assert.ErrorContains(t, err, "refused")
 		f := newFollower(NewTable(""), contact, func() Source { return peer })
@@ -103,7 +103,7 @@
 			<-answer
 			return Batch{}, errors.New("lost")
 		}
-		c := NewContact(store, quiet())
+		c := NewMonitoredStore(store, quiet())
 		done := make(chan error, 1)
 		go func() {
 			_, err := c.Watch(t.Context(), "", 1, time.Second)
@@ -126,7 +126,7 @@
 func TestContactIgnoresWhatWasCalledOff(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	c := NewContact(&hanging{}, quiet())
+	c := NewMonitoredStore(&hanging{}, quiet())
 	_, err := c.Watch(ctx, "", 1, time.Second)
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.Assert(t, !c.Failing())
@@ -139,7 +139,7 @@
 		defer cancel()
 		var revision atomic.Int64
 		revision.Store(1)
-		store := NewContact(storeAt(&revision), quiet())
+		store := NewMonitoredStore(storeAt(&revision), quiet())
 		table := NewTable("")
 		r := &movable{first: &hanging{}, moved: make(chan struct{})}
 		f := NewFollower(Options{Table: table, Store: store, Route: r, Log: quiet(), Stats: newFollower(table, store, nil).stats})
--- a/mirror/suspension_test.go
+++ b/mirror/suspension_test.go
@@ -32,7 +32,7 @@
 				time.Sleep(time.Millisecond) // nothing is read in the moment in which the machine wakes
 				return answer(after)
 			}
-			f := newFollower(table, NewContact(store, quiet()), func() Source { return &hanging{} })
+			f := newFollower(table, NewMonitoredStore(store, quiet()), func() Source { return &hanging{} })
 			go f.Run(ctx)
 			time.Sleep(1400 * time.Millisecond)
 			assert.Equal(t, table.Revision(), int64(7))
--- a/mirror/table_test.go
+++ b/mirror/table_test.go
@@ -178,7 +178,7 @@
 			return Batch{Revision: after}, nil
 		}
 		table := NewTable("")
-		f := newFollower(table, NewContact(src, quiet()), nil)
+		f := newFollower(table, NewMonitoredStore(src, quiet()), nil)
 		go f.Run(ctx)
 		time.Sleep(time.Second)
 		assert.DeepEqual(t, contents(table), map[string]string{"a": "9"})
@@ -212,7 +212,7 @@
 		peer := &scripted{name: "peer", all: func() (Batch, error) { return Batch{Events: []Event{set("a", 3)}, Revision: 3}, nil }}
 		peer.watch = func(after int64) (Batch, error) { return Batch{Revision: max(after, 3)}, nil }
 		table := NewTable("")
-		contact := NewContact(store, quiet())
+		contact := NewMonitoredStore(store, quiet())
 		f := newFollower(table, contact, func() Source {
 			if contact.Failing() {
 				return peer
@@ -243,7 +243,7 @@
 			}
 			return Batch{Revision: after}, nil
 		}
-		f := newFollower(NewTable(""), NewContact(src, quiet()), nil)
+		f := newFollower(NewTable(""), NewMonitoredStore(src, quiet()), nil)
 		go f.Run(ctx)
 		time.Sleep(3 * time.Second)
 		isDown, ended := f.Outage()
@@ -270,7 +270,7 @@
 		for range 7 {
 			table := NewTable("")
 			tables = append(tables, table)
-			go newFollower(table, NewContact(link, quiet()), nil).Run(ctx)
+			go newFollower(table, NewMonitoredStore(link, quiet()), nil).Run(ctx)
 		}
 		time.Sleep(4 * time.Second)
 		for _, table := range tables {
@@ -319,7 +319,7 @@
 		defer cancel()
 		src := &hanging{}
 		table := NewTable("")
-		f := newFollower(table, NewContact(src, quiet()), nil)
+		f := newFollower(table, NewMonitoredStore(src, quiet()), nil)
 		go f.Run(ctx)
 		time.Sleep(4 * time.Second)
 		assert.Assert(t, src.calls.Load() >= 2)
@@ -354,7 +354,7 @@
 			return Batch{Revision: after}, nil
 		}
 		table := NewTable("")
-		f := newFollower(table, NewContact(store, quiet()), func() Source { return peer })
+		f := newFollower(table, NewMonitoredStore(store, quiet()), func() Source { return peer })
 		go f.Run(ctx)
 		time.Sleep(4 * time.Second)
 		assert.DeepEqual(t, contents(table), map[string]string{"a": "7"})
@@ -381,7 +381,7 @@
 func TestBurstOfChangesCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &paidSource{}
-		f := newFollower(NewTable(""), NewContact(src, quiet()), nil)
+		f := newFollower(NewTable(""), NewMonitoredStore(src, quiet()), nil)
 		ctx, cancel := context.WithTimeout(t.Context(), 1900*time.Millisecond)
 		defer cancel()
 		f.Run(ctx)
