--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -18,11 +18,11 @@
 	// watch that was cut without a word is noticed only after it. Default 1 s:
 	// configurations must be in force within 2 s.
 	Wait time.Duration
-	// Interval is the least time between the starts of two watches at a source
+	// MinWatchInterval is the least time between the starts of two watches at a source
 	// whose calls are paid for: each change ends a watch, and changes come in
 	// bursts. A change after a quiet time is seen at once. Default 200 ms, a tenth
 	// of the time in which a configuration must be in force.
-	Interval time.Duration
+	MinWatchInterval time.Duration
 	// Timeout bounds how late a watch may be. Default 1 s.
 	Timeout time.Duration
 	// RangeTimeout bounds the read of a whole copy. One of 3,000 targets has 1 MB,
@@ -50,7 +50,7 @@
 
 func (c Config) applyDefaults() Config {
 	c.Wait = cmp.Or(c.Wait, time.Second)
-	c.Interval = cmp.Or(c.Interval, 200*time.Millisecond)
+	c.MinWatchInterval = cmp.Or(c.MinWatchInterval, 200*time.Millisecond)
 	c.Timeout = cmp.Or(c.Timeout, time.Second)
 	c.RangeTimeout = cmp.Or(c.RangeTimeout, rangeTimeout)
 	c.Backoff = cmp.Or(c.Backoff, 50*time.Millisecond)
@@ -229,7 +229,7 @@
 	if after == 0 {
 		return f.readAll(ctx, src)
 	}
-	if p, ok := src.(Paid); ok && p.Paid() && !loop.Sleep(ctx, f.cfg.Interval-clock.Since(f.watched)) {
+	if p, ok := src.(Paid); ok && p.Paid() && !loop.Sleep(ctx, f.cfg.MinWatchInterval-clock.Since(f.watched)) {
 		return ctx.Err()
 	}
 	f.watched = clock.Now()
