--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -23,8 +23,8 @@
 	// bursts. A change after a quiet time is seen at once. Default 200 ms, a tenth
 	// of the time in which a configuration must be in force.
 	MinWatchInterval time.Duration
-	// Timeout bounds how late a watch may be. Default 1 s.
-	Timeout time.Duration
+	// WatchGrace bounds how late a watch may be. Default 1 s.
+	WatchGrace time.Duration
 	// RangeTimeout bounds the read of a whole copy. One of 3,000 targets has 1 MB,
 	// and the entries of a failure domain that start together read it over one link:
 	// seven of them need 2.1 s at 27 Mbit/s. One that gives up sooner begins anew and
@@ -51,7 +51,7 @@
 func (c Config) applyDefaults() Config {
 	c.Wait = cmp.Or(c.Wait, time.Second)
 	c.MinWatchInterval = cmp.Or(c.MinWatchInterval, 200*time.Millisecond)
-	c.Timeout = cmp.Or(c.Timeout, time.Second)
+	c.WatchGrace = cmp.Or(c.WatchGrace, time.Second)
 	c.RangeTimeout = cmp.Or(c.RangeTimeout, rangeTimeout)
 	c.Backoff = cmp.Or(c.Backoff, 50*time.Millisecond)
 	c.MaxBackoff = cmp.Or(c.MaxBackoff, 2*time.Second)
@@ -233,7 +233,7 @@
 		return ctx.Err()
 	}
 	f.watched = clock.Now()
-	ctx, cancel := clock.WithTimeout(ctx, f.cfg.Wait+f.cfg.Timeout)
+	ctx, cancel := clock.WithTimeout(ctx, f.cfg.Wait+f.cfg.WatchGrace)
 	defer cancel()
 	b, err := src.Watch(ctx, f.table.prefix, after, f.wait(src, f.watched))
 	if err != nil {
