--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -42,10 +42,10 @@
 	// ReadTimeout bounds such a read; a slow store answers in 0.4 s. Default
 	// 500 ms.
 	ReadTimeout time.Duration
-	// ProbeEvery is the time between two calls by which a process that does not
+	// ProbeInterval is the time between two calls by which a process that does not
 	// reach the store, but whose copy others confirm, finds out that it does
 	// again. Each is paid for and none is urgent. Default 4 s.
-	ProbeEvery time.Duration
+	ProbeInterval time.Duration
 }
 
 func (c Config) applyDefaults() Config {
@@ -57,7 +57,7 @@
 	c.MaxBackoff = cmp.Or(c.MaxBackoff, 2*time.Second)
 	c.StaleAfter = cmp.Or(c.StaleAfter, 1300*time.Millisecond)
 	c.ReadTimeout = cmp.Or(c.ReadTimeout, 500*time.Millisecond)
-	c.ProbeEvery = cmp.Or(c.ProbeEvery, 4*time.Second)
+	c.ProbeInterval = cmp.Or(c.ProbeInterval, 4*time.Second)
 	return c
 }
 
--- a/mirror/guard.go
+++ b/mirror/guard.go
@@ -40,10 +40,10 @@
 	case failures == 0:
 		return 0
 	case !stale:
-		return f.cfg.ProbeEvery
+		return f.cfg.ProbeInterval
 	}
 	if f.route.Backup() && failures >= backupAfter {
-		return f.cfg.ProbeEvery
+		return f.cfg.ProbeInterval
 	}
 	return f.pause(failures, spread)
 }
