--- a/mesh/follow.go
+++ b/mesh/follow.go
@@ -77,8 +77,8 @@
 	return &peerSource{mesh: m, addr: m.role.follows}, m.moved
 }
 
-// Patience implements mirror.Route.
-func (m *Mesh) Patience() time.Duration {
+// StoreReadDelay implements mirror.Route.
+func (m *Mesh) StoreReadDelay() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.role.patience
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -67,9 +67,9 @@
 	// Source returns what to follow now, and a channel that is closed when that
 	// changes.
 	Source() (Source, <-chan struct{})
-	// Patience is how much longer than others this process waits before it
+	// StoreReadDelay is how much longer than others this process waits before it
 	// reads the store because its copy is old.
-	Patience() time.Duration
+	StoreReadDelay() time.Duration
 	// Backup reports whether enough others call the store while it is away, so
 	// that this process, which hears from them when it answers again, need not
 	// call it as often.
--- a/mirror/guard.go
+++ b/mirror/guard.go
@@ -23,7 +23,7 @@
 	for loop.Sleep(ctx, guardTick) {
 		f.Outage()
 		now := clock.Now()
-		stale := f.age(now) > f.cfg.StaleAfter+f.route.Patience()
+		stale := f.age(now) > f.cfg.StaleAfter+f.route.StoreReadDelay()
 		called, failures := f.store.last()
 		if !stale && failures == 0 || now.Sub(called) < f.readPause(failures, stale, spread) {
 			continue
--- a/mirror/guard_test.go
+++ b/mirror/guard_test.go
@@ -168,7 +168,7 @@
 	}
 }
 
-func (*movable) Patience() time.Duration { return 0 }
+func (*movable) StoreReadDelay() time.Duration { return 0 }
 func (*movable) Backup() bool            { return false }
 
 // The age of a peer's answer is that at its end, and what others confirm counts.
--- a/mirror/table_test.go
+++ b/mirror/table_test.go
@@ -149,7 +149,7 @@
 	return r(), nil
 }
 
-func (routeFunc) Patience() time.Duration { return 0 }
+func (routeFunc) StoreReadDelay() time.Duration { return 0 }
 func (routeFunc) Backup() bool            { return false }
 
 // newFollower returns a follower of table with the default times.
