--- a/mesh/store_test.go
+++ b/mesh/store_test.go
@@ -138,7 +138,7 @@
 	v.holdBack()
 	second, err := v.store.Range(time.Now())
 	onFirst := func(e mirror.Event) bool { return e.Key < secondPage }
-	out := mirror.Batch{Revision: first.Revision, UpTo: second.Revision}
+	out := mirror.Batch{Revision: first.Revision, MaxRevision: second.Revision}
 	out.Events = append(out.Events, slices.DeleteFunc(first.Events, func(e mirror.Event) bool { return !onFirst(e) })...)
 	out.Events = append(out.Events, slices.DeleteFunc(second.Events, onFirst)...)
 	return out, err
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -264,7 +264,7 @@
 	}
 	f.table.Replace(clock.Now(), b)
 	f.log.WithFields(logrus.Fields{"source": src.Name(), "prefix": f.table.prefix, "items": len(b.Events), "revision": b.Revision,
-		"up_to": b.UpTo, "ms": clock.Since(begun).Milliseconds()}).Info("Copy read whole.")
+		"up_to": b.MaxRevision, "ms": clock.Since(begun).Milliseconds()}).Info("Copy read whole.")
 	return nil
 }
 
--- a/mirror/table.go
+++ b/mirror/table.go
@@ -42,7 +42,7 @@
 type Batch struct {
 	Events   []Event
 	Revision int64         // continue from here
-	UpTo     int64         // changes up to this may be in it too, but not all; of a whole copy
+	MaxRevision     int64         // changes up to this may be in it too, but not all; of a whole copy
 	Age      time.Duration // how long ago the store was known to agree with the source, at most
 	At       time.Time     // when Age was read; set by Tables only
 	// FirstHand says that this process read it from the store itself.
@@ -168,7 +168,7 @@
 	if t.revision == 0 {
 		t.first = b.Revision
 	}
-	t.upTo = max(t.upTo, b.UpTo)
+	t.upTo = max(t.upTo, b.MaxRevision)
 	// Keys that came and went since the last read were not seen here, so a
 	// peer that is behind must read all too.
 	t.start, t.history, t.size = b.Revision, nil, 0
@@ -277,7 +277,7 @@
 	if t.revision == 0 {
 		return Batch{}, ErrUnavailable
 	}
-	b := Batch{Revision: t.revision, UpTo: t.upTo, Age: now.Sub(t.contactAt), At: now}
+	b := Batch{Revision: t.revision, MaxRevision: t.upTo, Age: now.Sub(t.contactAt), At: now}
 	for _, i := range t.items {
 		b.Events = append(b.Events, Event{Item: i})
 	}
