--- a/mesh/source.go
+++ b/mesh/source.go
@@ -86,7 +86,7 @@
 // The question counts as held up to when the age was read: what passes after that
 // is in neither.
 func answer(begun time.Time, b mirror.Batch) *peer.MirrorBatch {
-	out := &peer.MirrorBatch{Revision: b.Revision, UpTo: b.MaxRevision, AgeMs: milliseconds(b.Age), HeldMs: b.At.Sub(begun).Milliseconds()}
+	out := &peer.MirrorBatch{Revision: b.Revision, UpTo: b.MaxRevision, AgeMs: milliseconds(b.Age), HeldMs: b.AgeMeasuredAt.Sub(begun).Milliseconds()}
 	for _, e := range b.Events {
 		out.Events = append(out.Events, peer.MirrorEvent{Key: e.Key, Value: e.Value, Revision: e.Revision, Deleted: e.Deleted})
 	}
--- a/mirror/table.go
+++ b/mirror/table.go
@@ -44,7 +44,7 @@
 	Revision int64         // continue from here
 	MaxRevision     int64         // changes up to this may be in it too, but not all; of a whole copy
 	Age      time.Duration // how long ago the store was known to agree with the source, at most
-	At       time.Time     // when Age was read; set by Tables only
+	AgeMeasuredAt       time.Time     // when Age was read; set by Tables only
 	// FirstHand says that this process read it from the store itself.
 	FirstHand bool
 }
@@ -277,7 +277,7 @@
 	if t.revision == 0 {
 		return Batch{}, ErrUnavailable
 	}
-	b := Batch{Revision: t.revision, MaxRevision: t.upTo, Age: now.Sub(t.contactAt), At: now}
+	b := Batch{Revision: t.revision, MaxRevision: t.upTo, Age: now.Sub(t.contactAt), AgeMeasuredAt: now}
 	for _, i := range t.items {
 		b.Events = append(b.Events, Event{Item: i})
 	}
@@ -320,7 +320,7 @@
 	if after < t.start {
 		return Batch{}, nil, ErrCompacted
 	}
-	b := Batch{Revision: max(after, t.revision), Age: now.Sub(t.contactAt), At: now}
+	b := Batch{Revision: max(after, t.revision), Age: now.Sub(t.contactAt), AgeMeasuredAt: now}
 	for _, e := range t.history {
 		if e.Revision > after {
 			b.Events = append(b.Events, e)
