--- a/mirror/contact.go
+++ b/mirror/contact.go
@@ -76,7 +76,7 @@
 	b, err := c.store.Range(ctx, prefix)
 	overdue.Stop()
 	c.end(ctx, call, err)
-	b.FirstHand, b.Age = true, clock.Since(call.begun)
+	b.FromStore, b.Age = true, clock.Since(call.begun)
 	return b, err
 }
 
@@ -88,7 +88,7 @@
 	b, err := c.store.Watch(ctx, prefix, after, wait)
 	overdue.Stop()
 	c.end(ctx, call, err)
-	b.FirstHand, b.Age = true, clock.Since(call.begun)
+	b.FromStore, b.Age = true, clock.Since(call.begun)
 	if len(b.Events) == 0 {
 		b.Age = max(0, b.Age-wait)
 	}
--- a/mirror/contact_test.go
+++ b/mirror/contact_test.go
@@ -56,7 +56,7 @@
 				b, err := read()
 				assert.NilError(t, err)
 				assert.Equal(t, b.Age, c.age)
-				assert.Assert(t, b.FirstHand)
+				assert.Assert(t, b.FromStore)
 			})
 		})
 	}
@@ -85,7 +85,7 @@
 	table.Apply(now, Batch{Revision: 2})
 	at, _ := table.Read()
 	assert.Assert(t, at.IsZero())
-	table.Apply(now, Batch{Revision: 2, Age: time.Second, FirstHand: true})
+	table.Apply(now, Batch{Revision: 2, Age: time.Second, FromStore: true})
 	at, _ = table.Read()
 	assert.Equal(t, at, now.Add(-time.Second))
 }
--- a/mirror/guard_test.go
+++ b/mirror/guard_test.go
@@ -115,7 +115,7 @@
 		assert.Assert(t, c.Failing(), "the watch is overdue")
 		b, err := c.Watch(t.Context(), "", 1, 0)
 		assert.NilError(t, err)
-		assert.Assert(t, b.FirstHand && !c.Failing())
+		assert.Assert(t, b.FromStore && !c.Failing())
 		close(answer)
 		assert.ErrorContains(t, <-done, "lost")
 		assert.Assert(t, !c.Failing())
@@ -175,7 +175,7 @@
 func TestAgeIsTakenAfterTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := NewTable("")
-		table.Replace(time.Now(), Batch{Revision: 5, FirstHand: true})
+		table.Replace(time.Now(), Batch{Revision: 5, FromStore: true})
 		read := time.Now()
 		b, err := table.Watch(t.Context(), 5, time.Second)
 		assert.NilError(t, err)
--- a/mirror/table.go
+++ b/mirror/table.go
@@ -45,8 +45,8 @@
 	MaxRevision     int64         // changes up to this may be in it too, but not all; of a whole copy
 	Age      time.Duration // how long ago the store was known to agree with the source, at most
 	AgeMeasuredAt       time.Time     // when Age was read; set by Tables only
-	// FirstHand says that this process read it from the store itself.
-	FirstHand bool
+	// FromStore says that this process read it from the store itself.
+	FromStore bool
 }
 
 // Source is the store or a peer's copy of it.
@@ -230,7 +230,7 @@
 	t.revision = max(t.revision, b.Revision)
 	at := now.Add(-b.Age)
 	t.contactAt = later(t.contactAt, at)
-	if b.FirstHand {
+	if b.FromStore {
 		t.readAt = later(t.readAt, at)
 	}
 	if changed || moved {
