--- a/command/gateway.go
+++ b/command/gateway.go
@@ -112,7 +112,7 @@
 // copyOf returns what tells of the copy of the store in a table.
 func copyOf(t *mirror.Table) func() gateway.Copy {
 	return func() gateway.Copy {
-		return gateway.Copy{Revision: t.Revision(), Age: clock.Since(t.ContactAt())}
+		return gateway.Copy{Revision: t.Revision(), Age: clock.Since(t.ConfirmedAt())}
 	}
 }
 
--- a/mesh/catchup.go
+++ b/mesh/catchup.go
@@ -29,7 +29,7 @@
 // for when nobody has confirmed the copy for longer than one takes; an entry
 // without a copy reads it from its source.
 func (m *Mesh) patienceBehind(now time.Time) time.Duration {
-	if at := m.table.ContactAt(); !at.IsZero() && now.Sub(at) > m.cfg.UnconfirmedAfter {
+	if at := m.table.ConfirmedAt(); !at.IsZero() && now.Sub(at) > m.cfg.UnconfirmedAfter {
 		return 0
 	}
 	return m.cfg.BehindAfter
--- a/mesh/follow_test.go
+++ b/mesh/follow_test.go
@@ -200,7 +200,7 @@
 		src := &peerSource{mesh: near.mesh, addr: far.addr}
 		b, err := src.Watch(t.Context(), "", far.table.Revision(), 200*time.Millisecond)
 		assert.NilError(t, err)
-		age := time.Since(far.table.ContactAt())
+		age := time.Since(far.table.ConfirmedAt())
 		assert.Check(t, b.Age >= age && b.Age <= age+10*time.Millisecond, "%v, and is %v old", b.Age, age)
 	})
 }
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -116,7 +116,7 @@
 // age is how long ago the store was last known to agree with the copy, or how
 // long this has waited for a first one.
 func (f *Follower) age(now time.Time) time.Duration {
-	return now.Sub(later(f.made, f.table.ContactAt()))
+	return now.Sub(later(f.made, f.table.ConfirmedAt()))
 }
 
 // freeMoves is how many sources in a row may fail before the next one is tried
--- a/mirror/table.go
+++ b/mirror/table.go
@@ -246,9 +246,9 @@
 	return a
 }
 
-// ContactAt returns when the store was last known to agree with the copy; zero
+// ConfirmedAt returns when the store was last known to agree with the copy; zero
 // before the first read.
-func (t *Table) ContactAt() time.Time {
+func (t *Table) ConfirmedAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.contactAt
