--- a/mesh/follow_test.go
+++ b/mesh/follow_test.go
@@ -138,7 +138,7 @@
 				time.Sleep(5 * time.Second)
 				cut := time.Now()
 				for _, e := range all.all {
-					at, _ := e.table.Read()
+					at, _ := e.table.LastStoreRead()
 					assert.Check(t, at.Sub(e.view.last()) <= watchWait, "%s tells of a read that it did not make", e.addr)
 				}
 				for i, e := range all.all {
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -130,7 +130,7 @@
 // storeContact returns the revision of the own copy, and what the own calls to
 // the store say of it.
 func (m *Mesh) storeContact(now time.Time) (int64, peer.StoreContact) {
-	at, revision := m.table.Read()
+	at, revision := m.table.LastStoreRead()
 	c := peer.StoreContact{Known: !at.IsZero(), Failing: m.failing(), ClockMs: now.Sub(m.made).Milliseconds()}
 	if c.Known {
 		c.AgeMs = milliseconds(now.Sub(at))
@@ -283,7 +283,7 @@
 
 // tellLoads hands an account to all links, if one is due or the store has news.
 func (m *Mesh) tellLoads(now time.Time, a *account, loads func() []peer.TargetLoad) {
-	storeAt, _ := m.table.Read()
+	storeAt, _ := m.table.LastStoreRead()
 	urgent := a.urgent(now, storeAt, m.failing())
 	if !urgent && !a.due(now, m.cfg.accountInterval(len(m.Entries()))) {
 		return
--- a/mirror/contact_test.go
+++ b/mirror/contact_test.go
@@ -83,10 +83,10 @@
 	table := NewTable("")
 	table.Replace(now, Batch{Revision: 1})
 	table.Apply(now, Batch{Revision: 2})
-	at, _ := table.Read()
+	at, _ := table.LastStoreRead()
 	assert.Assert(t, at.IsZero())
 	table.Apply(now, Batch{Revision: 2, Age: time.Second, FromStore: true})
-	at, _ = table.Read()
+	at, _ = table.LastStoreRead()
 	assert.Equal(t, at, now.Add(-time.Second))
 }
 
@@ -135,7 +135,7 @@
 						r := store.Revision() + 1
 						store.Apply(time.Now(), Batch{Events: []Event{set("a", r)}, Revision: r})
 					}
-					at, _ := table.Read()
+					at, _ := table.LastStoreRead()
 					oldest = max(oldest, time.Since(at))
 				}
 				assert.Check(t, oldest <= 1200*time.Millisecond, "the copy was %v old", oldest)
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -250,7 +250,7 @@
 	if src != Source(f.store) {
 		return f.cfg.Wait
 	}
-	readAt, _ := f.table.Read()
+	readAt, _ := f.table.LastStoreRead()
 	return max(0, f.cfg.Wait-now.Sub(readAt)).Truncate(time.Millisecond) // as it is sent
 }
 
--- a/mirror/guard_test.go
+++ b/mirror/guard_test.go
@@ -184,7 +184,7 @@
 		b, err = table.Watch(t.Context(), 5, 0)
 		assert.NilError(t, err)
 		assert.Equal(t, b.Age, time.Duration(0))
-		at, revision := table.Read()
+		at, revision := table.LastStoreRead()
 		assert.Assert(t, at.Equal(read) && revision == 5, "what others saw was not read here")
 	})
 }
--- a/mirror/table.go
+++ b/mirror/table.go
@@ -254,9 +254,9 @@
 	return t.contactAt
 }
 
-// Read returns when this process's own reads last found that the store agrees
+// LastStoreRead returns when this process's own reads last found that the store agrees
 // with the copy, and the copy's revision: what the store had then lies within it.
-func (t *Table) Read() (at time.Time, revision int64) {
+func (t *Table) LastStoreRead() (at time.Time, revision int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.readAt, t.revision
