--- a/mirror/digest.go
+++ b/mirror/digest.go
@@ -30,9 +30,9 @@
 	return t.digest, t.revision
 }
 
-// Late returns how many events came that the copy was beyond: answers that others had
+// LateEvents returns how many events came that the copy was beyond: answers that others had
 // overtaken.
-func (t *Table) Late() int64 {
+func (t *Table) LateEvents() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.late
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -109,7 +109,7 @@
 	f := &Follower{cfg: o.Config.applyDefaults(), table: o.Table, store: o.Store, route: o.Route, log: o.Log, stats: o.Stats,
 		made: clock.Now()}
 	f.stats.age(func() int64 { return f.age(clock.Now()).Milliseconds() })
-	f.stats.late(f.table.Late)
+	f.stats.late(f.table.LateEvents)
 	return f
 }
 
