--- a/mesh/differ.go
+++ b/mesh/differ.go
@@ -87,7 +87,7 @@
 	clear(m.differing)
 	m.repairs.Inc(1)
 	go func() {
-		err := mirror.ReadWhole(ctx, m.store, m.table)
+		err := mirror.ReadAll(ctx, m.store, m.table)
 		l := m.log.WithField("revision", m.table.Revision())
 		if err != nil {
 			l.WithError(err).Warn("Could not read the store again.")
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -283,11 +283,11 @@
 			return err
 		}
 	}
-	return ReadWhole(ctx, src, t)
+	return ReadAll(ctx, src, t)
 }
 
-// ReadWhole replaces the table by the whole copy that src has.
-func ReadWhole(ctx context.Context, src Source, t *Table) error {
+// ReadAll replaces the table by the whole copy that src has.
+func ReadAll(ctx context.Context, src Source, t *Table) error {
 	ctx, cancel := clock.WithTimeout(ctx, rangeTimeout)
 	defer cancel()
 	b, err := src.Range(ctx, t.prefix)
