--- a/mirror/contact_test.go
+++ b/mirror/contact_test.go
@@ -11,47 +11,47 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowStore answers each call after a time.
+// slowStore answers each call after a delay.
 type slowStore struct {
-	takes  time.Duration
+	delay  time.Duration
 	events []Event
 }
 
 func (slowStore) Name() string { return "store" }
 
 func (s slowStore) Range(context.Context, string) (Batch, error) {
-	time.Sleep(s.takes)
+	time.Sleep(s.delay)
 	return Batch{Revision: 1}, nil
 }
 
 func (s slowStore) Watch(_ context.Context, _ string, after int64, _ time.Duration) (Batch, error) {
-	time.Sleep(s.takes)
+	time.Sleep(s.delay)
 	return Batch{Events: s.events, Revision: after + int64(len(s.events))}, nil
 }
 
-// An answer may have been made long before it came, and says nothing of the store
-// since.
-func TestAnswerIsAsOldAsItMayBe(t *testing.T) {
+// The age of a response is its upper bound: the response may have been created at any
+// time since the call started, and does not reflect later changes in the store.
+func TestAgeOfResponseIsItsUpperBound(t *testing.T) {
 	change := []Event{set("a", 2)}
 	for _, c := range []struct {
-		name        string
-		store       slowStore
-		wait, age   time.Duration
-		wholePrefix bool
+		name      string
+		store     slowStore
+		wait, age time.Duration
+		fullRead  bool
 	}{
-		{"all", slowStore{takes: 300 * time.Millisecond}, 0, 300 * time.Millisecond, true},
-		{"nothing, without a wait", slowStore{takes: 300 * time.Millisecond}, 0, 300 * time.Millisecond, false},
-		{"nothing, in time", slowStore{takes: time.Second}, time.Second, 0, false},
-		{"nothing, late", slowStore{takes: 1200 * time.Millisecond}, time.Second, 200 * time.Millisecond, false},
+		{"all", slowStore{delay: 300 * time.Millisecond}, 0, 300 * time.Millisecond, true},
+		{"nothing, without a wait", slowStore{delay: 300 * time.Millisecond}, 0, 300 * time.Millisecond, false},
+		{"nothing, in time", slowStore{delay: time.Second}, time.Second, 0, false},
+		{"nothing, late", slowStore{delay: 1200 * time.Millisecond}, time.Second, 200 * time.Millisecond, false},
 		{"changes, without a wait", slowStore{300 * time.Millisecond, change}, 0, 300 * time.Millisecond, false},
 		{"changes, late in the wait", slowStore{900 * time.Millisecond, change}, time.Second, 900 * time.Millisecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				contact := NewMonitoredStore(c.store, quiet())
-				read := func() (Batch, error) { return contact.Watch(t.Context(), "", 1, c.wait) }
-				if c.wholePrefix {
-					read = func() (Batch, error) { return contact.Range(t.Context(), "") }
+				store := NewMonitoredStore(c.store, discardLogger())
+				read := func() (Batch, error) { return store.Watch(t.Context(), "", 1, c.wait) }
+				if c.fullRead {
+					read = func() (Batch, error) { return store.Range(t.Context(), "") }
 				}
 				b, err := read()
 				assert.NilError(t, err)
@@ -62,23 +62,23 @@
 	}
 }
 
-// A watch that is overdue and then given up failed once.
+// A watch that is overdue and then times out is counted as one failure.
 func TestCallThatTimesOutCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := NewMonitoredStore(&hanging{}, quiet())
+		c := NewMonitoredStore(&hanging{}, discardLogger())
 		for n := 1; n <= 3; n++ {
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			_, err := c.Watch(ctx, "", 1, time.Second)
 			cancel()
 			assert.ErrorIs(t, err, context.DeadlineExceeded)
-			_, failures := c.last()
+			_, failures := c.callState()
 			assert.Equal(t, failures, n)
 		}
 	})
 }
 
-// What a peer tells is no read of this process.
-func TestWhatAPeerTellsIsNotReadHere(t *testing.T) {
+// Batches from a peer do not count as reads of the store by this process.
+func TestPeerBatchIsNoStoreRead(t *testing.T) {
 	now := time.Now()
 	table := NewTable("")
 	table.Replace(now, Batch{Revision: 1})
@@ -90,7 +90,7 @@
 	assert.Equal(t, at, now.Add(-time.Second))
 }
 
-// paidTable is the store, with a Table's answers.
+// paidTable is a store that answers from a Table.
 type paidTable struct {
 	*Table
 	calls atomic.Int64
@@ -109,10 +109,11 @@
 	return p.Table.Watch(ctx, after, wait)
 }
 
-// However changes come, a reader's copy grows no older than one watch and the
-// pause before the next, and the guard has nothing to read. Each change costs one
-// call at most beside those of a calm day, and a burst five a second.
-func TestChangesDoNotMakeAReadersCopyOld(t *testing.T) {
+// At any rate of changes, a reader's copy gets no older than one watch and the interval
+// before the next, and is never read because it is stale. Each change costs at most one
+// call in addition to those without changes, and a burst costs at most five calls per
+// second.
+func TestCopyStaysFreshAtAnyRateOfChanges(t *testing.T) {
 	for _, every := range []time.Duration{20, 150, 500, 850, 950, 990, 1050, 1900, 3700} {
 		every *= time.Millisecond
 		t.Run(fmt.Sprint("each ", every), func(t *testing.T) {
@@ -122,8 +123,8 @@
 				store := &paidTable{Table: NewTable("")}
 				store.Replace(time.Now(), Batch{Revision: 1})
 				table := NewTable("")
-				contact := NewMonitoredStore(store, quiet())
-				f := newFollower(table, contact, func() Source { return contact })
+				monitored := NewMonitoredStore(store, discardLogger())
+				f := newFollower(table, monitored, func() Source { return monitored })
 				go f.Run(ctx)
 				synctest.Wait()
 				changes, oldest := 0, time.Duration(0)
@@ -139,7 +140,7 @@
 					oldest = max(oldest, time.Since(at))
 				}
 				assert.Check(t, oldest <= 1200*time.Millisecond, "the copy was %v old", oldest)
-				assert.Equal(t, f.stats.reads.Count(), int64(0))
+				assert.Equal(t, f.stats.staleReads.Count(), int64(0))
 				most := min(minute+changes, 5*minute) + 5
 				assert.Check(t, store.calls.Load() <= int64(most), "%d calls, %d changes", store.calls.Load(), changes)
 				t.Log("calls", store.calls.Load(), "changes", changes, "oldest", oldest)
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -12,39 +12,40 @@
 	"github.com/springgate/springgate/loop"
 )
 
-// Config holds the times of a Follower.
+// Config holds the timing parameters of a Follower.
 type Config struct {
-	// Wait is how long one watch waits. Each watch is one paid call, but a
-	// watch that was cut without a word is noticed only after it. Default 1 s:
-	// configurations must be in force within 2 s.
+	// Wait is how long one watch waits for changes. Each watch is one billed call,
+	// but a watch whose connection was dropped silently is detected only after
+	// Wait. Default 1 s, because a configuration must take effect within 2 s.
 	Wait time.Duration
 	// MinWatchInterval is the least time between the starts of two watches at a source
-	// whose calls are paid for: each change ends a watch, and changes come in
-	// bursts. A change after a quiet time is seen at once. Default 200 ms, a tenth
-	// of the time in which a configuration must be in force.
+	// whose calls are billed: each change ends a watch, and changes come in bursts.
+	// A change after an idle period is received at once. Default 200 ms, a tenth of
+	// the time within which a configuration must take effect.
 	MinWatchInterval time.Duration
-	// WatchGrace bounds how late a watch may be. Default 1 s.
+	// WatchGrace is how long a watch may take beyond its wait. Default 1 s.
 	WatchGrace time.Duration
-	// RangeTimeout bounds the read of a whole copy. One of 3,000 targets has 1 MB,
+	// RangeTimeout bounds the read of a full copy. A copy of 3,000 targets has 1 MB,
 	// and the entries of a failure domain that start together read it over one link:
-	// seven of them need 2.1 s at 27 Mbit/s. One that gives up sooner begins anew and
-	// keeps the others from ending. Default 4 s.
+	// seven of them need 2.1 s at 27 Mbit/s. An entry that times out sooner starts
+	// over, and its traffic delays the reads of the others. Default 4 s.
 	RangeTimeout time.Duration
-	// Backoff is the pause after a failure with no other source; it doubles
-	// up to MaxBackoff. In an outage of the store all processes call it so often,
-	// and the first whose call works tells the others. Defaults 50 ms and 2 s.
+	// Backoff is the delay after a failure when there is no other source; it doubles
+	// up to MaxBackoff. In an outage of the store all processes retry at this rate,
+	// and the first that succeeds notifies the others. Defaults 50 ms and 2 s.
 	Backoff, MaxBackoff time.Duration
-	// StaleAfter is how old the copy may grow before the store is read whatever
-	// is followed. A watch at the store tells of it each Wait, at the latest
-	// Wait and Interval after the last; a change must be known within 2 s, of
-	// which the rest is for ReadTimeout and the way. Default 1.3 s.
+	// StaleAfter is the age of the copy at which the store is read independently of
+	// the current source. Watches at the store confirm the copy each Wait, at the
+	// latest Wait and MinWatchInterval after the last confirmation. A change must be
+	// received within 2 s, which leaves the remainder for ReadTimeout and network
+	// latency. Default 1.3 s.
 	StaleAfter time.Duration
-	// ReadTimeout bounds such a read; a slow store answers in 0.4 s. Default
-	// 500 ms.
+	// ReadTimeout bounds a read of the store because of a stale copy. A slow store
+	// answers within 0.4 s. Default 500 ms.
 	ReadTimeout time.Duration
-	// ProbeInterval is the time between two calls by which a process that does not
-	// reach the store, but whose copy others confirm, finds out that it does
-	// again. Each is paid for and none is urgent. Default 4 s.
+	// ProbeInterval is the time between the calls with which a process that cannot
+	// reach the store, but whose copy others confirm, checks whether the store is
+	// reachable again. Each call is billed and none is urgent. Default 4 s.
 	ProbeInterval time.Duration
 }
 
@@ -61,40 +62,39 @@
 	return c
 }
 
-// Route says whom to follow: a peer, or the store itself if that is nil. It is
-// asked before each call.
+// Route selects the source to follow. It is queried before each call.
 type Route interface {
-	// Source returns what to follow now, and a channel that is closed when that
-	// changes.
+	// Source returns the current source, or nil for the store itself, and a channel
+	// that is closed when the source changes.
 	Source() (Source, <-chan struct{})
-	// StoreReadDelay is how much longer than others this process waits before it
-	// reads the store because its copy is old.
+	// StoreReadDelay returns how far the copy's age must exceed StaleAfter before
+	// this process reads the store.
 	StoreReadDelay() time.Duration
-	// Backup reports whether enough others call the store while it is away, so
-	// that this process, which hears from them when it answers again, need not
-	// call it as often.
+	// Backup reports whether enough other processes call the store during an outage.
+	// A backup may call the store less often, because the others notify it when the
+	// store answers again.
 	Backup() bool
 }
 
-// Follower keeps a Table up to date. It follows what its Route says and, beside
-// that, reads the store when the copy has grown old: a source that answers may
-// have lost the store itself, and a call may hang.
+// Follower keeps a Table up to date. It follows the source that its Route selects and
+// also reads the store when the copy is stale: a source that answers may itself have
+// lost the store, and a call may hang.
 type Follower struct {
-	cfg   Config
-	table *Table
-	store *MonitoredStore
-	route Route
-	log   logrus.FieldLogger
-	stats *Stats
-	made  time.Time
+	cfg       Config
+	table     *Table
+	store     *MonitoredStore
+	route     Route
+	log       logrus.FieldLogger
+	stats     *Stats
+	createdAt time.Time
 
-	failures int
-	watched  time.Time // when the last watch began
-	lost     bool
-	outage   outage
+	failures   int
+	lastWatch  time.Time // start of the last watch
+	sourceLost bool
+	outage     outage
 }
 
-// Options are what a Follower is made of.
+// Options are the parameters of NewFollower.
 type Options struct {
 	Config Config
 	Table  *Table
@@ -107,53 +107,52 @@
 // NewFollower returns a follower that is not running.
 func NewFollower(o Options) *Follower {
 	f := &Follower{cfg: o.Config.applyDefaults(), table: o.Table, store: o.Store, route: o.Route, log: o.Log, stats: o.Stats,
-		made: clock.Now()}
-	f.stats.age(func() int64 { return f.age(clock.Now()).Milliseconds() })
-	f.stats.late(f.table.LateEvents)
+		createdAt: clock.Now()}
+	f.stats.registerAge(func() int64 { return f.age(clock.Now()).Milliseconds() })
+	f.stats.registerLateEvents(f.table.LateEvents)
 	return f
 }
 
-// age is how long ago the store was last known to agree with the copy, or how
-// long this has waited for a first one.
+// age returns the time since the copy was last confirmed to agree with the store, or
+// since the follower was created if there is no copy yet.
 func (f *Follower) age(now time.Time) time.Duration {
-	return now.Sub(later(f.made, f.table.ConfirmedAt()))
+	return now.Sub(later(f.createdAt, f.table.ConfirmedAt()))
 }
 
-// freeMoves is how many sources in a row may fail before the next one is tried
-// only after a pause: the store and one reader.
-const freeMoves = 2
+// maxImmediateRetries is the number of consecutive failures up to which another source
+// is tried without back-off: one failure of the store and one of a reader.
+const maxImmediateRetries = 2
 
-// Run follows until ctx ends.
+// Run keeps the table up to date until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	go f.guard(ctx)
+	go f.readStoreWhenStale(ctx)
 	for ctx.Err() == nil {
-		src, moved := f.source()
-		err := f.follow(ctx, src, moved)
+		src, changed := f.source()
+		err := f.follow(ctx, src, changed)
 		if err == nil {
-			f.regained(src)
+			f.recordSuccess(src)
 			continue
 		}
 		if errors.Is(err, ErrSourceChanged) {
 			continue
 		}
 		f.failures++
-		if next, _ := f.source(); f.failures <= freeMoves && next.Name() != src.Name() {
+		if next, _ := f.source(); f.failures <= maxImmediateRetries && next.Name() != src.Name() {
 			continue
 		}
-		f.rest(ctx, src, moved)
+		f.waitBackoff(ctx, src, changed)
 	}
 }
 
-// rest waits after a failure of src, at most until there is something else to
-// follow or the store is reached again. Calls of the store by the guard count as
-// tries.
-func (f *Follower) rest(ctx context.Context, src Source, moved <-chan struct{}) {
-	begun, pause := clock.Now(), f.pause(f.failures, rand.Float64())
+// waitBackoff waits after a failure of src. It returns early when the source changes or
+// the store recovers. Calls to the store by readStoreWhenStale restart the delay.
+func (f *Follower) waitBackoff(ctx context.Context, src Source, changed <-chan struct{}) {
+	begun, delay := clock.Now(), f.backoff(f.failures, rand.Float64())
 	for {
-		if called, _ := f.store.last(); src == Source(f.store) {
-			begun = later(begun, called)
+		if lastCall, _ := f.store.callState(); src == Source(f.store) {
+			begun = later(begun, lastCall)
 		}
-		wait := pause - clock.Since(begun)
+		wait := delay - clock.Since(begun)
 		if wait <= 0 {
 			return
 		}
@@ -161,8 +160,8 @@
 		select {
 		case <-timer.C:
 			continue
-		case <-moved:
-		case <-f.store.reached():
+		case <-changed:
+		case <-f.store.recovery():
 		case <-ctx.Done():
 		}
 		timer.Stop()
@@ -170,44 +169,44 @@
 	}
 }
 
-// pause returns how long to wait after so many failures in a row. spread, from 0
-// to 1, keeps processes that failed together from calling together.
-func (f *Follower) pause(failures int, spread float64) time.Duration {
-	most := min(f.cfg.Backoff<<min(failures, 6), f.cfg.MaxBackoff)
-	return time.Duration((1 + spread) / 2 * float64(most))
+// backoff returns the delay after a number of consecutive failures. jitter, from 0 to 1,
+// keeps processes that failed at the same time from retrying at the same time.
+func (f *Follower) backoff(failures int, jitter float64) time.Duration {
+	limit := min(f.cfg.Backoff<<min(failures, 6), f.cfg.MaxBackoff)
+	return time.Duration((1 + jitter) / 2 * float64(limit))
 }
 
-// source returns what to follow now. A peer may have no copy yet, so who has none
-// itself tries the store in turn with it.
+// source returns the source to follow now. A peer may have no copy yet, so a process
+// without a copy alternates between the peer and the store.
 func (f *Follower) source() (Source, <-chan struct{}) {
-	src, moved := f.route.Source()
+	src, changed := f.route.Source()
 	if src == nil || f.table.Revision() == 0 && f.failures%2 == 1 {
-		return f.store, moved
+		return f.store, changed
 	}
-	return src, moved
+	return src, changed
 }
 
-func (f *Follower) regained(src Source) {
-	if f.lost {
+func (f *Follower) recordSuccess(src Source) {
+	if f.sourceLost {
 		f.log.WithFields(logrus.Fields{"source": src.Name(), "prefix": f.table.prefix, "revision": f.table.Revision(),
 			"failures": f.failures}).Info("Source regained.")
 	}
-	f.lost, f.failures = false, 0
+	f.sourceLost, f.failures = false, 0
 }
 
-// follow makes one call at src and applies its result. The call ends with
-// ErrMoved when moved is closed.
-func (f *Follower) follow(ctx context.Context, src Source, moved <-chan struct{}) error {
+// follow makes one call to src and applies its result. It returns ErrSourceChanged when
+// changed is closed during the call.
+func (f *Follower) follow(ctx context.Context, src Source, changed <-chan struct{}) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	go func() {
 		select {
-		case <-moved:
+		case <-changed:
 			cancel(ErrSourceChanged)
 		case <-ctx.Done():
 		}
 	}()
-	err := f.step(ctx, src)
+	err := f.fetchChanges(ctx, src)
 	if errors.Is(err, ErrCompacted) {
 		f.log.WithFields(logrus.Fields{"source": src.Name(), "prefix": f.table.prefix,
 			"revision": f.table.Revision()}).Info("History is gone, reading all again.")
@@ -216,26 +215,26 @@
 	if err != nil && errors.Is(context.Cause(ctx), ErrSourceChanged) {
 		return ErrSourceChanged
 	}
-	if err != nil && ctx.Err() == nil && !f.lost {
-		f.lost = true
+	if err != nil && ctx.Err() == nil && !f.sourceLost {
+		f.sourceLost = true
 		f.log.WithFields(logrus.Fields{"source": src.Name(), "prefix": f.table.prefix, "revision": f.table.Revision(),
 			"age_ms": f.age(clock.Now()).Milliseconds(), "error": err.Error()}).Warn("Source lost.")
 	}
 	return err
 }
 
-func (f *Follower) step(ctx context.Context, src Source) error {
+func (f *Follower) fetchChanges(ctx context.Context, src Source) error {
 	after := f.table.Revision()
 	if after == 0 {
 		return f.readAll(ctx, src)
 	}
-	if p, ok := src.(Paid); ok && p.Paid() && !loop.Sleep(ctx, f.cfg.MinWatchInterval-clock.Since(f.watched)) {
+	if p, ok := src.(Paid); ok && p.Paid() && !loop.Sleep(ctx, f.cfg.MinWatchInterval-clock.Since(f.lastWatch)) {
 		return ctx.Err()
 	}
-	f.watched = clock.Now()
+	f.lastWatch = clock.Now()
 	ctx, cancel := clock.WithTimeout(ctx, f.cfg.Wait+f.cfg.WatchGrace)
 	defer cancel()
-	b, err := src.Watch(ctx, f.table.prefix, after, f.wait(src, f.watched))
+	b, err := src.Watch(ctx, f.table.prefix, after, f.watchWait(src, f.lastWatch))
 	if err != nil {
 		return err
 	}
@@ -243,15 +242,16 @@
 	return nil
 }
 
-// wait returns how long a watch that begins now is to wait for changes. One at the
-// store ends when the own reads are as old as a whole watch: an answer with
-// changes that comes late in a watch confirms the copy only as of its begin.
-func (f *Follower) wait(src Source, now time.Time) time.Duration {
+// watchWait returns how long a watch that starts now waits for changes. A watch at the
+// store ends when Wait has passed since the last confirmed read of the store: a response
+// with changes that arrives late in a watch confirms the copy only as of the watch's
+// start.
+func (f *Follower) watchWait(src Source, now time.Time) time.Duration {
 	if src != Source(f.store) {
 		return f.cfg.Wait
 	}
 	readAt, _ := f.table.LastStoreRead()
-	return max(0, f.cfg.Wait-now.Sub(readAt)).Truncate(time.Millisecond) // as it is sent
+	return max(0, f.cfg.Wait-now.Sub(readAt)).Truncate(time.Millisecond) // the resolution on the wire
 }
 
 func (f *Follower) readAll(ctx context.Context, src Source) error {
@@ -268,14 +268,14 @@
 	return nil
 }
 
-// rangeTimeout is the default of Config.RangeTimeout, which CatchUp keeps to.
+// rangeTimeout is the default of Config.RangeTimeout and the timeout of ReadAll.
 const rangeTimeout = 4 * time.Second
 
-// catchUpTimeout bounds the read of changes by CatchUp; a peer's copy lies in its
-// memory.
+// catchUpTimeout bounds the read of changes by CatchUp. A peer answers from memory.
 const catchUpTimeout = time.Second
 
-// CatchUp applies what src has beyond the table, without waiting.
+// CatchUp applies the changes that src has beyond the table, without waiting for new
+// ones. It reads the full copy if src no longer has the history.
 func CatchUp(ctx context.Context, src Source, t *Table) error {
 	if after := t.Revision(); after > 0 {
 		err := catchUpChanges(ctx, src, t, after)
@@ -286,7 +286,7 @@
 	return ReadAll(ctx, src, t)
 }
 
-// ReadAll replaces the table by the whole copy that src has.
+// ReadAll replaces the table's content by the full copy of src.
 func ReadAll(ctx context.Context, src Source, t *Table) error {
 	ctx, cancel := clock.WithTimeout(ctx, rangeTimeout)
 	defer cancel()
--- a/mirror/guard.go
+++ b/mirror/guard.go
@@ -12,47 +12,49 @@
 	"github.com/springgate/springgate/loop"
 )
 
-// guardTick is the time between two looks at the age of the copy: a small part
-// of what is left of 2 s after StaleAfter.
-const guardTick = 50 * time.Millisecond
+// staleCheckInterval is the time between two checks of the copy's age. It must be small
+// against the time that remains of the 2 s limit after StaleAfter.
+const staleCheckInterval = 50 * time.Millisecond
 
-// guard reads the store when the copy is old, whatever is followed and however
-// long that takes to answer.
-func (f *Follower) guard(ctx context.Context) {
-	spread := rand.Float64()
-	for loop.Sleep(ctx, guardTick) {
+// readStoreWhenStale reads the store when the copy is stale, independently of the
+// current source and of calls to it that hang.
+func (f *Follower) readStoreWhenStale(ctx context.Context) {
+	jitter := rand.Float64()
+	for loop.Sleep(ctx, staleCheckInterval) {
 		f.Outage()
 		now := clock.Now()
 		stale := f.age(now) > f.cfg.StaleAfter+f.route.StoreReadDelay()
-		called, failures := f.store.last()
-		if !stale && failures == 0 || now.Sub(called) < f.readPause(failures, stale, spread) {
+		lastCall, failures := f.store.callState()
+		if !stale && failures == 0 || now.Sub(lastCall) < f.storeCallDelay(failures, stale, jitter) {
 			continue
 		}
 		f.readStore(ctx, stale)
-		spread = rand.Float64()
+		jitter = rand.Float64()
 	}
 }
 
-// readPause is how long the guard does not call the store after the last call:
-// calls are paid for, also those that fail.
-func (f *Follower) readPause(failures int, stale bool, spread float64) time.Duration {
+// storeCallDelay returns the least time since the last call to the store before
+// readStoreWhenStale calls it. Calls are billed, including those that fail.
+func (f *Follower) storeCallDelay(failures int, stale bool, jitter float64) time.Duration {
 	switch {
 	case failures == 0:
 		return 0
 	case !stale:
 		return f.cfg.ProbeInterval
 	}
-	if f.route.Backup() && failures >= backupAfter {
+	if f.route.Backup() && failures >= backupMinFailures {
 		return f.cfg.ProbeInterval
 	}
-	return f.pause(failures, spread)
+	return f.backoff(failures, jitter)
 }
 
-// backupAfter is how many calls fail in a row before a backup leaves the store to
-// others: about 2 s of pauses, in which those that reach it have told so.
-const backupAfter = 6
+// backupMinFailures is the number of consecutive failures after which a backup probes
+// the store only each ProbeInterval. They take about 2 s of back-off, in which processes
+// that reach the store have reported it.
+const backupMinFailures = 6
 
-// readStore reads what the store has beyond the copy, without waiting.
+// readStore applies the changes that the store has beyond the copy, without waiting for
+// new ones.
 func (f *Follower) readStore(ctx context.Context, stale bool) {
 	age := f.age(clock.Now())
 	err := f.readChanges(ctx)
@@ -60,15 +62,15 @@
 		err = f.readAll(ctx, f.store)
 	}
 	if !stale || ctx.Err() != nil {
-		return // its result is logged by the Contact
+		return // MonitoredStore logs the result
 	}
-	f.stats.reads.Inc(1)
+	f.stats.staleReads.Inc(1)
 	fields := logrus.Fields{"age_ms": age.Milliseconds(), "revision": f.table.Revision()}
 	if err == nil {
 		f.log.WithFields(fields).Info("Copy was stale, read the store.")
 		return
 	}
-	f.stats.readsFailed.Inc(1)
+	f.stats.staleReadsFailed.Inc(1)
 	f.log.WithFields(fields).WithError(err).Debug("Copy is stale, the store does not answer.")
 }
 
@@ -87,21 +89,21 @@
 	return nil
 }
 
-// outage is when the store did not answer and nobody confirmed the copy.
+// outage is the state of an outage: the store does not answer and no other process
+// confirms the copy.
 type outage struct {
 	mu    sync.Mutex
 	down  bool
-	ended time.Time // of the last one
+	ended time.Time // end of the last outage
 }
 
-// outageAfter is for how long calls of the store must fail, beyond the age at
-// which the copy counts as old, to count as an outage: longer than one refused
-// call and its repetition.
+// outageAfter is how far the copy's age must exceed StaleAfter for failing calls to
+// count as an outage: longer than one rejected call and its retry take.
 const outageAfter = 500 * time.Millisecond
 
-// Outage reports whether the store is away, and when that last ended. A store
-// that only this process does not reach is not away: what it lists, and what it
-// does not, is known from others.
+// Outage reports whether the store is unavailable, and when the last outage ended. It
+// is no outage if only this process cannot reach the store, because the copy is then
+// kept current from other processes.
 func (f *Follower) Outage() (down bool, ended time.Time) {
 	now := clock.Now()
 	f.outage.mu.Lock()
--- a/mirror/guard_test.go
+++ b/mirror/guard_test.go
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// storeAt returns a source that answers at once, with a change up to revision.
+// storeAt returns a source that answers at once with a change at the current value of
+// revision.
 func storeAt(revision *atomic.Int64) *scripted {
 	return &scripted{name: "store", all: func() (Batch, error) { return Batch{Revision: revision.Load()}, nil },
 		watch: func(after int64) (Batch, error) {
@@ -22,19 +23,19 @@
 		}}
 }
 
-// A peer that does not answer does not keep a process from the store.
-func TestOldCopyIsReadFromTheStoreWhileAPeerHangs(t *testing.T) {
+// A hanging call to a peer does not prevent reads of the store when the copy is stale.
+func TestStaleCopyIsReadFromStoreWhilePeerHangs(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var revision atomic.Int64
 		revision.Store(7)
 		table := NewTable("")
-		f := newFollower(table, NewMonitoredStore(storeAt(&revision), quiet()), func() Source { return &hanging{} })
+		f := newFollower(table, NewMonitoredStore(storeAt(&revision), discardLogger()), func() Source { return &hanging{} })
 		go f.Run(ctx)
 		time.Sleep(1400 * time.Millisecond)
 		assert.Equal(t, table.Revision(), int64(7))
-		assert.Equal(t, f.stats.reads.Count(), int64(1))
+		assert.Equal(t, f.stats.staleReads.Count(), int64(1))
 		revision.Store(8)
 		time.Sleep(1400 * time.Millisecond)
 		assert.Equal(t, table.Revision(), int64(8))
@@ -43,8 +44,8 @@
 	})
 }
 
-// Processes that start together may follow one that has no copy yet.
-func TestFirstCopyIsReadFromTheStoreIfThePeerHasNone(t *testing.T) {
+// When processes start together, the peer to follow may have no copy yet.
+func TestFirstCopyIsReadFromStoreIfPeerHasNone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -53,7 +54,7 @@
 		none := func() (Batch, error) { return Batch{}, ErrUnavailable }
 		peer := &scripted{name: "peer", all: none, watch: func(int64) (Batch, error) { return none() }}
 		table := NewTable("")
-		f := newFollower(table, NewMonitoredStore(storeAt(&revision), quiet()), func() Source { return peer })
+		f := newFollower(table, NewMonitoredStore(storeAt(&revision), discardLogger()), func() Source { return peer })
 		go f.Run(ctx)
 		synctest.Wait()
 		assert.Equal(t, table.Revision(), int64(7))
@@ -62,8 +63,8 @@
 	})
 }
 
-// A process that does not reach the store, but whose copy others confirm, calls
-// it now and then and holds it for present.
+// A process that cannot reach the store, but whose copy others confirm, calls the store
+// only at ProbeInterval and reports no outage.
 func TestConfirmedCopyCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -75,7 +76,7 @@
 		}}
 		peer := &scripted{name: "peer", all: func() (Batch, error) { return Batch{Revision: 1}, nil },
 			watch: func(after int64) (Batch, error) { return Batch{Revision: after}, nil }}
-		contact := NewMonitoredStore(store, quiet())
+		contact := NewMonitoredStore(store, discardLogger())
 		_, err := contact.Watch(ctx, "", 1, 0)
 		assert.ErrorContains(t, err, "refused")
 		f := newFollower(NewTable(""), contact, func() Source { return peer })
@@ -87,29 +88,29 @@
 	})
 }
 
-// A call that fails after a later one worked says nothing of the store now.
-func TestContactIsJudgedByItsNewestCall(t *testing.T) {
+// A call that fails after a later call succeeded does not mark the store as failing.
+func TestFailingFollowsNewestCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var revision atomic.Int64
 		store := storeAt(&revision)
-		works := store.watch
+		succeed := store.watch
 		var first atomic.Bool
 		first.Store(true)
 		answer := make(chan struct{})
 		store.watch = func(after int64) (Batch, error) {
 			if !first.Swap(false) {
-				return works(after)
+				return succeed(after)
 			}
 			<-answer
 			return Batch{}, errors.New("lost")
 		}
-		c := NewMonitoredStore(store, quiet())
+		c := NewMonitoredStore(store, discardLogger())
 		done := make(chan error, 1)
 		go func() {
 			_, err := c.Watch(t.Context(), "", 1, time.Second)
 			done <- err
 		}()
-		time.Sleep(time.Second + overdueAfter - time.Millisecond)
+		time.Sleep(time.Second + watchOverdueAfter - time.Millisecond)
 		assert.Assert(t, !c.Failing(), "a slow store is not lost")
 		time.Sleep(2 * time.Millisecond)
 		assert.Assert(t, c.Failing(), "the watch is overdue")
@@ -122,57 +123,59 @@
 	})
 }
 
-// A call that was called off says nothing of the store.
-func TestContactIgnoresWhatWasCalledOff(t *testing.T) {
+// A call that the caller cancelled does not mark the store as failing.
+func TestCancelledCallIsNoFailure(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	c := NewMonitoredStore(&hanging{}, quiet())
+	c := NewMonitoredStore(&hanging{}, discardLogger())
 	_, err := c.Watch(ctx, "", 1, time.Second)
 	assert.ErrorIs(t, err, context.Canceled)
 	assert.Assert(t, !c.Failing())
 }
 
-// Another source is followed at once, and the old one is not held for lost.
-func TestFollowerMovesDuringAWatch(t *testing.T) {
+// A change of the source takes effect during a watch, and the old source is not counted as
+// lost.
+func TestFollowerChangesSourceDuringWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var revision atomic.Int64
 		revision.Store(1)
-		store := NewMonitoredStore(storeAt(&revision), quiet())
+		store := NewMonitoredStore(storeAt(&revision), discardLogger())
 		table := NewTable("")
-		r := &movable{first: &hanging{}, moved: make(chan struct{})}
-		f := NewFollower(Options{Table: table, Store: store, Route: r, Log: quiet(), Stats: newFollower(table, store, nil).stats})
+		r := &switchedRoute{first: &hanging{}, switched: make(chan struct{})}
+		f := NewFollower(Options{Table: table, Store: store, Route: r, Log: discardLogger(), Stats: newFollower(table, store, nil).stats})
 		go f.Run(ctx)
 		time.Sleep(100 * time.Millisecond)
 		revision.Store(2)
-		close(r.moved)
+		close(r.switched)
 		synctest.Wait()
 		assert.Equal(t, table.Revision(), int64(2))
-		assert.Assert(t, !f.lost)
+		assert.Assert(t, !f.sourceLost)
 	})
 }
 
-// movable is a Route from a source to the store.
-type movable struct {
-	first Source
-	moved chan struct{}
+// switchedRoute is a Route that changes from a source to the store.
+type switchedRoute struct {
+	first    Source
+	switched chan struct{}
 }
 
-func (m *movable) Source() (Source, <-chan struct{}) {
+func (m *switchedRoute) Source() (Source, <-chan struct{}) {
 	select {
-	case <-m.moved:
+	case <-m.switched:
 		return nil, nil
 	default:
-		return m.first, m.moved
+		return m.first, m.switched
 	}
 }
 
-func (*movable) StoreReadDelay() time.Duration { return 0 }
-func (*movable) Backup() bool            { return false }
+func (*switchedRoute) StoreReadDelay() time.Duration { return 0 }
+func (*switchedRoute) Backup() bool                  { return false }
 
-// The age of a peer's answer is that at its end, and what others confirm counts.
-func TestAgeIsTakenAfterTheWait(t *testing.T) {
+// The age in a watch's response is measured after the wait, and includes confirmations by
+// other processes.
+func TestAgeIsMeasuredAfterTheWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := NewTable("")
 		table.Replace(time.Now(), Batch{Revision: 5, FromStore: true})
--- a/mirror/oracle_test.go
+++ b/mirror/oracle_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is the store: its keys and all its changes.
+// model is the reference model of the store: its keys and all its changes.
 type model struct {
 	items   map[string]Event
 	changes []Event
@@ -45,13 +45,14 @@
 	return out
 }
 
-// reading is a whole read of which the first page is there.
-type reading struct {
+// pagedRead is a full read of which the first page has been received.
+type pagedRead struct {
 	first Batch
 	split string // first key of the second page
 }
 
-// page returns the items from one key up to another; "" is no bound.
+// page returns the items with keys from from up to, not including, to; an empty to is no
+// bound.
 func (m *model) page(from, to string) []Event {
 	var out []Event
 	for key, e := range m.items {
@@ -62,24 +63,24 @@
 	return out
 }
 
-// overtaken is an answer to a copy's watch that others overtake.
-type overtaken struct {
-	by     *Table
+// lateWatch is a response to a watch of a copy that arrives after later ones.
+type lateWatch struct {
+	table  *Table
 	answer Batch
 }
 
-// TestMirrorOracle lets three copies follow a store and each other in any order
-// of whole reads, some of them in pages with changes in between, and partial watches,
-// any of them answered late. No copy may go back, and each agrees with the store once it
-// has read all changes.
+// TestMirrorOracle lets three copies follow a store and each other with full reads, some
+// of them in pages with changes in between, and partial watches, in any order and with
+// late responses. No copy may go back to an older revision, and each agrees with the store
+// once it has reached the store's revision.
 func TestMirrorOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := &model{items: map[string]Event{}}
 		copies := []*Table{NewTable(""), NewTable(""), NewTable("")}
-		reached := make([]int64, len(copies))
-		late := []Batch{}
-		var readings []reading
-		var watches []overtaken
+		lastRevision := make([]int64, len(copies))
+		lateReads := []Batch{}
+		var pagedReads []pagedRead
+		var watches []lateWatch
 		pick := func(t *rapid.T) int { return rapid.IntRange(0, len(copies)-1).Draw(t, "copy") }
 		t.Repeat(map[string]func(*rapid.T){
 			"change": func(t *rapid.T) {
@@ -103,22 +104,22 @@
 				}
 				c.Apply(start, store.since(c.Revision(), rapid.IntRange(1, 4).Draw(t, "most")))
 			},
-			"hold an answer back": func(t *rapid.T) { late = append(late, store.all()) },
+			"hold an answer back": func(t *rapid.T) { lateReads = append(lateReads, store.all()) },
 			"late answer": func(t *rapid.T) {
-				if len(late) == 0 {
+				if len(lateReads) == 0 {
 					t.Skip()
 				}
-				copies[pick(t)].Replace(start, rapid.SampledFrom(late).Draw(t, "answer"))
+				copies[pick(t)].Replace(start, rapid.SampledFrom(lateReads).Draw(t, "answer"))
 			},
 			"first page": func(t *rapid.T) {
 				split := fmt.Sprint("k", rapid.IntRange(1, 3).Draw(t, "split"))
-				readings = append(readings, reading{Batch{Revision: store.revision(), Events: store.page("", split)}, split})
+				pagedReads = append(pagedReads, pagedRead{Batch{Revision: store.revision(), Events: store.page("", split)}, split})
 			},
 			"second page": func(t *rapid.T) {
-				if len(readings) == 0 {
+				if len(pagedReads) == 0 {
 					t.Skip()
 				}
-				r := rapid.SampledFrom(readings).Draw(t, "reading")
+				r := rapid.SampledFrom(pagedReads).Draw(t, "reading")
 				b := Batch{Revision: r.first.Revision, Events: append(slices.Clone(r.first.Events), store.page(r.split, "")...)}
 				copies[pick(t)].Replace(start, b)
 			},
@@ -132,7 +133,7 @@
 					}
 				}
 				if c.Revision() > 0 {
-					watches = append(watches, overtaken{c, b})
+					watches = append(watches, lateWatch{c, b})
 				}
 			},
 			"its answer": func(t *rapid.T) {
@@ -140,7 +141,7 @@
 					t.Skip()
 				}
 				w := rapid.SampledFrom(watches).Draw(t, "watch")
-				w.by.Apply(start, w.answer)
+				w.table.Apply(start, w.answer)
 			},
 			"follow a peer": func(t *rapid.T) {
 				from, to := copies[pick(t)], copies[pick(t)]
@@ -156,8 +157,8 @@
 			},
 			"": func(t *rapid.T) {
 				for i, c := range copies {
-					assert.Assert(t, c.Revision() >= reached[i])
-					reached[i] = c.Revision()
+					assert.Assert(t, c.Revision() >= lastRevision[i])
+					lastRevision[i] = c.Revision()
 					if c.Revision() == store.revision() {
 						assert.DeepEqual(t, contents(c), store.contents())
 					}
--- a/mirror/suspension_test.go
+++ b/mirror/suspension_test.go
@@ -12,12 +12,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// suspensions are how long the machines of the tests are suspended.
+// suspensions are the times for which the tests suspend the machine.
 var suspensions = []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second}
 
-// An entry whose machine was suspended took its copy of the store for young, and served by
-// a configuration that was long replaced until a watch ended: the steady clock, by which
-// the copy's age was measured, had stood still.
+// Guards against a stale copy after the machine was suspended. The monotonic clock stops
+// during a suspension, so a copy whose age was measured by it counted as fresh, and the
+// entry served an outdated configuration until a watch ended.
 func TestSuspension(t *testing.T) {
 	for _, d := range suspensions {
 		synctest.Test(t, func(t *testing.T) {
@@ -29,10 +29,10 @@
 			store := storeAt(&revision)
 			answer := store.watch
 			store.watch = func(after int64) (Batch, error) {
-				time.Sleep(time.Millisecond) // nothing is read in the moment in which the machine wakes
+				time.Sleep(time.Millisecond) // no response arrives at the moment of the resume
 				return answer(after)
 			}
-			f := newFollower(table, NewMonitoredStore(store, quiet()), func() Source { return &hanging{} })
+			f := newFollower(table, NewMonitoredStore(store, discardLogger()), func() Source { return &hanging{} })
 			go f.Run(ctx)
 			time.Sleep(1400 * time.Millisecond)
 			assert.Equal(t, table.Revision(), int64(7))
@@ -41,7 +41,7 @@
 			b, err := table.Range(clock.Now())
 			assert.NilError(t, err)
 			assert.Check(t, b.Age >= d, "told to others: %v", b.Age)
-			time.Sleep(2 * guardTick)
+			time.Sleep(2 * staleCheckInterval)
 			assert.Check(t, table.Revision() == 8, "the store is read as soon as the machine is awake")
 			cancel()
 			synctest.Wait()
--- a/mirror/table.go
+++ b/mirror/table.go
@@ -1,7 +1,7 @@
-// Package mirror keeps copies of prefixes of the platform's key-value store in each entry of
-// `springgate gateway`. A copy follows the store directly or, where the store
-// cannot be reached, the copy of a peer: revisions are the store's own, so
-// that a process may change its source at any time and never goes back.
+// Package mirror keeps copies of prefixes of the platform's key-value store in each entry
+// of `springgate gateway`. A copy follows the store directly or, where the store cannot
+// be reached, the copy of a peer. Revisions are those of the store, so a process may
+// change its source at any time without going back to an older state.
 package mirror
 
 import (
@@ -15,12 +15,13 @@
 
 // Errors of sources.
 var (
-	// ErrCompacted says that the history after a revision is gone: read all.
+	// ErrCompacted says that the source no longer has the history after the requested
+	// revision: the full copy must be read.
 	ErrCompacted = errors.New("mirror: history compacted")
-	// ErrUnavailable says that a source answered but cannot serve.
+	// ErrUnavailable says that a source answered but has no copy to serve.
 	ErrUnavailable = errors.New("mirror: source unavailable")
-	// ErrSourceChanged says that a watch was called off because another source is to be
-	// followed.
+	// ErrSourceChanged says that a call was cancelled because the source to follow
+	// changed.
 	ErrSourceChanged = errors.New("mirror: another source is followed")
 )
 
@@ -28,7 +29,7 @@
 type Item struct {
 	Key      string
 	Value    []byte
-	Revision int64 // of its last change
+	Revision int64 // revision of the last change
 }
 
 // Event is a change of one key.
@@ -37,64 +38,64 @@
 	Deleted bool
 }
 
-// Batch is what a source returns: a whole prefix or the changes since a
+// Batch is the response of a source: all items of a prefix or the changes since a
 // revision.
 type Batch struct {
-	Events   []Event
-	Revision int64         // continue from here
-	MaxRevision     int64         // changes up to this may be in it too, but not all; of a whole copy
-	Age      time.Duration // how long ago the store was known to agree with the source, at most
-	AgeMeasuredAt       time.Time     // when Age was read; set by Tables only
-	// FromStore says that this process read it from the store itself.
+	Events        []Event
+	Revision      int64         // the next watch continues after this revision
+	MaxRevision   int64         // of a full copy: changes between Revision and this may be included in part
+	Age           time.Duration // upper bound of the time since the source was confirmed to agree with the store
+	AgeMeasuredAt time.Time     // when Age was measured; set by Table only
+	// FromStore says that this process read the batch from the store, not from a peer.
 	FromStore bool
 }
 
-// Source is the store or a peer's copy of it.
+// Source is the store or the copy of a peer.
 type Source interface {
 	// Name is used in logs.
 	Name() string
 	// Range returns all items of prefix.
 	Range(ctx context.Context, prefix string) (Batch, error)
-	// Watch waits for changes after a revision, at most for wait.
+	// Watch waits up to wait for changes after a revision.
 	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Batch, error)
 }
 
-// Paid is a Source that may cost something each time it is called.
+// Paid is implemented by sources whose calls may be billed.
 type Paid interface{ Paid() bool }
 
-// Bounds of the changes that a table keeps for peers that follow it. A follower
-// that is further behind reads the whole copy, about 1 MB at 3,000 targets, and
-// when those register at once all followers are: a few hundred changes come
-// between two watches. A change has a few hundred bytes, a configuration tens of
-// thousands.
+// Bounds of the history of changes that a table keeps for peers that follow it. A
+// follower that is further behind reads the full copy, about 1 MB at 3,000 targets. When
+// many targets register at once, a few hundred changes come between two watches, and all
+// followers would read the full copy if the history were shorter. A change has a few
+// hundred bytes, a configuration tens of thousands.
 const (
-	historyLength = 4096
-	historyBytes  = 1 << 20
+	maxHistoryLength = 4096
+	maxHistoryBytes  = 1 << 20
 )
 
 // Table is the copy of one prefix. Its methods may be called concurrently.
 //
-// A copy has a revision: it reflects each change up to that. It may reflect some
-// changes beyond it, because a whole copy is read in pages, each later than the one
-// before. So what a copy knows of a key does not tell which changes it has been told
-// of; only the revision does. Changes up to the revision are never taken again, and
-// each beyond it goes into the history for followers, also if its effect is known.
+// A copy reflects all changes up to its revision. It may also reflect some later changes,
+// because a full copy is read in pages, each later than the one before. Therefore the
+// state of a key does not show which changes the copy has received; only the revision
+// does. Changes up to the revision are never applied again, and each later one goes into
+// the history for followers, even if the copy already reflects it.
 type Table struct {
 	prefix string
 
-	mu        sync.Mutex
-	items     map[string]Item
-	history   []Event // in order of revisions
-	size      int     // of the history in bytes
-	start     int64   // history is complete after this revision
-	revision  int64
-	upTo      int64     // changes up to this may be reflected, beyond revision not all
-	first     int64     // revision of the first read
-	contactAt time.Time // when the store was last known to agree
-	readAt    time.Time // when it was, by this process's own reads
-	changed   chan struct{}
-	digest    uint64 // of all items
-	late      int64  // events that were not taken because the copy was beyond them
+	mu            sync.Mutex
+	items         map[string]Item
+	history       []Event // ordered by revision
+	historySize   int     // in bytes
+	historyStart  int64   // the history is complete after this revision
+	revision      int64
+	maxRevision   int64     // changes between revision and this may be reflected in part
+	firstRevision int64     // revision of the first read
+	confirmedAt   time.Time // when the copy was last confirmed to agree with the store
+	storeReadAt   time.Time // likewise, by this process's own reads of the store only
+	changed       chan struct{}
+	digest        uint64 // of all items
+	lateEvents    int64  // events ignored because their revision was not above the copy's
 }
 
 // NewTable returns an empty copy of prefix.
@@ -102,22 +103,22 @@
 	return &Table{prefix: prefix, items: map[string]Item{}, digest: emptyDigest, changed: make(chan struct{})}
 }
 
-// Revision returns the store's revision of the copy; zero before the first read.
+// Revision returns the store revision of the copy; zero before the first read.
 func (t *Table) Revision() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.revision
 }
 
-// FirstRevision returns the revision of the first read: changes up to it may be
-// of any age.
+// FirstRevision returns the revision of the first read. The age of changes up to it is
+// unknown.
 func (t *Table) FirstRevision() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.first
+	return t.firstRevision
 }
 
-// Items returns the items of the copy, and a channel closed at the next change.
+// Items returns the items of the copy, and a channel that is closed at the next change.
 func (t *Table) Items() ([]Item, <-chan struct{}) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,16 +129,16 @@
 	return out, t.changed
 }
 
-// Apply takes the changes after a revision that the copy had reached when they were
-// asked for. What it has reached meanwhile is skipped: answers overtake each other, and
-// one that is late would list a target again whose removal the copy has.
+// Apply applies changes that were requested from the copy's revision at that time. Events
+// that the copy has reached since then are skipped: responses may arrive out of order,
+// and a late one would add a target again after its removal was applied.
 func (t *Table) Apply(now time.Time, b Batch) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	changed := false
 	for _, e := range b.Events {
 		if e.Revision <= t.revision {
-			t.late++
+			t.lateEvents++
 			continue
 		}
 		changed = t.set(e) || changed
@@ -146,37 +147,38 @@
 	t.advance(now, b, changed)
 }
 
-// Replace takes a whole prefix. Keys that it lacks are gone, unless they
-// changed after its revision. A replacement older than the copy is ignored.
+// Replace replaces the copy by a batch with all items of the prefix. Keys that are missing
+// from the batch are removed, unless they changed after its revision. A batch older than
+// the copy is ignored.
 func (t *Table) Replace(now time.Time, b Batch) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if b.Revision < t.revision {
 		return
 	}
-	named := make(map[string]bool, len(b.Events))
+	present := make(map[string]bool, len(b.Events))
 	changed := t.revision == 0
 	for _, e := range b.Events {
-		named[e.Key] = true
+		present[e.Key] = true
 		changed = t.set(e) || changed
 	}
 	for key, i := range t.items {
-		if !named[key] && i.Revision <= b.Revision {
+		if !present[key] && i.Revision <= b.Revision {
 			changed = t.set(Event{Item: Item{Key: key, Revision: b.Revision}, Deleted: true}) || changed
 		}
 	}
 	if t.revision == 0 {
-		t.first = b.Revision
+		t.firstRevision = b.Revision
 	}
-	t.upTo = max(t.upTo, b.MaxRevision)
-	// Keys that came and went since the last read were not seen here, so a
-	// peer that is behind must read all too.
-	t.start, t.history, t.size = b.Revision, nil, 0
+	t.maxRevision = max(t.maxRevision, b.MaxRevision)
+	// Keys that were created and deleted since the last read are missing from the
+	// batch, so a peer that is behind must read the full copy too.
+	t.historyStart, t.history, t.historySize = b.Revision, nil, 0
 	t.advance(now, b, changed)
 }
 
-// set brings a key to what a change made of it, unless more is known of the key, and
-// reports whether that changed the copy.
+// set applies an event to its key, unless the copy has a later state of the key, and
+// reports whether the copy changed.
 func (t *Table) set(e Event) bool {
 	old, known := t.items[e.Key]
 	if known && e.Revision <= old.Revision && !e.Deleted {
@@ -197,43 +199,44 @@
 	return true
 }
 
-// record keeps a change for followers. Without those whose effect is known already,
-// half of 14 entries held three targets in an old state for good after one whole read.
+// record adds a change to the history for followers, even if the copy already reflects
+// it. When such changes were left out, half of 14 entries kept a permanently outdated
+// state of three targets after one full read.
 func (t *Table) record(e Event) {
 	t.history = append(t.history, e)
-	t.size += e.size()
+	t.historySize += e.size()
 	t.trim()
 }
 
-// eventOverhead is what an event takes beside its key and value, in bytes.
+// eventOverhead is the memory of an event without its key and value, in bytes.
 const eventOverhead = 64
 
 func (e Event) size() int { return len(e.Key) + len(e.Value) + eventOverhead }
 
-// trim drops the oldest half of a history that is over its bounds, so that it is
-// not copied at each change.
+// trim drops the oldest half of the history when it exceeds its bounds. Dropping half at
+// once avoids a copy of the history at each change.
 func (t *Table) trim() {
-	if len(t.history) < 2 || len(t.history) <= historyLength && t.size <= historyBytes {
+	if len(t.history) < 2 || len(t.history) <= maxHistoryLength && t.historySize <= maxHistoryBytes {
 		return
 	}
 	keep := t.history[len(t.history)/2:]
-	t.start = max(t.start, t.history[len(t.history)/2-1].Revision)
+	t.historyStart = max(t.historyStart, t.history[len(t.history)/2-1].Revision)
 	t.history = append([]Event(nil), keep...)
-	t.size = 0
+	t.historySize = 0
 	for _, e := range t.history {
-		t.size += e.size()
+		t.historySize += e.size()
 	}
 }
 
 func (t *Table) advance(now time.Time, b Batch, changed bool) {
-	moved := b.Revision > t.revision
+	advanced := b.Revision > t.revision
 	t.revision = max(t.revision, b.Revision)
 	at := now.Add(-b.Age)
-	t.contactAt = later(t.contactAt, at)
+	t.confirmedAt = later(t.confirmedAt, at)
 	if b.FromStore {
-		t.readAt = later(t.readAt, at)
+		t.storeReadAt = later(t.storeReadAt, at)
 	}
-	if changed || moved {
+	if changed || advanced {
 		close(t.changed)
 		t.changed = make(chan struct{})
 	}
@@ -246,46 +249,46 @@
 	return a
 }
 
-// ConfirmedAt returns when the store was last known to agree with the copy; zero
+// ConfirmedAt returns when the copy was last confirmed to agree with the store; zero
 // before the first read.
 func (t *Table) ConfirmedAt() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.contactAt
+	return t.confirmedAt
 }
 
-// LastStoreRead returns when this process's own reads last found that the store agrees
-// with the copy, and the copy's revision: what the store had then lies within it.
+// LastStoreRead returns when this process's own reads of the store last confirmed the
+// copy, and the copy's revision. The copy reflects all changes that the store had then.
 func (t *Table) LastStoreRead() (at time.Time, revision int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.readAt, t.revision
+	return t.storeReadAt, t.revision
 }
 
-// Confirm notes that the store had nothing beyond the copy at a moment, as
-// another process found.
+// Confirm records that another process found no changes in the store beyond the copy at
+// the given time.
 func (t *Table) Confirm(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.contactAt = later(t.contactAt, at)
+	t.confirmedAt = later(t.confirmedAt, at)
 }
 
-// Range returns the whole copy for a peer.
+// Range returns the full copy for a peer.
 func (t *Table) Range(now time.Time) (Batch, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.revision == 0 {
 		return Batch{}, ErrUnavailable
 	}
-	b := Batch{Revision: t.revision, MaxRevision: t.upTo, Age: now.Sub(t.contactAt), AgeMeasuredAt: now}
+	b := Batch{Revision: t.revision, MaxRevision: t.maxRevision, Age: now.Sub(t.confirmedAt), AgeMeasuredAt: now}
 	for _, i := range t.items {
 		b.Events = append(b.Events, Event{Item: i})
 	}
 	return b, nil
 }
 
-// Watch waits for changes after a revision for a peer. It returns an empty
-// batch when wait or ctx ends first.
+// Watch waits for changes after a revision on behalf of a peer. It returns an empty batch
+// when wait expires or ctx ends first.
 func (t *Table) Watch(ctx context.Context, after int64, wait time.Duration) (Batch, error) {
 	if wait <= 0 {
 		b, _, err := t.since(clock.Now(), after)
@@ -301,8 +304,8 @@
 		select {
 		case <-changed:
 		case <-timer.C:
-			// The age as it is now: the one from before the wait would make the
-			// copy younger with each peer that passes it on.
+			// Measure the age again: the age before the wait would be too low, and
+			// the error would grow with each peer that relays the copy.
 			b, _, err = t.since(clock.Now(), after)
 			return b, err
 		case <-ctx.Done():
@@ -317,10 +320,10 @@
 	if t.revision == 0 {
 		return Batch{}, nil, ErrUnavailable
 	}
-	if after < t.start {
+	if after < t.historyStart {
 		return Batch{}, nil, ErrCompacted
 	}
-	b := Batch{Revision: max(after, t.revision), Age: now.Sub(t.contactAt), AgeMeasuredAt: now}
+	b := Batch{Revision: max(after, t.revision), Age: now.Sub(t.confirmedAt), AgeMeasuredAt: now}
 	for _, e := range t.history {
 		if e.Revision > after {
 			b.Events = append(b.Events, e)
--- a/mirror/table_test.go
+++ b/mirror/table_test.go
@@ -21,7 +21,7 @@
 	return Event{Item: Item{Key: key, Value: fmt.Append(nil, revision), Revision: revision}}
 }
 
-func gone(key string, revision int64) Event {
+func removal(key string, revision int64) Event {
 	return Event{Item: Item{Key: key, Revision: revision}, Deleted: true}
 }
 
@@ -44,7 +44,7 @@
 	assert.Equal(t, table.Revision(), int64(6))
 }
 
-func TestReplaceDropsWhatIsGone(t *testing.T) {
+func TestReplaceRemovesMissingKeys(t *testing.T) {
 	table := NewTable("")
 	table.Replace(start, Batch{Events: []Event{set("a", 1), set("b", 2)}, Revision: 2})
 	table.Apply(start, Batch{Events: []Event{set("c", 9)}, Revision: 9})
@@ -52,14 +52,14 @@
 	assert.DeepEqual(t, contents(table), map[string]string{"b": "2"})
 }
 
-func TestWatchOfAPeer(t *testing.T) {
+func TestWatchForPeer(t *testing.T) {
 	table := NewTable("")
 	_, err := table.Watch(t.Context(), 0, 0)
 	assert.ErrorIs(t, err, ErrUnavailable)
 	table.Replace(start, Batch{Events: []Event{set("a", 5)}, Revision: 6})
 	_, err = table.Watch(t.Context(), 4, 0)
 	assert.ErrorIs(t, err, ErrCompacted, "what came before the first read is not known")
-	table.Apply(start, Batch{Events: []Event{set("a", 7), gone("a", 8)}, Revision: 8})
+	table.Apply(start, Batch{Events: []Event{set("a", 7), removal("a", 8)}, Revision: 8})
 	b, err := table.Watch(t.Context(), 6, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, len(b.Events), 2)
@@ -69,19 +69,19 @@
 func TestHistoryIsBounded(t *testing.T) {
 	table := NewTable("")
 	table.Replace(start, Batch{Revision: 1})
-	for r := int64(2); r < 2+2*historyLength; r++ {
+	for r := int64(2); r < 2+2*maxHistoryLength; r++ {
 		table.Apply(start, Batch{Events: []Event{set("a", r)}, Revision: r})
 	}
 	_, err := table.Watch(t.Context(), 1, 0)
 	assert.ErrorIs(t, err, ErrCompacted)
-	b, err := table.Watch(t.Context(), 2*historyLength, 0)
+	b, err := table.Watch(t.Context(), 2*maxHistoryLength, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, len(b.Events), 1)
 }
 
-// When a thousand targets register at once, a follower that was a moment behind
-// gets their changes, not the whole copy.
-func TestBurstOfChangesKeepsFollowersFollowing(t *testing.T) {
+// When a thousand targets register at once, a follower that is slightly behind receives
+// their changes and need not read the full copy.
+func TestBurstOfChangesFitsIntoHistory(t *testing.T) {
 	table := NewTable("")
 	table.Replace(start, Batch{Revision: 1})
 	for r := int64(2); r < 1002; r++ {
@@ -94,23 +94,23 @@
 	assert.Equal(t, len(b.Events), 1000)
 }
 
-// Configurations are large; a few of them must not fill the memory, and the
-// newest is kept however large it is.
+// Configurations are large. The history's memory stays bounded, but the newest change is
+// kept whatever its size.
 func TestHistoryIsBoundedInBytes(t *testing.T) {
 	table := NewTable("")
 	table.Replace(start, Batch{Revision: 1})
 	for r := int64(2); r < 12; r++ {
 		e := set("config", r)
-		e.Value = make([]byte, historyBytes)
+		e.Value = make([]byte, maxHistoryBytes)
 		table.Apply(start, Batch{Events: []Event{e}, Revision: r})
-		assert.Assert(t, table.size <= 2*historyBytes)
+		assert.Assert(t, table.historySize <= 2*maxHistoryBytes)
 	}
 	b, err := table.Watch(t.Context(), 10, 0)
 	assert.NilError(t, err)
 	assert.Equal(t, len(b.Events), 1)
 }
 
-// scripted is a source whose answers are given by a function.
+// scripted is a source whose responses are computed by functions.
 type scripted struct {
 	name  string
 	watch func(after int64) (Batch, error)
@@ -133,13 +133,13 @@
 	return b, err
 }
 
-func quiet() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
 }
 
-// routeFunc is a Route that never moves; nil is the store.
+// routeFunc is a Route that never signals a change of source; nil selects the store.
 type routeFunc func() Source
 
 func (r routeFunc) Source() (Source, <-chan struct{}) {
@@ -150,15 +150,14 @@
 }
 
 func (routeFunc) StoreReadDelay() time.Duration { return 0 }
-func (routeFunc) Backup() bool            { return false }
+func (routeFunc) Backup() bool                  { return false }
 
-// newFollower returns a follower of table with the default times.
+// newFollower returns a follower of table with the default Config.
 func newFollower(table *Table, store *MonitoredStore, route routeFunc) *Follower {
-	return NewFollower(Options{Table: table, Store: store, Route: route, Log: quiet(), Stats: NewStats(metrics.NewRegistry())})
+	return NewFollower(Options{Table: table, Store: store, Route: route, Log: discardLogger(), Stats: NewStats(metrics.NewRegistry())})
 }
 
-// The store loses its history: the follower reads all again and does not go
-// back.
+// The store compacts its history: the follower reads the full copy again.
 func TestFollowerReadsAgainAfterCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -178,7 +177,7 @@
 			return Batch{Revision: after}, nil
 		}
 		table := NewTable("")
-		f := newFollower(table, NewMonitoredStore(src, quiet()), nil)
+		f := newFollower(table, NewMonitoredStore(src, discardLogger()), nil)
 		go f.Run(ctx)
 		time.Sleep(time.Second)
 		assert.DeepEqual(t, contents(table), map[string]string{"a": "9"})
@@ -186,9 +185,9 @@
 	})
 }
 
-// The store turns this process away: it follows a peer, and the store again
-// when that works.
-func TestFollowerFallsBackToAPeer(t *testing.T) {
+// The store rejects this process: it follows a peer, and the store again after that has
+// recovered.
+func TestFollowerFallsBackToPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -212,9 +211,9 @@
 		peer := &scripted{name: "peer", all: func() (Batch, error) { return Batch{Events: []Event{set("a", 3)}, Revision: 3}, nil }}
 		peer.watch = func(after int64) (Batch, error) { return Batch{Revision: max(after, 3)}, nil }
 		table := NewTable("")
-		contact := NewMonitoredStore(store, quiet())
-		f := newFollower(table, contact, func() Source {
-			if contact.Failing() {
+		monitored := NewMonitoredStore(store, discardLogger())
+		f := newFollower(table, monitored, func() Source {
+			if monitored.Failing() {
 				return peer
 			}
 			return nil
@@ -230,8 +229,8 @@
 	})
 }
 
-// An outage of all sources is known, and when it ended.
-func TestFollowerKnowsAnOutage(t *testing.T) {
+// An outage of all sources is reported, and its end.
+func TestFollowerReportsOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -243,7 +242,7 @@
 			}
 			return Batch{Revision: after}, nil
 		}
-		f := newFollower(NewTable(""), NewMonitoredStore(src, quiet()), nil)
+		f := newFollower(NewTable(""), NewMonitoredStore(src, discardLogger()), nil)
 		go f.Run(ctx)
 		time.Sleep(3 * time.Second)
 		isDown, ended := f.Outage()
@@ -259,9 +258,9 @@
 	})
 }
 
-// Seven entries start together and read the whole copy, 1 MB, over one link of
-// 27 Mbit/s, which carries what one asks for as long as it waits for it.
-func TestCopyIsReadOverALinkThatManyShare(t *testing.T) {
+// Seven entries start together and read the full copy, 1 MB, over one link of 27 Mbit/s.
+// All reads complete, although a read that times out wastes the bandwidth it used.
+func TestFullReadOverSharedLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -270,7 +269,7 @@
 		for range 7 {
 			table := NewTable("")
 			tables = append(tables, table)
-			go newFollower(table, NewMonitoredStore(link, quiet()), nil).Run(ctx)
+			go newFollower(table, NewMonitoredStore(link, discardLogger()), nil).Run(ctx)
 		}
 		time.Sleep(4 * time.Second)
 		for _, table := range tables {
@@ -281,19 +280,19 @@
 	})
 }
 
-// sharedLink is a store whose answers share a link.
-type sharedLink struct{ reading atomic.Int64 }
+// sharedLink is a store whose concurrent range reads share the bandwidth of one link.
+type sharedLink struct{ readers atomic.Int64 }
 
-// A copy of 1 MB takes 300 ms on the link alone.
+// copyTime is the time that a copy of 1 MB takes when the link is not shared.
 const copyTime = 300 * time.Millisecond
 
 func (*sharedLink) Name() string { return "store" }
 
 func (l *sharedLink) Range(ctx context.Context, _ string) (Batch, error) {
-	l.reading.Add(1)
-	defer l.reading.Add(-1)
+	l.readers.Add(1)
+	defer l.readers.Add(-1)
 	const step = 10 * time.Millisecond
-	for left := copyTime; left > 0; left -= step / time.Duration(l.reading.Load()) {
+	for left := copyTime; left > 0; left -= step / time.Duration(l.readers.Load()) {
 		select {
 		case <-time.After(step):
 		case <-ctx.Done():
@@ -312,14 +311,14 @@
 	}
 }
 
-// A watch that the store cut without a word ends by the follower's own time.
-func TestFollowerNoticesAWatchThatHangs(t *testing.T) {
+// A watch whose connection was dropped silently ends by the follower's own timeout.
+func TestHangingWatchTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		src := &hanging{}
 		table := NewTable("")
-		f := newFollower(table, NewMonitoredStore(src, quiet()), nil)
+		f := newFollower(table, NewMonitoredStore(src, discardLogger()), nil)
 		go f.Run(ctx)
 		time.Sleep(4 * time.Second)
 		assert.Assert(t, src.calls.Load() >= 2)
@@ -339,8 +338,8 @@
 	return Batch{}, ctx.Err()
 }
 
-// A peer that has lost the store itself is no source to rely on.
-func TestFollowerLeavesAStalePeer(t *testing.T) {
+// A peer that has lost the store itself has a stale copy: the follower reads the store.
+func TestFollowerReadsStoreWhenPeerIsStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -354,7 +353,7 @@
 			return Batch{Revision: after}, nil
 		}
 		table := NewTable("")
-		f := newFollower(table, NewMonitoredStore(store, quiet()), func() Source { return peer })
+		f := newFollower(table, NewMonitoredStore(store, discardLogger()), func() Source { return peer })
 		go f.Run(ctx)
 		time.Sleep(4 * time.Second)
 		assert.DeepEqual(t, contents(table), map[string]string{"a": "7"})
@@ -363,7 +362,7 @@
 	})
 }
 
-// paidSource has a change for each watch.
+// paidSource is a billed source with a change for each watch.
 type paidSource struct{ calls []time.Time }
 
 func (*paidSource) Name() string { return "paid" }
@@ -377,11 +376,11 @@
 	return Batch{Events: []Event{{Item: Item{Key: "k", Revision: after + 1}}}, Revision: after + 1}, nil
 }
 
-// A burst of changes costs few calls.
+// In a burst of changes, watches are at least MinWatchInterval apart.
 func TestBurstOfChangesCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		src := &paidSource{}
-		f := newFollower(NewTable(""), NewMonitoredStore(src, quiet()), nil)
+		f := newFollower(NewTable(""), NewMonitoredStore(src, discardLogger()), nil)
 		ctx, cancel := context.WithTimeout(t.Context(), 1900*time.Millisecond)
 		defer cancel()
 		f.Run(ctx)
