--- a/mirror/contact.go
+++ b/mirror/contact.go
@@ -72,7 +72,7 @@
 // old as the first page.
 func (s *MonitoredStore) Range(ctx context.Context, prefix string) (Batch, error) {
 	call := s.begin()
-	overdue := clock.AfterFunc(rangeOverdueAfter, func() { s.recordFailure(call, errors.New("mirror: read of a whole copy is overdue")) })
+	overdue := clock.AfterFunc(rangeOverdueAfter, func() { s.recordFailure(call, errors.New("mirror: full read of the store is overdue")) })
 	b, err := s.store.Range(ctx, prefix)
 	overdue.Stop()
 	s.end(ctx, call, err)
@@ -85,7 +85,7 @@
 // started.
 func (s *MonitoredStore) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Batch, error) {
 	call := s.begin()
-	overdue := clock.AfterFunc(wait+watchOverdueAfter, func() { s.recordFailure(call, errors.New("mirror: watch is overdue")) })
+	overdue := clock.AfterFunc(wait+watchOverdueAfter, func() { s.recordFailure(call, errors.New("mirror: watch of the store is overdue")) })
 	b, err := s.store.Watch(ctx, prefix, after, wait)
 	overdue.Stop()
 	s.end(ctx, call, err)
@@ -131,7 +131,7 @@
 	s.failures++
 	if s.failures == 1 {
 		s.failingSince = clock.Now()
-		s.log.WithError(err).Warn("Store not reached.")
+		s.log.WithError(err).Warn("Store unreachable.")
 	}
 }
 
@@ -140,7 +140,7 @@
 	defer s.mu.Unlock()
 	s.lastSuccess = later(s.lastSuccess, begun)
 	if s.failures > 0 {
-		s.log.WithFields(logrus.Fields{"failures": s.failures, "ms": clock.Since(s.failingSince).Milliseconds()}).Info("Store reached.")
+		s.log.WithFields(logrus.Fields{"failures": s.failures, "ms": clock.Since(s.failingSince).Milliseconds()}).Info("Store reachable again.")
 		close(s.recovered)
 		s.recovered = make(chan struct{})
 	}
--- a/mirror/contact_test.go
+++ b/mirror/contact_test.go
@@ -39,11 +39,11 @@
 		wait, age time.Duration
 		fullRead  bool
 	}{
-		{"all", slowStore{delay: 300 * time.Millisecond}, 0, 300 * time.Millisecond, true},
-		{"nothing, without a wait", slowStore{delay: 300 * time.Millisecond}, 0, 300 * time.Millisecond, false},
-		{"nothing, in time", slowStore{delay: time.Second}, time.Second, 0, false},
-		{"nothing, late", slowStore{delay: 1200 * time.Millisecond}, time.Second, 200 * time.Millisecond, false},
-		{"changes, without a wait", slowStore{300 * time.Millisecond, change}, 0, 300 * time.Millisecond, false},
+		{"full read", slowStore{delay: 300 * time.Millisecond}, 0, 300 * time.Millisecond, true},
+		{"no changes, no wait", slowStore{delay: 300 * time.Millisecond}, 0, 300 * time.Millisecond, false},
+		{"no changes, at the end of the wait", slowStore{delay: time.Second}, time.Second, 0, false},
+		{"no changes, late", slowStore{delay: 1200 * time.Millisecond}, time.Second, 200 * time.Millisecond, false},
+		{"changes, no wait", slowStore{300 * time.Millisecond, change}, 0, 300 * time.Millisecond, false},
 		{"changes, late in the wait", slowStore{900 * time.Millisecond, change}, time.Second, 900 * time.Millisecond, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -116,7 +116,7 @@
 func TestCopyStaysFreshAtAnyRateOfChanges(t *testing.T) {
 	for _, every := range []time.Duration{20, 150, 500, 850, 950, 990, 1050, 1900, 3700} {
 		every *= time.Millisecond
-		t.Run(fmt.Sprint("each ", every), func(t *testing.T) {
+		t.Run(fmt.Sprint("every ", every), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
@@ -139,7 +139,7 @@
 					at, _ := table.LastStoreRead()
 					oldest = max(oldest, time.Since(at))
 				}
-				assert.Check(t, oldest <= 1200*time.Millisecond, "the copy was %v old", oldest)
+				assert.Check(t, oldest <= 1200*time.Millisecond, "maximum age of the copy is %v", oldest)
 				assert.Equal(t, f.stats.staleReads.Count(), int64(0))
 				most := min(minute+changes, 5*minute) + 5
 				assert.Check(t, store.calls.Load() <= int64(most), "%d calls, %d changes", store.calls.Load(), changes)
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -189,7 +189,7 @@
 func (f *Follower) recordSuccess(src Source) {
 	if f.sourceLost {
 		f.log.WithFields(logrus.Fields{"source": src.Name(), "prefix": f.table.prefix, "revision": f.table.Revision(),
-			"failures": f.failures}).Info("Source regained.")
+			"failures": f.failures}).Info("Source available again.")
 	}
 	f.sourceLost, f.failures = false, 0
 }
@@ -209,7 +209,7 @@
 	err := f.fetchChanges(ctx, src)
 	if errors.Is(err, ErrCompacted) {
 		f.log.WithFields(logrus.Fields{"source": src.Name(), "prefix": f.table.prefix,
-			"revision": f.table.Revision()}).Info("History is gone, reading all again.")
+			"revision": f.table.Revision()}).Info("Source compacted its history, reading the full copy.")
 		err = f.readAll(ctx, src)
 	}
 	if err != nil && errors.Is(context.Cause(ctx), ErrSourceChanged) {
@@ -218,7 +218,7 @@
 	if err != nil && ctx.Err() == nil && !f.sourceLost {
 		f.sourceLost = true
 		f.log.WithFields(logrus.Fields{"source": src.Name(), "prefix": f.table.prefix, "revision": f.table.Revision(),
-			"age_ms": f.age(clock.Now()).Milliseconds(), "error": err.Error()}).Warn("Source lost.")
+			"age_ms": f.age(clock.Now()).Milliseconds(), "error": err.Error()}).Warn("Source failed.")
 	}
 	return err
 }
@@ -264,7 +264,7 @@
 	}
 	f.table.Replace(clock.Now(), b)
 	f.log.WithFields(logrus.Fields{"source": src.Name(), "prefix": f.table.prefix, "items": len(b.Events), "revision": b.Revision,
-		"up_to": b.MaxRevision, "ms": clock.Since(begun).Milliseconds()}).Info("Copy read whole.")
+		"up_to": b.MaxRevision, "ms": clock.Since(begun).Milliseconds()}).Info("Full copy read.")
 	return nil
 }
 
--- a/mirror/guard.go
+++ b/mirror/guard.go
@@ -71,7 +71,7 @@
 		return
 	}
 	f.stats.staleReadsFailed.Inc(1)
-	f.log.WithFields(fields).WithError(err).Debug("Copy is stale, the store does not answer.")
+	f.log.WithFields(fields).WithError(err).Debug("Copy is stale, reading the store failed.")
 }
 
 func (f *Follower) readChanges(ctx context.Context) error {
--- a/mirror/guard_test.go
+++ b/mirror/guard_test.go
@@ -111,9 +111,9 @@
 			done <- err
 		}()
 		time.Sleep(time.Second + watchOverdueAfter - time.Millisecond)
-		assert.Assert(t, !c.Failing(), "a slow store is not lost")
+		assert.Assert(t, !c.Failing(), "a slow store counts as failing")
 		time.Sleep(2 * time.Millisecond)
-		assert.Assert(t, c.Failing(), "the watch is overdue")
+		assert.Assert(t, c.Failing(), "the watch is overdue but the store does not count as failing")
 		b, err := c.Watch(t.Context(), "", 1, 0)
 		assert.NilError(t, err)
 		assert.Assert(t, b.FromStore && !c.Failing())
@@ -188,6 +188,6 @@
 		assert.NilError(t, err)
 		assert.Equal(t, b.Age, time.Duration(0))
 		at, revision := table.LastStoreRead()
-		assert.Assert(t, at.Equal(read) && revision == 5, "what others saw was not read here")
+		assert.Assert(t, at.Equal(read) && revision == 5, "a confirmation by another process counts as a read of the store")
 	})
 }
--- a/mirror/oracle_test.go
+++ b/mirror/oracle_test.go
@@ -104,8 +104,8 @@
 				}
 				c.Apply(start, store.since(c.Revision(), rapid.IntRange(1, 4).Draw(t, "most")))
 			},
-			"hold an answer back": func(t *rapid.T) { lateReads = append(lateReads, store.all()) },
-			"late answer": func(t *rapid.T) {
+			"hold back a full read": func(t *rapid.T) { lateReads = append(lateReads, store.all()) },
+			"late full read": func(t *rapid.T) {
 				if len(lateReads) == 0 {
 					t.Skip()
 				}
@@ -123,7 +123,7 @@
 				b := Batch{Revision: r.first.Revision, Events: append(slices.Clone(r.first.Events), store.page(r.split, "")...)}
 				copies[pick(t)].Replace(start, b)
 			},
-			"watch that is overtaken": func(t *rapid.T) {
+			"watch with a late answer": func(t *rapid.T) {
 				c, from := copies[pick(t)], copies[pick(t)]
 				b := store.since(c.Revision(), rapid.IntRange(1, 4).Draw(t, "most"))
 				if rapid.Bool().Draw(t, "of a peer") {
@@ -136,7 +136,7 @@
 					watches = append(watches, lateWatch{c, b})
 				}
 			},
-			"its answer": func(t *rapid.T) {
+			"late answer to a watch": func(t *rapid.T) {
 				if len(watches) == 0 {
 					t.Skip()
 				}
--- a/mirror/table.go
+++ b/mirror/table.go
@@ -22,7 +22,7 @@
 	ErrUnavailable = errors.New("mirror: source unavailable")
 	// ErrSourceChanged says that a call was cancelled because the source to follow
 	// changed.
-	ErrSourceChanged = errors.New("mirror: another source is followed")
+	ErrSourceChanged = errors.New("mirror: source changed")
 )
 
 // Item is one key of the store.
