--- a/spread/peer.go
+++ b/spread/peer.go
@@ -52,7 +52,7 @@
 	}
 	key := "neighbour/" + p.readers.key + "/" + p.self.Host
 	chosen := map[string]bool{}
-	for _, h := range membership.Rank(key, near, p.cfg.Near) {
+	for _, h := range membership.Rank(key, near, p.cfg.LocalNeighbours) {
 		chosen[h] = true
 	}
 	for _, h := range membership.Rank(key, far, p.cfg.Far) {
