--- a/spread/config.go
+++ b/spread/config.go
@@ -20,10 +20,10 @@
 	// PerSource is how many chunks are asked of the origin or store at once.
 	// Default 1.
 	PerSource int
-	// LocalNeighbours and Far are how many neighbours in this and in other failure
+	// LocalNeighbours and RemoteNeighbours are how many neighbours in this and in other failure
 	// domains tell this host what they hold. More find chunks sooner and
 	// cost more control bytes. Defaults 14 and 8.
-	LocalNeighbours, Far int
+	LocalNeighbours, RemoteNeighbours int
 	// Hold is how long a reader may hold a question for a chunk that it is
 	// about to get. Default 10 s.
 	Hold time.Duration
@@ -56,7 +56,7 @@
 	c.PerPeer = cmp.Or(c.PerPeer, 2)
 	c.PerSource = cmp.Or(c.PerSource, 1)
 	c.LocalNeighbours = cmp.Or(c.LocalNeighbours, 14)
-	c.Far = cmp.Or(c.Far, 8)
+	c.RemoteNeighbours = cmp.Or(c.RemoteNeighbours, 8)
 	c.Hold = cmp.Or(c.Hold, 10*time.Second)
 	c.Holds = cmp.Or(c.Holds, 32)
 	c.AskAgain = cmp.Or(c.AskAgain, 500*time.Millisecond)
--- a/spread/peer.go
+++ b/spread/peer.go
@@ -55,7 +55,7 @@
 	for _, h := range membership.Rank(key, near, p.cfg.LocalNeighbours) {
 		chosen[h] = true
 	}
-	for _, h := range membership.Rank(key, far, p.cfg.Far) {
+	for _, h := range membership.Rank(key, far, p.cfg.RemoteNeighbours) {
 		chosen[h] = true
 	}
 	for h, q := range p.peers {
