--- a/spread/config.go
+++ b/spread/config.go
@@ -24,9 +24,9 @@
 	// domains tell this host what they hold. More find chunks sooner and
 	// cost more control bytes. Defaults 14 and 8.
 	LocalNeighbours, RemoteNeighbours int
-	// Hold is how long a reader may hold a question for a chunk that it is
+	// LongPollTimeout is how long a reader may hold a question for a chunk that it is
 	// about to get. Default 10 s.
-	Hold time.Duration
+	LongPollTimeout time.Duration
 	// Holds is how many such questions may be open. Default 32.
 	Holds int
 	// AskAgain is the time after which a reader that still waits for a chunk
@@ -57,7 +57,7 @@
 	c.PerSource = cmp.Or(c.PerSource, 1)
 	c.LocalNeighbours = cmp.Or(c.LocalNeighbours, 14)
 	c.RemoteNeighbours = cmp.Or(c.RemoteNeighbours, 8)
-	c.Hold = cmp.Or(c.Hold, 10*time.Second)
+	c.LongPollTimeout = cmp.Or(c.LongPollTimeout, 10*time.Second)
 	c.Holds = cmp.Or(c.Holds, 32)
 	c.AskAgain = cmp.Or(c.AskAgain, 500*time.Millisecond)
 	c.AskEvery = cmp.Or(c.AskEvery, 200*time.Millisecond)
--- a/spread/duty.go
+++ b/spread/duty.go
@@ -91,7 +91,7 @@
 		}
 		kept = append(kept, c)
 		if !ok && p.wanted(c) {
-			found, ok = p.tryStep(now, c, p.cfg.Hold)
+			found, ok = p.tryStep(now, c, p.cfg.LongPollTimeout)
 		}
 	}
 	p.duties = kept
