--- a/spread/config.go
+++ b/spread/config.go
@@ -27,8 +27,8 @@
 	// LongPollTimeout is how long a reader may hold a question for a chunk that it is
 	// about to get. Default 10 s.
 	LongPollTimeout time.Duration
-	// Holds is how many such questions may be open. Default 32.
-	Holds int
+	// MaxLongPolls is how many such questions may be open. Default 32.
+	MaxLongPolls int
 	// AskAgain is the time after which a reader that still waits for a chunk
 	// is asked for it again. Default 500 ms.
 	AskAgain time.Duration
@@ -58,7 +58,7 @@
 	c.LocalNeighbours = cmp.Or(c.LocalNeighbours, 14)
 	c.RemoteNeighbours = cmp.Or(c.RemoteNeighbours, 8)
 	c.LongPollTimeout = cmp.Or(c.LongPollTimeout, 10*time.Second)
-	c.Holds = cmp.Or(c.Holds, 32)
+	c.MaxLongPolls = cmp.Or(c.MaxLongPolls, 32)
 	c.AskAgain = cmp.Or(c.AskAgain, 500*time.Millisecond)
 	c.AskEvery = cmp.Or(c.AskEvery, 200*time.Millisecond)
 	c.Unable = cmp.Or(c.Unable, 10*time.Second)
--- a/spread/duty.go
+++ b/spread/duty.go
@@ -130,7 +130,7 @@
 		kind, ok := p.openSource(now)
 		return Fetch{Chunk: chunk, Kind: kind}, ok
 	}
-	if now.Before(p.askAgain[chunk]) || hold > 0 && p.holds >= p.cfg.Holds {
+	if now.Before(p.askAgain[chunk]) || hold > 0 && p.holds >= p.cfg.MaxLongPolls {
 		return Fetch{}, false
 	}
 	return Fetch{Chunk: chunk, Kind: FromPeer, Peer: p.readers.nodes[s.ask].Host, Far: s.far, Asked: true, Hold: hold}, true
--- a/spread/planner_test.go
+++ b/spread/planner_test.go
@@ -121,7 +121,7 @@
 
 func TestCorruptAndLyingPeersAreLeftAlone(t *testing.T) {
 	all := nodes(2, 1)
-	cfg := Config{Goal: intent.SpreadOriginBytes, Holds: 1}
+	cfg := Config{Goal: intent.SpreadOriginBytes, MaxLongPolls: 1}
 	p := planner(cfg, 0, all, 64, false)
 	p.PeerHolds("h001", []uint64{^uint64(0)})
 	fromPeer := func(now time.Time) (out []Fetch) {
@@ -146,7 +146,7 @@
 // A neighbour that said it holds a chunk and then says it is still waiting for
 // it has lied as well.
 func TestNeighbourThatOnlyWaitsIsNotAskedForEver(t *testing.T) {
-	p := planner(Config{Goal: intent.SpreadOriginBytes, Holds: 1}, 0, nodes(2, 1), 64, false)
+	p := planner(Config{Goal: intent.SpreadOriginBytes, MaxLongPolls: 1}, 0, nodes(2, 1), 64, false)
 	p.PeerHolds("h001", []uint64{^uint64(0)})
 	asked := 0
 	for range 50 {
