--- a/spread/config.go
+++ b/spread/config.go
@@ -94,7 +94,7 @@
 	Peer     string        // host, for FromPeer
 	Far      bool          // the peer is in another failure domain
 	Asked    bool          // the peer was asked as a reader; it may not have the chunk yet
-	Hold     time.Duration // how long the peer may hold the question
+	LongPollTimeout     time.Duration // how long the peer may hold the question
 	Started  time.Time
 	Deadline time.Time
 }
--- a/spread/links_test.go
+++ b/spread/links_test.go
@@ -157,7 +157,7 @@
 			continue
 		}
 		if f.Asked && !src.planner.Has(f.Chunk) {
-			if f.Hold > 0 && src.planner.Coming(l.time(), f.Chunk) {
+			if f.LongPollTimeout > 0 && src.planner.Coming(l.time(), f.Chunk) {
 				l.hold(h, src, f)
 				continue
 			}
@@ -202,7 +202,7 @@
 			l.send(h, src, f)
 		}
 	}})
-	l.after(f.Hold, func() {
+	l.after(f.LongPollTimeout, func() {
 		if open {
 			open = false
 			l.answerMissing(h, src, f)
--- a/spread/planner.go
+++ b/spread/planner.go
@@ -102,9 +102,9 @@
 func (p *Planner) begin(now time.Time, f Fetch) Fetch {
 	f.Started = now
 	f.Deadline = now.Add(p.patience[f.Kind].allowed)
-	if f.Hold > 0 {
+	if f.LongPollTimeout > 0 {
 		p.holds++
-		f.Deadline = f.Deadline.Add(f.Hold)
+		f.Deadline = f.Deadline.Add(f.LongPollTimeout)
 	}
 	p.busy.Set(uint(f.Chunk))
 	p.inflight = append(p.inflight, f)
@@ -177,7 +177,7 @@
 	}
 	p.inflight = slices.Delete(p.inflight, i, i+1)
 	p.busy.Clear(uint(f.Chunk))
-	if f.Hold > 0 {
+	if f.LongPollTimeout > 0 {
 		p.holds--
 	}
 	if f.Kind != FromPeer {
