--- a/spread/config.go
+++ b/spread/config.go
@@ -29,9 +29,9 @@
 	LongPollTimeout time.Duration
 	// MaxLongPolls is how many such questions may be open. Default 32.
 	MaxLongPolls int
-	// AskAgain is the time after which a reader that still waits for a chunk
+	// PendingRetry is the time after which a reader that still waits for a chunk
 	// is asked for it again. Default 500 ms.
-	AskAgain time.Duration
+	PendingRetry time.Duration
 	// AskEvery is the shortest time between two direct questions to readers.
 	// Default 200 ms.
 	AskEvery time.Duration
@@ -59,7 +59,7 @@
 	c.RemoteNeighbours = cmp.Or(c.RemoteNeighbours, 8)
 	c.LongPollTimeout = cmp.Or(c.LongPollTimeout, 10*time.Second)
 	c.MaxLongPolls = cmp.Or(c.MaxLongPolls, 32)
-	c.AskAgain = cmp.Or(c.AskAgain, 500*time.Millisecond)
+	c.PendingRetry = cmp.Or(c.PendingRetry, 500*time.Millisecond)
 	c.AskEvery = cmp.Or(c.AskEvery, 200*time.Millisecond)
 	c.Unable = cmp.Or(c.Unable, 10*time.Second)
 	c.FetchTimeout = cmp.Or(c.FetchTimeout, 10*time.Second)
--- a/spread/duty.go
+++ b/spread/duty.go
@@ -140,8 +140,8 @@
 // waiting for the chunk is asked again; one that cannot help is passed over
 // for a time.
 func (p *Planner) askFailed(now time.Time, f Fetch, fault Fault) {
-	jitter := time.Duration(p.rng.Int64N(int64(p.cfg.AskAgain)))
-	p.askAgain[f.Chunk] = now.Add(p.cfg.AskAgain/2 + jitter)
+	jitter := time.Duration(p.rng.Int64N(int64(p.cfg.PendingRetry)))
+	p.askAgain[f.Chunk] = now.Add(p.cfg.PendingRetry/2 + jitter)
 	if fault != FaultComing {
 		p.unable[f.Peer] = now.Add(p.cfg.Unable)
 	}
