--- a/spread/config.go
+++ b/spread/config.go
@@ -32,9 +32,9 @@
 	// PendingRetry is the time after which a reader that still waits for a chunk
 	// is asked for it again. Default 500 ms.
 	PendingRetry time.Duration
-	// AskEvery is the shortest time between two direct questions to readers.
+	// ReaderInterval is the shortest time between two direct questions to readers.
 	// Default 200 ms.
-	AskEvery time.Duration
+	ReaderInterval time.Duration
 	// Unable is how long a reader that could not be reached, or does not have
 	// the chunk and cannot get it, is passed over. Shorter comes back to it
 	// sooner; longer reads less twice. Default 10 s.
@@ -60,7 +60,7 @@
 	c.LongPollTimeout = cmp.Or(c.LongPollTimeout, 10*time.Second)
 	c.MaxLongPolls = cmp.Or(c.MaxLongPolls, 32)
 	c.PendingRetry = cmp.Or(c.PendingRetry, 500*time.Millisecond)
-	c.AskEvery = cmp.Or(c.AskEvery, 200*time.Millisecond)
+	c.ReaderInterval = cmp.Or(c.ReaderInterval, 200*time.Millisecond)
 	c.Unable = cmp.Or(c.Unable, 10*time.Second)
 	c.FetchTimeout = cmp.Or(c.FetchTimeout, 10*time.Second)
 	c.Ban = cmp.Or(c.Ban, 30*time.Second)
--- a/spread/duty.go
+++ b/spread/duty.go
@@ -112,7 +112,7 @@
 		}
 		seen++
 		if f, ok := p.tryStep(now, c, 0); ok {
-			p.nextAsk = now.Add(p.cfg.AskEvery)
+			p.nextAsk = now.Add(p.cfg.ReaderInterval)
 			return f, true
 		}
 	}
