--- a/spread/config.go
+++ b/spread/config.go
@@ -35,10 +35,10 @@
 	// ReaderInterval is the shortest time between two direct questions to readers.
 	// Default 200 ms.
 	ReaderInterval time.Duration
-	// Unable is how long a reader that could not be reached, or does not have
+	// UnavailableFor is how long a reader that could not be reached, or does not have
 	// the chunk and cannot get it, is passed over. Shorter comes back to it
 	// sooner; longer reads less twice. Default 10 s.
-	Unable time.Duration
+	UnavailableFor time.Duration
 	// FetchTimeout is the least time after which a fetch is given up and asked
 	// elsewhere; it grows with what fetches take. Default 10 s.
 	FetchTimeout time.Duration
@@ -61,7 +61,7 @@
 	c.MaxLongPolls = cmp.Or(c.MaxLongPolls, 32)
 	c.PendingRetry = cmp.Or(c.PendingRetry, 500*time.Millisecond)
 	c.ReaderInterval = cmp.Or(c.ReaderInterval, 200*time.Millisecond)
-	c.Unable = cmp.Or(c.Unable, 10*time.Second)
+	c.UnavailableFor = cmp.Or(c.UnavailableFor, 10*time.Second)
 	c.FetchTimeout = cmp.Or(c.FetchTimeout, 10*time.Second)
 	c.Ban = cmp.Or(c.Ban, 30*time.Second)
 	c.SourceRetry = cmp.Or(c.SourceRetry, 500*time.Millisecond)
