--- a/spread/config.go
+++ b/spread/config.go
@@ -45,9 +45,9 @@
 	// Ban is how long a peer that sent a corrupt chunk or lied is left
 	// alone the first time; it doubles. Default 30 s.
 	Ban time.Duration
-	// SourceRetry is the first wait after a source failed; it doubles up to
+	// SourceBackoff is the first wait after a source failed; it doubles up to
 	// 20 times. Default 500 ms.
-	SourceRetry time.Duration
+	SourceBackoff time.Duration
 }
 
 func (c Config) applyDefaults() Config {
@@ -64,7 +64,7 @@
 	c.UnavailableFor = cmp.Or(c.UnavailableFor, 10*time.Second)
 	c.FetchTimeout = cmp.Or(c.FetchTimeout, 10*time.Second)
 	c.Ban = cmp.Or(c.Ban, 30*time.Second)
-	c.SourceRetry = cmp.Or(c.SourceRetry, 500*time.Millisecond)
+	c.SourceBackoff = cmp.Or(c.SourceBackoff, 500*time.Millisecond)
 	return c
 }
 
--- a/spread/source.go
+++ b/spread/source.go
@@ -58,7 +58,7 @@
 		s.blocked = now.Add(wait + time.Duration(p.rng.Int64N(int64(wait)+1)))
 		return
 	}
-	base := p.cfg.SourceRetry << min(s.failures, maxRetryShift)
+	base := p.cfg.SourceBackoff << min(s.failures, maxRetryShift)
 	s.failures++
 	s.blocked = now.Add(base/2 + time.Duration(p.rng.Int64N(int64(base))))
 }
