--- a/spread/config.go
+++ b/spread/config.go
@@ -42,9 +42,9 @@
 	// FetchTimeout is the least time after which a fetch is given up and asked
 	// elsewhere; it grows with what fetches take. Default 10 s.
 	FetchTimeout time.Duration
-	// Ban is how long a peer that sent a corrupt chunk or lied is left
+	// BanDuration is how long a peer that sent a corrupt chunk or lied is left
 	// alone the first time; it doubles. Default 30 s.
-	Ban time.Duration
+	BanDuration time.Duration
 	// SourceBackoff is the first wait after a source failed; it doubles up to
 	// 20 times. Default 500 ms.
 	SourceBackoff time.Duration
@@ -63,7 +63,7 @@
 	c.ReaderInterval = cmp.Or(c.ReaderInterval, 200*time.Millisecond)
 	c.UnavailableFor = cmp.Or(c.UnavailableFor, 10*time.Second)
 	c.FetchTimeout = cmp.Or(c.FetchTimeout, 10*time.Second)
-	c.Ban = cmp.Or(c.Ban, 30*time.Second)
+	c.BanDuration = cmp.Or(c.BanDuration, 30*time.Second)
 	c.SourceBackoff = cmp.Or(c.SourceBackoff, 500*time.Millisecond)
 	return c
 }
--- a/spread/peer.go
+++ b/spread/peer.go
@@ -163,7 +163,7 @@
 	p.lostChunk(q, f.Chunk)
 	q.strikes++
 	if fault == FaultCorrupt || q.strikes >= maxStrikes {
-		q.banned = now.Add(p.cfg.Ban << min(q.bans, maxBanShift))
+		q.banned = now.Add(p.cfg.BanDuration << min(q.bans, maxBanShift))
 		q.bans++
 		q.strikes = 0
 	}
