--- a/spread/config.go
+++ b/spread/config.go
@@ -93,7 +93,7 @@
 	Kind     SourceKind
 	Peer     string        // host, for FromPeer
 	Far      bool          // the peer is in another failure domain
-	Asked    bool          // the peer was asked as a reader; it may not have the chunk yet
+	ToReader    bool          // the peer was asked as a reader; it may not have the chunk yet
 	LongPollTimeout     time.Duration // how long the peer may hold the question
 	Started  time.Time
 	Deadline time.Time
--- a/spread/links_test.go
+++ b/spread/links_test.go
@@ -152,11 +152,11 @@
 			l.fail(h, f)
 			continue
 		}
-		if src.liar && !f.Asked && !src.planner.Has(f.Chunk) {
+		if src.liar && !f.ToReader && !src.planner.Has(f.Chunk) {
 			l.after(2*linkLatency, func() { l.answerMissing(h, src, f) })
 			continue
 		}
-		if f.Asked && !src.planner.Has(f.Chunk) {
+		if f.ToReader && !src.planner.Has(f.Chunk) {
 			if f.LongPollTimeout > 0 && src.planner.Coming(l.time(), f.Chunk) {
 				l.hold(h, src, f)
 				continue
--- a/spread/planner.go
+++ b/spread/planner.go
@@ -111,7 +111,7 @@
 	switch {
 	case f.Kind != FromPeer:
 		p.sources[f.Kind].inflight++
-	case !f.Asked && p.peers[f.Peer] != nil:
+	case !f.ToReader && p.peers[f.Peer] != nil:
 		p.peers[f.Peer].inflight++
 	}
 	return f
@@ -139,10 +139,10 @@
 		return
 	}
 	if f.Kind == FromPeer {
-		if f.Asked {
+		if f.ToReader {
 			p.askFailed(now, f, fault)
 		}
-		if !f.Asked || fault != FaultComing {
+		if !f.ToReader || fault != FaultComing {
 			p.peerFailed(now, f, fault)
 		}
 		return
@@ -184,7 +184,7 @@
 		p.sources[f.Kind].inflight--
 		return true
 	}
-	if q := p.peers[f.Peer]; q != nil && !f.Asked {
+	if q := p.peers[f.Peer]; q != nil && !f.ToReader {
 		q.inflight--
 	}
 	return true
--- a/spread/planner_test.go
+++ b/spread/planner_test.go
@@ -126,7 +126,7 @@
 	p.PeerHolds("h001", []uint64{^uint64(0)})
 	fromPeer := func(now time.Time) (out []Fetch) {
 		for _, f := range take(p, now) {
-			if f.Kind == FromPeer && !f.Asked {
+			if f.Kind == FromPeer && !f.ToReader {
 				out = append(out, f)
 			}
 		}
@@ -151,7 +151,7 @@
 	asked := 0
 	for range 50 {
 		for _, f := range take(p, start) {
-			if f.Kind == FromPeer && !f.Asked {
+			if f.Kind == FromPeer && !f.ToReader {
 				asked++
 				p.Failed(start, f, FaultComing, 0)
 			}
