--- a/agent/fetch.go
+++ b/agent/fetch.go
@@ -143,7 +143,7 @@
 		w.count.fromStore.Inc(int64(n))
 	case f.Kind == spread.FromOrigin:
 		w.count.fromOrigin.Inc(int64(n))
-	case f.Far:
+	case f.CrossDomain:
 		w.count.fromFar.Inc(int64(n))
 		w.count.fromPeer.Inc(int64(n))
 	default:
--- a/spread/config.go
+++ b/spread/config.go
@@ -92,7 +92,7 @@
 	Chunk    int
 	Kind     SourceKind
 	Peer     string        // host, for FromPeer
-	Far      bool          // the peer is in another failure domain
+	CrossDomain      bool          // the peer is in another failure domain
 	ToReader    bool          // the peer was asked as a reader; it may not have the chunk yet
 	LongPollTimeout     time.Duration // how long the peer may hold the question
 	Started  time.Time
--- a/spread/duty.go
+++ b/spread/duty.go
@@ -133,7 +133,7 @@
 	if now.Before(p.askAgain[chunk]) || hold > 0 && p.holds >= p.cfg.MaxLongPolls {
 		return Fetch{}, false
 	}
-	return Fetch{Chunk: chunk, Kind: FromPeer, Peer: p.readers.nodes[s.ask].Host, Far: s.far, ToReader: true, LongPollTimeout: hold}, true
+	return Fetch{Chunk: chunk, Kind: FromPeer, Peer: p.readers.nodes[s.ask].Host, CrossDomain: s.far, ToReader: true, LongPollTimeout: hold}, true
 }
 
 // askFailed notes the answer of a reader that was asked. One that is still
--- a/spread/links_test.go
+++ b/spread/links_test.go
@@ -185,7 +185,7 @@
 		l.after(src.asleep-l.now, func() { l.send(h, src, f) })
 		return
 	}
-	if f.Far {
+	if f.CrossDomain {
 		l.farChunks++
 	}
 	start := max(l.now+linkLatency, src.up)
--- a/spread/peer.go
+++ b/spread/peer.go
@@ -193,7 +193,7 @@
 				continue
 			}
 			if c := p.rarest(now, q); c >= 0 {
-				return Fetch{Chunk: c, Kind: FromPeer, Peer: q.Host, Far: far}, true
+				return Fetch{Chunk: c, Kind: FromPeer, Peer: q.Host, CrossDomain: far}, true
 			}
 		}
 	}
