--- a/agent/fetch.go
+++ b/agent/fetch.go
@@ -125,7 +125,7 @@
 		w.count.limited.Inc(1)
 		t.planner.Failed(now, f, spread.FaultLimited, limited.RetryAfter)
 	case errors.Is(err, errComing):
-		t.planner.Failed(now, f, spread.FaultComing, 0)
+		t.planner.Failed(now, f, spread.FaultPending, 0)
 	case errors.Is(err, weightstore.ErrMissing):
 		t.planner.Failed(now, f, spread.FaultMissing, 0)
 	default:
--- a/spread/config.go
+++ b/spread/config.go
@@ -108,5 +108,5 @@
 	FaultMissing                      // the source does not have the chunk
 	FaultCorrupt                      // the digest did not match
 	FaultLimited                      // the source asked to wait
-	FaultComing                       // the reader asked is still waiting for it
+	FaultPending                       // the reader asked is still waiting for it
 )
--- a/spread/duty.go
+++ b/spread/duty.go
@@ -142,7 +142,7 @@
 func (p *Planner) askFailed(now time.Time, f Fetch, fault Fault) {
 	jitter := time.Duration(p.rng.Int64N(int64(p.cfg.PendingRetry)))
 	p.askAgain[f.Chunk] = now.Add(p.cfg.PendingRetry/2 + jitter)
-	if fault != FaultComing {
+	if fault != FaultPending {
 		p.unable[f.Peer] = now.Add(p.cfg.UnavailableFor)
 	}
 }
--- a/spread/links_test.go
+++ b/spread/links_test.go
@@ -227,7 +227,7 @@
 func (l *links) answerMissing(h, src *linkHost, f Fetch) {
 	fault := FaultMissing
 	if src.planner.Coming(l.time(), f.Chunk) {
-		fault = FaultComing
+		fault = FaultPending
 	}
 	if src.dead {
 		fault = FaultUnreachable
--- a/spread/planner.go
+++ b/spread/planner.go
@@ -142,7 +142,7 @@
 		if f.ToReader {
 			p.askFailed(now, f, fault)
 		}
-		if !f.ToReader || fault != FaultComing {
+		if !f.ToReader || fault != FaultPending {
 			p.peerFailed(now, f, fault)
 		}
 		return
--- a/spread/planner_test.go
+++ b/spread/planner_test.go
@@ -69,7 +69,7 @@
 	}
 	assert.Assert(t, own > 3 && own < 20, "%d of its own", own)
 	for _, f := range asked {
-		p.Failed(start, f, FaultComing, 0)
+		p.Failed(start, f, FaultPending, 0)
 	}
 	now := start.Add(2 * time.Second)
 	for _, f := range take(p, now) {
@@ -153,7 +153,7 @@
 		for _, f := range take(p, start) {
 			if f.Kind == FromPeer && !f.ToReader {
 				asked++
-				p.Failed(start, f, FaultComing, 0)
+				p.Failed(start, f, FaultPending, 0)
 			}
 		}
 	}
@@ -238,7 +238,7 @@
 			"failed": func(t *rapid.T) {
 				f := one(t)
 				fault := Fault(rapid.IntRange(1, 5).Draw(t, "fault"))
-				if f.Kind == FromPeer && fault == FaultLimited || f.Kind != FromPeer && fault == FaultComing {
+				if f.Kind == FromPeer && fault == FaultLimited || f.Kind != FromPeer && fault == FaultPending {
 					fault = FaultUnreachable
 				}
 				p.Failed(now, f, fault, time.Second)
