--- a/agent/fetch.go
+++ b/agent/fetch.go
@@ -123,7 +123,7 @@
 		t.planner.Failed(now, f, spread.FaultCorrupt, 0)
 	case errors.As(err, &limited):
 		w.count.limited.Inc(1)
-		t.planner.Failed(now, f, spread.FaultLimited, limited.RetryAfter)
+		t.planner.Failed(now, f, spread.FaultRateLimited, limited.RetryAfter)
 	case errors.Is(err, errComing):
 		t.planner.Failed(now, f, spread.FaultPending, 0)
 	case errors.Is(err, weightstore.ErrMissing):
--- a/spread/config.go
+++ b/spread/config.go
@@ -107,6 +107,6 @@
 	FaultUnreachable Fault = iota + 1 // no connection, reset or timeout
 	FaultMissing                      // the source does not have the chunk
 	FaultCorrupt                      // the digest did not match
-	FaultLimited                      // the source asked to wait
+	FaultRateLimited                      // the source asked to wait
 	FaultPending                       // the reader asked is still waiting for it
 )
--- a/spread/planner_test.go
+++ b/spread/planner_test.go
@@ -93,10 +93,10 @@
 	p := planner(Config{}, 0, nodes(1, 1), 10, true)
 	f := take(p, start)[0]
 	assert.Equal(t, f.Kind, FromStore)
-	p.Failed(start, f, FaultLimited, 5*time.Second)
+	p.Failed(start, f, FaultRateLimited, 5*time.Second)
 	for _, f := range take(p, start.Add(time.Second)) {
 		assert.Equal(t, f.Kind, FromStore, "fetches that were under way")
-		p.Failed(start, f, FaultLimited, 5*time.Second)
+		p.Failed(start, f, FaultRateLimited, 5*time.Second)
 	}
 	assert.Equal(t, len(take(p, start.Add(4*time.Second))), 0, "told to wait")
 	f = take(p, start.Add(11*time.Second))[0]
@@ -238,7 +238,7 @@
 			"failed": func(t *rapid.T) {
 				f := one(t)
 				fault := Fault(rapid.IntRange(1, 5).Draw(t, "fault"))
-				if f.Kind == FromPeer && fault == FaultLimited || f.Kind != FromPeer && fault == FaultPending {
+				if f.Kind == FromPeer && fault == FaultRateLimited || f.Kind != FromPeer && fault == FaultPending {
 					fault = FaultUnreachable
 				}
 				p.Failed(now, f, fault, time.Second)
--- a/spread/source.go
+++ b/spread/source.go
@@ -53,7 +53,7 @@
 		s.known = false
 		return
 	}
-	if fault == FaultLimited {
+	if fault == FaultRateLimited {
 		s.failures = 0
 		s.blocked = now.Add(wait + time.Duration(p.rng.Int64N(int64(wait)+1)))
 		return
