--- a/agent/holdings.go
+++ b/agent/holdings.go
@@ -198,7 +198,7 @@
 		case t.planner == nil:
 			coming = true // the manifest is on its way
 		default:
-			coming = m.Index >= 0 && m.Index < len(t.manifest.Chunks) && t.planner.Coming(clock.Now(), m.Index)
+			coming = m.Index >= 0 && m.Index < len(t.manifest.Chunks) && t.planner.Pending(clock.Now(), m.Index)
 		}
 	})
 	return coming
--- a/spread/duty.go
+++ b/spread/duty.go
@@ -67,9 +67,9 @@
 	return step{ask: i, far: p.readers.nodes[i].Domain != p.self.Domain}
 }
 
-// Coming reports whether a chunk that this host lacks is on its way here, so
+// Pending reports whether a chunk that this host lacks is on its way here, so
 // that a host that asks for it should wait and not step in.
-func (p *Planner) Coming(now time.Time, chunk int) bool {
+func (p *Planner) Pending(now time.Time, chunk int) bool {
 	if p.busy.Test(uint(chunk)) {
 		return true
 	}
--- a/spread/links_test.go
+++ b/spread/links_test.go
@@ -157,7 +157,7 @@
 			continue
 		}
 		if f.ToReader && !src.planner.Has(f.Chunk) {
-			if f.LongPollTimeout > 0 && src.planner.Coming(l.time(), f.Chunk) {
+			if f.LongPollTimeout > 0 && src.planner.Pending(l.time(), f.Chunk) {
 				l.hold(h, src, f)
 				continue
 			}
@@ -226,7 +226,7 @@
 // answerMissing is the reply of a reader that does not have the chunk.
 func (l *links) answerMissing(h, src *linkHost, f Fetch) {
 	fault := FaultMissing
-	if src.planner.Coming(l.time(), f.Chunk) {
+	if src.planner.Pending(l.time(), f.Chunk) {
 		fault = FaultPending
 	}
 	if src.dead {
