--- a/agent/weights.go
+++ b/agent/weights.go
@@ -225,7 +225,7 @@
 	t.holding = newHolding(len(m.Chunks))
 	for i, d := range m.Chunks {
 		if w.chunks.get(d) != nil {
-			t.planner.Hold(i)
+			t.planner.MarkHeld(i)
 			t.holding.add(i)
 		}
 	}
--- a/spread/planner.go
+++ b/spread/planner.go
@@ -59,8 +59,8 @@
 	return p
 }
 
-// Hold marks a chunk that the host already has.
-func (p *Planner) Hold(chunk int) { p.have.Set(uint(chunk)) }
+// MarkHeld marks a chunk that the host already has.
+func (p *Planner) MarkHeld(chunk int) { p.have.Set(uint(chunk)) }
 
 // Complete reports whether all chunks are held.
 func (p *Planner) Complete() bool { return int(p.have.Count()) == p.count }
--- a/spread/planner_test.go
+++ b/spread/planner_test.go
@@ -163,7 +163,7 @@
 func TestSharedChunksAreNotFetched(t *testing.T) {
 	p := planner(Config{}, 0, nodes(1, 1), 4, false)
 	for _, c := range []int{0, 2, 3} {
-		p.Hold(c)
+		p.MarkHeld(c)
 	}
 	got := take(p, start)
 	assert.Equal(t, len(got), 1)
