--- a/spread/bench_test.go
+++ b/spread/bench_test.go
@@ -14,8 +14,8 @@
 	benchLimit   = time.Hour
 )
 
-// BenchmarkSpread brings one version to all hosts over fake links whose
-// window carries four copies at the origin and two at each host.
+// BenchmarkSpread transfers one version to all hosts over simulated links. In one window
+// the origin's link can transfer four copies and each host's link two.
 func BenchmarkSpread(b *testing.B) {
 	for _, goal := range []intent.Spread{intent.SpreadTime, intent.SpreadOriginBytes} {
 		for _, hosts := range []int{12, 100, 470} {
@@ -53,14 +53,14 @@
 	b.ReportMetric(float64(l.controlBytes)/float64(hosts)/took.Seconds(), "control-B/s/host")
 }
 
-// BenchmarkSpreadBaseline measures what the swarm is compared with, on the
-// same links: everyone from the origin, and a binary tree.
+// BenchmarkSpreadBaseline measures two baselines on the same links: all hosts read from the
+// origin, and a binary tree.
 func BenchmarkSpreadBaseline(b *testing.B) {
 	for _, hosts := range []int{12, 100, 470} {
 		b.Run(fmt.Sprintf("origin/hosts=%d", hosts), func(b *testing.B) {
 			l := newLinks(1, 1, benchChunks, intent.SpreadTime, 1)
 			for range b.N {
-				took := time.Duration(hosts*benchChunks) * l.origin
+				took := time.Duration(hosts*benchChunks) * l.originTime
 				b.ReportMetric(took.Seconds()/l.bound(hosts, benchChunks).Seconds(), "x-bound")
 				b.ReportMetric(float64(hosts), "origin-copies")
 			}
@@ -76,18 +76,18 @@
 	}
 }
 
-// treeTime is the time of a binary tree in which each host passes each chunk
-// on to two children as soon as it has it.
+// treeTime returns the transfer time of a binary tree in which each host forwards each chunk
+// to two children as soon as it has received it.
 func treeTime(l *links, hosts int) time.Duration {
 	up := make([]time.Duration, hosts)
 	arrival := make([]time.Duration, hosts)
 	var last time.Duration
 	for c := range benchChunks {
-		arrival[0] = max(time.Duration(c+1)*l.chunk, time.Duration(c+1)*l.origin)
+		arrival[0] = max(time.Duration(c+1)*l.chunkTime, time.Duration(c+1)*l.originTime)
 		for i := 1; i < hosts; i++ {
 			parent := (i - 1) / 2
 			start := max(up[parent], arrival[parent])
-			up[parent] = start + l.chunk
+			up[parent] = start + l.chunkTime
 			arrival[i] = up[parent] + linkLatency
 			last = max(last, arrival[i])
 		}
@@ -95,8 +95,8 @@
 	return last
 }
 
-// BenchmarkAssign computes the readers of a version at full size, as each host
-// does when the host list changes.
+// BenchmarkAssign computes the readers of a version with benchChunks chunks for 470 hosts,
+// as each host does when the host list changes.
 func BenchmarkAssign(b *testing.B) {
 	all := nodes(470, benchDomains)
 	for b.Loop() {
--- a/spread/config.go
+++ b/spread/config.go
@@ -7,46 +7,49 @@
 	"github.com/springgate/springgate/intent"
 )
 
-// Config holds the constants of a Planner.
+// Config holds the parameters of a Planner.
 type Config struct {
-	// Goal is what the operators weigh more.
+	// Goal selects whether transfer time or traffic at the origin is minimised.
+	// Default intent.SpreadTime.
 	Goal intent.Spread
-	// Pipeline is how many chunks are asked for at once. A longer pipeline
-	// keeps the link busy while peers are busy and ties up more memory.
+	// Pipeline is the number of fetches in flight, not counting long polls. A longer
+	// pipeline keeps the link busy while peers are busy, but uses more memory.
 	// Default 12.
 	Pipeline int
-	// PerPeer is how many chunks are asked of one peer at once. Default 2.
+	// PerPeer is the number of fetches in flight from one peer. Default 2.
 	PerPeer int
-	// PerSource is how many chunks are asked of the origin or store at once.
-	// Default 1.
+	// PerSource is the number of fetches in flight from the origin or the store. It is
+	// doubled for intent.SpreadTime. Default 1.
 	PerSource int
-	// LocalNeighbours and RemoteNeighbours are how many neighbours in this and in other failure
-	// domains tell this host what they hold. More find chunks sooner and
-	// cost more control bytes. Defaults 14 and 8.
+	// LocalNeighbours and RemoteNeighbours are the numbers of neighbours in this and in
+	// other failure domains that report the chunks they hold to this host. With more
+	// neighbours chunks are found sooner, at the cost of more control traffic.
+	// Defaults 14 and 8.
 	LocalNeighbours, RemoteNeighbours int
-	// LongPollTimeout is how long a reader may hold a question for a chunk that it is
-	// about to get. Default 10 s.
+	// LongPollTimeout is how long a reader may delay its reply to a request for a chunk
+	// that it is about to receive. Default 10 s.
 	LongPollTimeout time.Duration
-	// MaxLongPolls is how many such questions may be open. Default 32.
+	// MaxLongPolls bounds the number of such requests in flight. Default 32.
 	MaxLongPolls int
-	// PendingRetry is the time after which a reader that still waits for a chunk
-	// is asked for it again. Default 500 ms.
+	// PendingRetry is the mean delay before a chunk that was pending at its reader is
+	// requested again. Default 500 ms.
 	PendingRetry time.Duration
-	// ReaderInterval is the shortest time between two direct questions to readers.
-	// Default 200 ms.
+	// ReaderInterval is the least time between two direct requests to readers that are
+	// made because neighbours do not fill the pipeline. Default 200 ms.
 	ReaderInterval time.Duration
-	// UnavailableFor is how long a reader that could not be reached, or does not have
-	// the chunk and cannot get it, is passed over. Shorter comes back to it
-	// sooner; longer reads less twice. Default 10 s.
+	// UnavailableFor is how long a reader is skipped that is unreachable or cannot
+	// obtain the chunk. A shorter time returns to the reader sooner; a longer one causes
+	// fewer duplicate reads of the source. Default 10 s.
 	UnavailableFor time.Duration
-	// FetchTimeout is the least time after which a fetch is given up and asked
-	// elsewhere; it grows with what fetches take. Default 10 s.
+	// FetchTimeout is the minimum timeout of a fetch from a peer. The timeout grows with
+	// the duration of fetches. Default 10 s.
 	FetchTimeout time.Duration
-	// BanDuration is how long a peer that sent a corrupt chunk or lied is left
-	// alone the first time; it doubles. Default 30 s.
+	// BanDuration is the first ban of a peer that sent a corrupt chunk or failed
+	// repeatedly, for example because it lacks chunks that it reported. It doubles with
+	// each further ban, up to a factor of 32. Default 30 s.
 	BanDuration time.Duration
-	// SourceBackoff is the first wait after a source failed; it doubles up to
-	// 20 times. Default 500 ms.
+	// SourceBackoff is the mean back-off after the first failure of a source. It doubles
+	// with each further failure, up to a factor of 32. Default 500 ms.
 	SourceBackoff time.Duration
 }
 
@@ -68,16 +71,16 @@
 	return c
 }
 
-// Node is a host that takes part in a transfer.
+// Node is a host that participates in a transfer.
 type Node struct {
 	Host   string
 	Domain string
 }
 
-// SourceKind tells where a chunk comes from.
+// SourceKind is the kind of source of a chunk.
 type SourceKind uint8
 
-// Kinds of source, in the order in which they are preferred.
+// Kinds of source, in order of preference.
 const (
 	FromPeer SourceKind = iota + 1
 	FromStore
@@ -87,19 +90,19 @@
 // String returns the name of the kind.
 func (k SourceKind) String() string { return [...]string{"", "peer", "store", "origin"}[k] }
 
-// Fetch is one chunk to get from one source.
+// Fetch is the fetch of one chunk from one source.
 type Fetch struct {
-	Chunk    int
-	Kind     SourceKind
-	Peer     string        // host, for FromPeer
-	CrossDomain      bool          // the peer is in another failure domain
-	ToReader    bool          // the peer was asked as a reader; it may not have the chunk yet
-	LongPollTimeout     time.Duration // how long the peer may hold the question
-	Started  time.Time
-	Deadline time.Time
+	Chunk           int
+	Kind            SourceKind
+	Peer            string        // host, for FromPeer
+	CrossDomain     bool          // the peer is in another failure domain
+	ToReader        bool          // the peer is requested as the chunk's reader and may not have it yet
+	LongPollTimeout time.Duration // how long the peer may delay its reply until it has the chunk
+	Started         time.Time
+	Deadline        time.Time
 }
 
-// Fault says why a fetch failed.
+// Fault is the reason for a failed fetch.
 type Fault uint8
 
 // Faults of a fetch.
@@ -107,6 +110,6 @@
 	FaultUnreachable Fault = iota + 1 // no connection, reset or timeout
 	FaultMissing                      // the source does not have the chunk
 	FaultCorrupt                      // the digest did not match
-	FaultRateLimited                      // the source asked to wait
-	FaultPending                       // the reader asked is still waiting for it
+	FaultRateLimited                  // the source asked to retry later
+	FaultPending                      // the reader does not have the chunk yet
 )
--- a/spread/duty.go
+++ b/spread/duty.go
@@ -7,166 +7,163 @@
 	"github.com/springgate/springgate/intent"
 )
 
-// SetReaders tells which hosts take part now.
+// SetReaders sets the readers computed from the current list of participating hosts.
 func (p *Planner) SetReaders(r *Readers) {
 	if p.readers == r {
 		return
 	}
 	p.readers = r
 	p.self.index = none
-	if i, ok := r.index[p.self.Host]; ok {
+	if i, ok := r.hostIndex[p.self.Host]; ok {
 		p.self.index = uint16(i)
 	}
-	p.duties = p.duties[:0]
+	p.assigned = p.assigned[:0]
 	for c := range p.count {
 		if chain := r.importChain(c, p.self.Domain); len(chain) > 0 && chain[0] == p.self.index {
-			p.duties = append(p.duties, c)
+			p.assigned = append(p.assigned, c)
 		}
 	}
-	// All hosts that read at the same time should read different parts of the
-	// version, each in an order of its own.
-	rand.New(rand.NewPCG(uint64(p.self.index), uint64(p.count))).Shuffle(len(p.duties), func(i, j int) {
-		p.duties[i], p.duties[j] = p.duties[j], p.duties[i]
+	// Shuffle with a seed for each host, so that hosts that import at the same time
+	// read different parts of the version.
+	rand.New(rand.NewPCG(uint64(p.self.index), uint64(p.count))).Shuffle(len(p.assigned), func(i, j int) {
+		p.assigned[i], p.assigned[j] = p.assigned[j], p.assigned[i]
 	})
 	p.chooseNeighbours(r.nodes)
 }
 
-// up returns the first host of a chain that is not known to be unable, or
-// none if there is no other host to wait for.
-func (p *Planner) up(now time.Time, chain []uint16) uint16 {
+// firstAvailable returns the first host of a chain that is this host or not known to be
+// unavailable, or none if there is no such host.
+func (p *Planner) firstAvailable(now time.Time, chain []uint16) uint16 {
 	for _, i := range chain {
 		if i == none {
 			break
 		}
-		if i == p.self.index || !now.Before(p.unable[p.readers.nodes[i].Host]) {
+		if i == p.self.index || !now.Before(p.unavailableUntil[p.readers.nodes[i].Host]) {
 			return i
 		}
 	}
 	return none
 }
 
-// step is what this host has to do for a chunk that no neighbour offers.
-type step struct {
-	source bool   // read it from a source
-	ask    uint16 // ask this host
-	far    bool   // which is in another failure domain
+// route is how this host obtains a chunk that no neighbour offers.
+type route struct {
+	fromSource  bool   // read it from a source
+	reader      uint16 // otherwise, request it from this host
+	crossDomain bool   // the reader is in another failure domain
 }
 
-// stepFor follows the chains: the first able host of the domain's chain
-// brings the chunk in from the first able host of the source chain, which
-// reads it from a source. A host that finds itself first in a chain, or finds
-// nobody, takes the part itself.
-func (p *Planner) stepFor(now time.Time, chunk int) step {
-	if i := p.up(now, p.readers.importChain(chunk, p.self.Domain)); i != none && i != p.self.index {
-		return step{ask: i}
-	}
-	i := p.up(now, p.readers.sourceChain(chunk))
+// routeFor follows the chains: the first available host of the domain's import chain
+// requests the chunk from the first available host of the source chain, which reads it
+// from a source. A host takes a role itself if it is the first available one, or if no
+// host is available.
+func (p *Planner) routeFor(now time.Time, chunk int) route {
+	if i := p.firstAvailable(now, p.readers.importChain(chunk, p.self.Domain)); i != none && i != p.self.index {
+		return route{reader: i}
+	}
+	i := p.firstAvailable(now, p.readers.sourceChain(chunk))
 	if i == none || i == p.self.index {
-		return step{source: true}
+		return route{fromSource: true}
 	}
-	return step{ask: i, far: p.readers.nodes[i].Domain != p.self.Domain}
+	return route{reader: i, crossDomain: p.readers.nodes[i].Domain != p.self.Domain}
 }
 
-// Pending reports whether a chunk that this host lacks is on its way here, so
-// that a host that asks for it should wait and not step in.
+// Pending reports whether this host will receive a chunk that it lacks, so that a host
+// that requests the chunk should wait for it instead of obtaining it elsewhere.
 func (p *Planner) Pending(now time.Time, chunk int) bool {
 	if p.busy.Test(uint(chunk)) {
 		return true
 	}
-	s := p.stepFor(now, chunk)
-	return !s.source || p.sourceWorks(now)
+	r := p.routeFor(now, chunk)
+	return !r.fromSource || p.hasWorkingSource(now)
 }
 
-// fromDuty carries out what this host has to do for others: it reads chunks
-// from a source, or brings them into its failure domain. A reader that is
-// asked may hold the question until it has the chunk; such questions do not
-// count against the pipeline.
-func (p *Planner) fromDuty(now time.Time) (Fetch, bool) {
-	kept := p.duties[:0]
+// fromAssigned fetches a chunk that this host is assigned to import into its failure
+// domain, from a source or from the chunk's reader. The reader may delay its reply until
+// it has the chunk; such long polls do not count against the pipeline.
+func (p *Planner) fromAssigned(now time.Time) (Fetch, bool) {
+	remaining := p.assigned[:0]
 	var found Fetch
 	ok := false
-	for _, c := range p.duties {
+	for _, c := range p.assigned {
 		if p.have.Test(uint(c)) {
 			continue
 		}
-		kept = append(kept, c)
+		remaining = append(remaining, c)
 		if !ok && p.wanted(c) {
-			found, ok = p.tryStep(now, c, p.cfg.LongPollTimeout)
+			found, ok = p.tryRoute(now, c, p.cfg.LongPollTimeout)
 		}
 	}
-	p.duties = kept
+	p.assigned = remaining
 	return found, ok
 }
 
-// fromReader asks the reader of a chunk directly when neighbours do not keep
-// the pipeline busy. Such questions are spaced out.
+// fromReader requests a chunk directly from its reader when neighbours do not fill the
+// pipeline. Such requests are at least Config.ReaderInterval apart.
 func (p *Planner) fromReader(now time.Time) (Fetch, bool) {
-	if now.Before(p.nextAsk) || len(p.inflight) >= p.cfg.Pipeline/2 {
+	if now.Before(p.nextReaderRequest) || len(p.inflight) >= p.cfg.Pipeline/2 {
 		return Fetch{}, false
 	}
 	start := p.rng.IntN(p.count)
-	for i, seen := 0, 0; i < p.count && seen < askSample; i++ {
+	for i, sampled := 0, 0; i < p.count && sampled < readerSample; i++ {
 		c := (start + i) % p.count
 		if !p.wanted(c) {
 			continue
 		}
-		seen++
-		if f, ok := p.tryStep(now, c, 0); ok {
-			p.nextAsk = now.Add(p.cfg.ReaderInterval)
+		sampled++
+		if f, ok := p.tryRoute(now, c, 0); ok {
+			p.nextReaderRequest = now.Add(p.cfg.ReaderInterval)
 			return f, true
 		}
 	}
 	return Fetch{}, false
 }
 
-// askSample is how many wanted chunks are looked at for a question.
-const askSample = 16
+// readerSample is the number of wanted chunks that are tried for a request to a reader.
+const readerSample = 16
 
-// tryStep turns the step for a chunk into a fetch, if it can start now. hold is
-// how long a reader may hold the question.
-func (p *Planner) tryStep(now time.Time, chunk int, hold time.Duration) (Fetch, bool) {
-	s := p.stepFor(now, chunk)
-	if s.source {
-		kind, ok := p.openSource(now)
+// tryRoute returns the fetch for the route of a chunk, if it can start now. longPoll is how
+// long a reader may delay its reply.
+func (p *Planner) tryRoute(now time.Time, chunk int, longPoll time.Duration) (Fetch, bool) {
+	r := p.routeFor(now, chunk)
+	if r.fromSource {
+		kind, ok := p.availableSource(now)
 		return Fetch{Chunk: chunk, Kind: kind}, ok
 	}
-	if now.Before(p.askAgain[chunk]) || hold > 0 && p.holds >= p.cfg.MaxLongPolls {
+	if now.Before(p.retryAt[chunk]) || longPoll > 0 && p.longPolls >= p.cfg.MaxLongPolls {
 		return Fetch{}, false
 	}
-	return Fetch{Chunk: chunk, Kind: FromPeer, Peer: p.readers.nodes[s.ask].Host, CrossDomain: s.far, ToReader: true, LongPollTimeout: hold}, true
+	return Fetch{Chunk: chunk, Kind: FromPeer, Peer: p.readers.nodes[r.reader].Host, CrossDomain: r.crossDomain, ToReader: true, LongPollTimeout: longPoll}, true
 }
 
-// askFailed notes the answer of a reader that was asked. One that is still
-// waiting for the chunk is asked again; one that cannot help is passed over
-// for a time.
-func (p *Planner) askFailed(now time.Time, f Fetch, fault Fault) {
+// readerFailed records a failed request to a reader. The chunk is requested again after a
+// delay; a reader that cannot obtain it is skipped for a time.
+func (p *Planner) readerFailed(now time.Time, f Fetch, fault Fault) {
 	jitter := time.Duration(p.rng.Int64N(int64(p.cfg.PendingRetry)))
-	p.askAgain[f.Chunk] = now.Add(p.cfg.PendingRetry/2 + jitter)
+	p.retryAt[f.Chunk] = now.Add(p.cfg.PendingRetry/2 + jitter)
 	if fault != FaultPending {
-		p.unable[f.Peer] = now.Add(p.cfg.UnavailableFor)
+		p.unavailableUntil[f.Peer] = now.Add(p.cfg.UnavailableFor)
 	}
 }
 
-// fromSourceInstead reads from a source what no neighbour offers, if time
-// weighs more than the bytes of the origin and this host has gained nothing
-// for a while.
-func (p *Planner) fromSourceInstead(now time.Time) (Fetch, bool) {
+// fromSourceWhenIdle reads a rare chunk from a source, without regard to the chunk's
+// readers, if the goal is transfer time and no chunk has arrived for idleTime.
+func (p *Planner) fromSourceWhenIdle(now time.Time) (Fetch, bool) {
 	if p.cfg.Goal != intent.SpreadTime || len(p.inflight) >= p.cfg.Pipeline/4 ||
-		now.Sub(p.gainedAt) < idleTime {
+		now.Sub(p.lastChunkAt) < idleTime {
 		return Fetch{}, false
 	}
-	kind, ok := p.openSource(now)
+	kind, ok := p.availableSource(now)
 	if !ok {
 		return Fetch{}, false
 	}
 	start := p.rng.IntN(p.count)
 	best := -1
-	for i, seen := 0, 0; i < p.count && seen < rareSample; i++ {
+	for i, sampled := 0, 0; i < p.count && sampled < rareSample; i++ {
 		c := (start + i) % p.count
 		if !p.wanted(c) {
 			continue
 		}
-		seen++
+		sampled++
 		if best < 0 || p.copies[c] < p.copies[best] {
 			best = c
 		}
--- a/spread/failure_test.go
+++ b/spread/failure_test.go
@@ -11,13 +11,13 @@
 const (
 	failHosts  = 15
 	failChunks = 128
-	// maxTimeCopies is what the origin's link carries in one window.
+	// maxTimeCopies is the number of copies that the origin's link transfers in one window.
 	maxTimeCopies = 4
 )
 
-// TestSpreadThroughFailures causes failures on the fake links, alone and two
-// at once. Every live host must end with the whole version, and the origin
-// must not be read much more than once.
+// TestSpreadThroughFailures causes one or two failures on the simulated links. Every live
+// host must complete the version, and the chunks read from the origin must not exceed the
+// given number of copies.
 func TestSpreadThroughFailures(t *testing.T) {
 	at := func(l *links, d time.Duration, f func()) { l.after(d, f) }
 	cases := map[string]struct {
@@ -25,7 +25,7 @@
 		copies  float64
 	}{
 		"the only holder dies": {func(l *links) {
-			// Each host dies just after its first chunk arrived from the origin.
+			// Each of the two hosts dies just after its first chunk arrived from the origin.
 			at(l, 3*time.Second, func() { l.kill(l.hosts[4]) })
 			at(l, 6*time.Second, func() { l.kill(l.hosts[9]) })
 		}, 1.3},
@@ -33,7 +33,7 @@
 			at(l, 10*time.Second, func() { l.hosts[2].stalled = true })
 		}, 1.5},
 		"a peer lies about what it holds": {func(l *links) {
-			l.hosts[3].liar = true
+			l.hosts[3].misreports = true
 			for _, h := range l.hosts {
 				if h != l.hosts[3] {
 					h.planner.PeerHolds("h003", []uint64{^uint64(0), ^uint64(0)})
@@ -44,18 +44,18 @@
 			l.originDown = func() bool { return l.now > 5*time.Second && l.now < 65*time.Second }
 		}, 1.3},
 		"the origin is slow": {func(l *links) {
-			l.origin *= 8 // all wait long in its queue, and nothing is wrong
+			l.originTime *= 8 // all fetches queue for a long time, without a fault
 		}, 1.1},
 		"a failure domain is cut off and joins": {func(l *links) {
-			l.cut = func(a, b *linkHost) bool {
+			l.partitioned = func(a, b *linkHost) bool {
 				return l.now > 10*time.Second && l.now < 70*time.Second && (a.node.Domain == "d1") != (b.node.Domain == "d1")
 			}
-		}, 2.2}, // both sides read the origin for themselves meanwhile
+		}, 2.2}, // meanwhile both sides read from the origin independently
 		"a host is paused for a minute": {func(l *links) {
-			at(l, 20*time.Second, func() { l.hosts[5].asleep = l.now + time.Minute })
+			at(l, 20*time.Second, func() { l.hosts[5].pausedUntil = l.now + time.Minute })
 		}, 1.3},
 		"a pause and a death": {func(l *links) {
-			at(l, 20*time.Second, func() { l.hosts[5].asleep = l.now + time.Minute })
+			at(l, 20*time.Second, func() { l.hosts[5].pausedUntil = l.now + time.Minute })
 			at(l, 30*time.Second, func() { l.kill(l.hosts[8]) })
 		}, 1.4},
 		"a stall and corrupt chunks": {func(l *links) {
--- a/spread/links_test.go
+++ b/spread/links_test.go
@@ -9,47 +9,47 @@
 	"github.com/springgate/springgate/intent"
 )
 
-// links is a fake of the links between hosts and the origin: each link is a
-// queue that carries one chunk after the other. Time is virtual.
+// links simulates the network links of hosts and the origin: each link is a queue that
+// transfers one chunk after the other. Time is virtual.
 type links struct {
-	chunk  time.Duration // time of one chunk on a host's link
-	origin time.Duration // time of one chunk on the origin's link
-	now    time.Duration
-	queue  events
-	seq    int
-	hosts  []*linkHost
-	free   time.Duration // when the origin's link is free
-	rng    *rand.Rand
+	chunkTime    time.Duration // transfer time of one chunk on a host's link
+	originTime   time.Duration // transfer time of one chunk on the origin's link
+	now          time.Duration
+	queue        events
+	seq          int
+	hosts        []*linkHost
+	originFreeAt time.Duration // when the origin's link is free
+	rng          *rand.Rand
 
 	originChunks, farChunks int
 	controlBytes            int64
 	corruptEvery            int
-	left                    int // live hosts that are not done
-	last                    time.Duration
-	relist                  bool // a new host list is on its way
+	remaining               int // live hosts that are not complete
+	lastDone                time.Duration
+	listPending             bool // a new host list is scheduled
 
-	originDown func() bool               // reads from the origin fail
-	cut        func(a, b *linkHost) bool // the two cannot reach each other
+	originDown  func() bool               // reads from the origin fail
+	partitioned func(a, b *linkHost) bool // the two cannot reach each other
 }
 
 type linkHost struct {
-	index    int
-	node     Node
-	planner  *Planner
-	up, down time.Duration // when the link is free
-	dead     bool
-	asleep   time.Duration // paused until then
-	stalled  bool          // what it sends never arrives, and its connections stay open
-	liar     bool          // it says that it holds everything
-	done     time.Duration
-	gained   []uint32
-	flushing bool
-	audience []*linkHost
-	waiting  []waiter
+	index                int
+	node                 Node
+	planner              *Planner
+	upFreeAt, downFreeAt time.Duration // when each direction of the link is free
+	dead                 bool
+	pausedUntil          time.Duration
+	stalled              bool // its data never arrives, but its connections stay open
+	misreports           bool // reports that it holds all chunks
+	done                 time.Duration
+	unreported           []uint32 // fetched chunks that were not reported yet
+	flushing             bool
+	subscribers          []*linkHost // hosts that have this host as a neighbour
+	longPolls            []longPoll
 }
 
-// waiter is a question that is held.
-type waiter struct {
+// longPoll is a request whose reply is delayed.
+type longPoll struct {
 	chunk int
 	do    func()
 }
@@ -75,16 +75,16 @@
 	return x
 }
 
-// Constants of the fake links.
+// Constants of the simulated links.
 const (
-	linkLatency  = 3 * time.Millisecond
-	haveEvery    = 500 * time.Millisecond
-	deadAfter    = 2 * time.Second  // a call to a dead host fails
-	listLag      = 10 * time.Second // the host list drops a dead host
-	wakeEvery    = 250 * time.Millisecond
-	haveHeader   = 60 // bytes of a message with its frame
-	requestBytes = 90 // bytes of a request for a chunk and the reply's head
-	window       = 5 * time.Minute
+	linkLatency    = 3 * time.Millisecond
+	haveInterval   = 500 * time.Millisecond
+	connectTimeout = 2 * time.Second  // of a call to a dead host
+	hostListDelay  = 10 * time.Second // until the host list drops a dead host
+	tickInterval   = 250 * time.Millisecond
+	haveHeader     = 60 // bytes of a message with its frame
+	requestBytes   = 90 // bytes of a request for a chunk and the header of its reply
+	window         = 5 * time.Minute
 )
 
 func (l *links) after(d time.Duration, do func()) {
@@ -101,8 +101,8 @@
 
 func newLinksWith(cfg Config, hosts, domains, chunks int, seed uint64) *links {
 	l := &links{rng: rand.New(rand.NewPCG(seed, seed))}
-	l.chunk = window / 2 / time.Duration(chunks)
-	l.origin = window / 4 / time.Duration(chunks)
+	l.chunkTime = window / 2 / time.Duration(chunks)
+	l.originTime = window / 4 / time.Duration(chunks)
 	var nodes []Node
 	for i := range hosts {
 		n := Node{fmt.Sprintf("h%03d", i), fmt.Sprintf("d%d", i%domains)}
@@ -116,18 +116,18 @@
 		rng := rand.New(rand.NewPCG(seed, uint64(h.index)))
 		h.planner = NewPlanner(cfg, h.node, readers, false, rng)
 	}
-	l.left = hosts
+	l.remaining = hosts
 	for _, h := range l.hosts {
 		for _, n := range h.planner.Neighbours() {
-			byName[n].audience = append(byName[n].audience, h)
+			byName[n].subscribers = append(byName[n].subscribers, h)
 		}
 	}
 	return l
 }
 
-// pump starts the fetches that a host's planner wants.
-func (l *links) pump(h *linkHost) {
-	for !h.dead && l.now >= h.asleep {
+// startFetches starts the fetches that a host's planner returns.
+func (l *links) startFetches(h *linkHost) {
+	for !h.dead && l.now >= h.pausedUntil {
 		f, ok := h.planner.Next(l.time())
 		if !ok {
 			return
@@ -139,26 +139,26 @@
 				continue
 			}
 			l.originChunks++
-			start := max(l.now+linkLatency, l.free)
-			l.free = start + l.origin
-			l.arrive(h, f, start+l.origin)
+			start := max(l.now+linkLatency, l.originFreeAt)
+			l.originFreeAt = start + l.originTime
+			l.arrive(h, f, start+l.originTime)
 			continue
 		}
 		var src *linkHost
 		var i int
 		_, _ = fmt.Sscanf(f.Peer, "h%d", &i)
 		src = l.hosts[i]
-		if src.dead || l.cut != nil && l.cut(h, src) {
+		if src.dead || l.partitioned != nil && l.partitioned(h, src) {
 			l.fail(h, f)
 			continue
 		}
-		if src.liar && !f.ToReader && !src.planner.Has(f.Chunk) {
+		if src.misreports && !f.ToReader && !src.planner.Has(f.Chunk) {
 			l.after(2*linkLatency, func() { l.answerMissing(h, src, f) })
 			continue
 		}
 		if f.ToReader && !src.planner.Has(f.Chunk) {
 			if f.LongPollTimeout > 0 && src.planner.Pending(l.time(), f.Chunk) {
-				l.hold(h, src, f)
+				l.delayReply(h, src, f)
 				continue
 			}
 			l.after(2*linkLatency, func() { l.answerMissing(h, src, f) })
@@ -168,35 +168,35 @@
 	}
 }
 
-// fail ends a fetch whose source cannot be reached.
+// fail ends a fetch whose source is unreachable.
 func (l *links) fail(h *linkHost, f Fetch) {
-	l.after(deadAfter, func() {
+	l.after(connectTimeout, func() {
 		h.planner.Failed(l.time(), f, FaultUnreachable, 0)
-		l.pump(h)
+		l.startFetches(h)
 	})
 }
 
-// send carries a chunk from one host to another.
+// send transfers a chunk from one host to another.
 func (l *links) send(h, src *linkHost, f Fetch) {
 	if src.stalled {
 		return
 	}
-	if l.now < src.asleep {
-		l.after(src.asleep-l.now, func() { l.send(h, src, f) })
+	if l.now < src.pausedUntil {
+		l.after(src.pausedUntil-l.now, func() { l.send(h, src, f) })
 		return
 	}
 	if f.CrossDomain {
 		l.farChunks++
 	}
-	start := max(l.now+linkLatency, src.up)
-	src.up = start + l.chunk
-	l.arrive(h, f, src.up)
+	start := max(l.now+linkLatency, src.upFreeAt)
+	src.upFreeAt = start + l.chunkTime
+	l.arrive(h, f, src.upFreeAt)
 }
 
-// hold keeps a question until the reader has the chunk.
-func (l *links) hold(h, src *linkHost, f Fetch) {
+// delayReply delays the reply to a request until the reader has the chunk.
+func (l *links) delayReply(h, src *linkHost, f Fetch) {
 	open := true
-	src.waiting = append(src.waiting, waiter{f.Chunk, func() {
+	src.longPolls = append(src.longPolls, longPoll{f.Chunk, func() {
 		if open {
 			open = false
 			l.send(h, src, f)
@@ -210,17 +210,17 @@
 	})
 }
 
-// release answers the questions that were held for a chunk.
+// release answers the long polls for a chunk.
 func (l *links) release(src *linkHost, chunk int) {
-	kept := src.waiting[:0]
-	for _, w := range src.waiting {
+	kept := src.longPolls[:0]
+	for _, w := range src.longPolls {
 		if w.chunk == chunk {
 			w.do()
 		} else {
 			kept = append(kept, w)
 		}
 	}
-	src.waiting = kept
+	src.longPolls = kept
 }
 
 // answerMissing is the reply of a reader that does not have the chunk.
@@ -233,22 +233,22 @@
 		fault = FaultUnreachable
 	}
 	h.planner.Failed(l.time(), f, fault, 0)
-	l.pump(h)
+	l.startFetches(h)
 }
 
-// arrive brings a chunk that has left its source by sent over the host's link.
-// Cut-through: the link is taken for the last part only, if it was free.
+// arrive transfers a chunk that has left its source by sent over the host's link.
+// Transfer is cut-through: a free link adds only the latency.
 func (l *links) arrive(h *linkHost, f Fetch, sent time.Duration) {
 	l.after(sent-l.now, func() {
-		h.down = max(l.now+linkLatency, h.down+l.chunk)
+		h.downFreeAt = max(l.now+linkLatency, h.downFreeAt+l.chunkTime)
 		bad := l.corruptEvery > 0 && l.rng.IntN(l.corruptEvery) == 0
-		l.after(h.down-l.now, func() { l.arrived(h, f, bad) })
+		l.after(h.downFreeAt-l.now, func() { l.arrived(h, f, bad) })
 	})
 }
 
 func (l *links) arrived(h *linkHost, f Fetch, bad bool) {
-	if l.now < h.asleep {
-		l.after(h.asleep-l.now, func() { l.arrived(h, f, bad) })
+	if l.now < h.pausedUntil {
+		l.after(h.pausedUntil-l.now, func() { l.arrived(h, f, bad) })
 		return
 	}
 	if h.dead {
@@ -256,58 +256,58 @@
 	}
 	if bad {
 		h.planner.Failed(l.time(), f, FaultCorrupt, 0)
-		l.pump(h)
+		l.startFetches(h)
 		return
 	}
 	h.planner.Done(l.time(), f)
 	l.release(h, f.Chunk)
-	h.gained = append(h.gained, uint32(f.Chunk))
+	h.unreported = append(h.unreported, uint32(f.Chunk))
 	if !h.flushing {
 		h.flushing = true
-		l.after(haveEvery, func() { l.flush(h) })
+		l.after(haveInterval, func() { l.flush(h) })
 	}
 	if h.planner.Complete() && h.done == 0 {
 		h.done = l.now
-		l.left--
-		l.last = l.now
+		l.remaining--
+		l.lastDone = l.now
 	}
-	l.pump(h)
+	l.startFetches(h)
 }
 
-// flush tells the audience of a host what it has gained.
+// flush reports the chunks that a host has fetched to its subscribers.
 func (l *links) flush(h *linkHost) {
-	more := h.gained
-	h.gained, h.flushing = nil, false
+	chunks := h.unreported
+	h.unreported, h.flushing = nil, false
 	if h.dead {
 		return
 	}
-	for _, a := range h.audience {
-		if l.cut != nil && l.cut(h, a) {
+	for _, a := range h.subscribers {
+		if l.partitioned != nil && l.partitioned(h, a) {
 			continue
 		}
-		l.controlBytes += haveHeader + 3*int64(len(more))
+		l.controlBytes += haveHeader + 3*int64(len(chunks))
 		l.after(linkLatency, func() {
-			a.planner.PeerGained(h.node.Host, more)
-			l.pump(a)
+			a.planner.PeerGained(h.node.Host, chunks)
+			l.startFetches(a)
 		})
 	}
 }
 
 func (l *links) kill(h *linkHost) {
 	if h.done == 0 {
-		l.left--
+		l.remaining--
 	}
 	h.dead = true
-	if l.relist {
+	if l.listPending {
 		return
 	}
-	l.relist = true
-	l.after(listLag, l.newList)
+	l.listPending = true
+	l.after(hostListDelay, l.updateHostList)
 }
 
-// newList is the host list without the dead reaching all hosts.
-func (l *links) newList() {
-	l.relist = false
+// updateHostList delivers a host list without the dead hosts to all hosts.
+func (l *links) updateHostList() {
+	l.listPending = false
 	var nodes []Node
 	for _, x := range l.hosts {
 		if !x.dead {
@@ -323,44 +323,44 @@
 	}
 }
 
-// resubscribe tells a host what its new neighbours hold.
+// resubscribe reports to a host which chunks its new neighbours hold.
 func (l *links) resubscribe(h *linkHost) {
 	for _, n := range h.planner.Neighbours() {
 		var i int
 		_, _ = fmt.Sscanf(n, "h%d", &i)
 		src := l.hosts[i]
 		known := false
-		for _, a := range src.audience {
+		for _, a := range src.subscribers {
 			known = known || a == h
 		}
 		if !known {
-			src.audience = append(src.audience, h)
+			src.subscribers = append(src.subscribers, h)
 			h.planner.PeerHolds(n, src.planner.Bits())
 			l.controlBytes += haveHeader + int64(len(src.planner.Bits())*8)
 		}
 	}
 }
 
-func (l *links) wake(h *linkHost) {
+func (l *links) tick(h *linkHost) {
 	if h.dead || h.done > 0 {
 		return
 	}
-	if l.now < h.asleep {
-		l.after(h.asleep-l.now, func() { l.wake(h) })
+	if l.now < h.pausedUntil {
+		l.after(h.pausedUntil-l.now, func() { l.tick(h) })
 		return
 	}
 	for _, f := range h.planner.Expired(l.time()) {
 		h.planner.Failed(l.time(), f, FaultUnreachable, 0)
 	}
-	l.pump(h)
-	l.after(wakeEvery, func() { l.wake(h) })
+	l.startFetches(h)
+	l.after(tickInterval, func() { l.tick(h) })
 }
 
-// run lets all hosts fetch until every live one is done, and returns the time
-// that took, or false after limit.
+// run lets all hosts fetch until every live one is complete, and returns the time when the
+// last one was, or false after limit.
 func (l *links) run(limit time.Duration) (time.Duration, bool) {
 	for _, h := range l.hosts {
-		l.after(0, func() { l.wake(h) })
+		l.after(0, func() { l.tick(h) })
 	}
 	for len(l.queue) > 0 {
 		e := heap.Pop(&l.queue).(event)
@@ -369,16 +369,16 @@
 		if l.now > limit {
 			return l.now, false
 		}
-		if l.left == 0 {
-			return l.last, true
+		if l.remaining == 0 {
+			return l.lastDone, true
 		}
 	}
 	return l.now, false
 }
 
-// bound is the least time in which the links can bring the version to n
-// hosts.
+// bound returns the lower bound of the time in which the links can transfer the version to
+// n hosts.
 func (l *links) bound(n, chunks int) time.Duration {
-	perHost := time.Duration(chunks) * l.chunk
-	return max(perHost, time.Duration(chunks)*l.origin)
+	perHost := time.Duration(chunks) * l.chunkTime
+	return max(perHost, time.Duration(chunks)*l.originTime)
 }
--- a/spread/manifest.go
+++ b/spread/manifest.go
@@ -1,5 +1,5 @@
-// Package spread decides which chunk of a version a host fetches next, and
-// from whom. It is pure: clock readings and randomness are passed in.
+// Package spread decides which chunk of a version a host fetches next, and from which
+// source. It does no I/O; the time and the random source are passed in.
 package spread
 
 import (
@@ -14,11 +14,11 @@
 const (
 	// MaxChunk is the largest chunk in bytes; it must fit in one frame.
 	MaxChunk = 8 << 20
-	// MaxChunks bounds the chunks of a version and so the bitmaps.
+	// MaxChunks bounds the number of chunks of a version and thus the size of bitmaps.
 	MaxChunks = 1 << 16
 )
 
-// Manifest lists the chunks of a version. Its digest names the version.
+// Manifest lists the chunks of a version. Its digest identifies the version.
 type Manifest struct {
 	Name      string          `json:"name"`
 	Size      int64           `json:"size"`
@@ -26,10 +26,10 @@
 	Chunks    []digest.Digest `json:"chunks"`
 }
 
-// ErrManifest is the cause of every malformed manifest.
+// ErrManifest is wrapped by all errors about malformed manifests.
 var ErrManifest = errors.New("spread: malformed manifest")
 
-// ParseManifest reads a manifest and checks that its sizes agree and that its
+// ParseManifest decodes a manifest and checks that its sizes are consistent and that its
 // digest is want.
 func ParseManifest(b []byte, want digest.Digest) (*Manifest, error) {
 	if got := digest.Of(b); got != want {
@@ -51,7 +51,8 @@
 	return &m, nil
 }
 
-// NewManifest describes content that is split into chunks of chunkSize.
+// NewManifest returns the manifest of content that is split into chunks of chunkSize
+// bytes, and its encoding.
 func NewManifest(name string, chunkSize int, content []byte) (*Manifest, []byte, error) {
 	m := &Manifest{Name: name, Size: int64(len(content)), ChunkSize: chunkSize}
 	for at := 0; at < len(content); at += chunkSize {
--- a/spread/patience.go
+++ b/spread/patience.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Constants of the time allowed for a fetch.
+// Constants of the timeout of a fetch.
 const (
-	typicalWeight  = 0.1 // of a new sample
-	patienceOver   = 4   // times the typical fetch
-	maxPatience    = 16  // times the least time
-	sourcePatience = 6   // times FetchTimeout: many hosts wait in a source's queue
+	averageWeight       = 0.1 // weight of a new sample in the average
+	timeoutFactor       = 4   // times the average duration
+	maxTimeoutFactor    = 16  // times the minimum timeout
+	sourceTimeoutFactor = 6   // times FetchTimeout: many hosts queue at a source
 )
 
-// patience is the time allowed for a fetch from one kind of source. It follows
-// what fetches take: on a slow or shared link a chunk waits long behind others
-// without anything being wrong.
-type patience struct {
-	least   time.Duration
-	typical time.Duration
-	allowed time.Duration
+// adaptiveTimeout is the timeout of fetches from one kind of source. It follows the
+// duration of fetches: on a slow or shared link a chunk may queue behind others for a long
+// time without a fault.
+type adaptiveTimeout struct {
+	minimum time.Duration
+	average time.Duration
+	current time.Duration
 }
 
-func newPatience(k SourceKind, least time.Duration) patience {
+func newAdaptiveTimeout(k SourceKind, minimum time.Duration) adaptiveTimeout {
 	if k != FromPeer {
-		least *= sourcePatience
+		minimum *= sourceTimeoutFactor
 	}
-	return patience{least: least, allowed: least}
+	return adaptiveTimeout{minimum: minimum, current: minimum}
 }
 
-// learn takes the time of a fetch that succeeded.
-func (p *patience) learn(took time.Duration) {
-	if p.typical == 0 {
-		p.typical = took
+// observe adapts the timeout to the duration of a successful fetch.
+func (a *adaptiveTimeout) observe(duration time.Duration) {
+	if a.average == 0 {
+		a.average = duration
 	}
-	p.typical += time.Duration(typicalWeight * float64(took-p.typical))
-	p.allowed = min(max(p.least, patienceOver*p.typical), maxPatience*p.least)
+	a.average += time.Duration(averageWeight * float64(duration-a.average))
+	a.current = min(max(a.minimum, timeoutFactor*a.average), maxTimeoutFactor*a.minimum)
 }
 
-// exhausted notes that fetches were given up.
-func (p *patience) exhausted() { p.allowed = min(2*p.allowed, maxPatience*p.least) }
+// increase doubles the timeout after fetches have timed out.
+func (a *adaptiveTimeout) increase() { a.current = min(2*a.current, maxTimeoutFactor*a.minimum) }
--- a/spread/peer.go
+++ b/spread/peer.go
@@ -7,60 +7,60 @@
 	"github.com/springgate/springgate/membership"
 )
 
-// rareSample is how many wanted chunks are compared to find a rare one.
+// rareSample is the number of wanted chunks that are compared to find a rare one.
 const rareSample = 48
 
-// Limits of the trust in a peer.
+// Constants of bans of peers.
 const (
-	maxStrikes  = 3 // failures in a row before a ban
-	maxBanShift = 5
+	failuresBeforeBan = 3 // consecutive failures
+	maxBanShift       = 5 // bounds the doubling of a ban
 )
 
 type peer struct {
 	Node
-	far      bool
-	bits     *bitset.BitSet
-	inflight int
-	strikes  int
-	bans     int
-	banned   time.Time
+	crossDomain bool           // in another failure domain
+	held        *bitset.BitSet // chunks that it reported
+	inflight    int
+	failures    int // consecutive
+	bans        int // since the last success
+	bannedUntil time.Time
 }
 
-// Neighbours returns the hosts whose holdings this host wants to hear.
+// Neighbours returns the hosts whose held chunks should be reported to this host.
 func (p *Planner) Neighbours() []string {
-	out := make([]string, len(p.order))
-	for i, q := range p.order {
+	out := make([]string, len(p.neighbours))
+	for i, q := range p.neighbours {
 		out[i] = q.Host
 	}
 	return out
 }
 
-// chooseNeighbours picks neighbours by rendezvous, so that the choice of a
-// host changes little when hosts come and go.
+// chooseNeighbours selects neighbours by rendezvous hashing, so that the selection changes
+// little when hosts join or leave.
 func (p *Planner) chooseNeighbours(nodes []Node) {
 	domain := map[string]string{}
-	var near, far []string
+	var local, remote []string
 	for _, n := range nodes {
 		domain[n.Host] = n.Domain
 		switch {
 		case n.Host == p.self.Host:
 		case n.Domain == p.self.Domain:
-			near = append(near, n.Host)
+			local = append(local, n.Host)
 		default:
-			far = append(far, n.Host)
+			remote = append(remote, n.Host)
 		}
 	}
 	key := "neighbour/" + p.readers.key + "/" + p.self.Host
 	chosen := map[string]bool{}
-	for _, h := range membership.Rank(key, near, p.cfg.LocalNeighbours) {
+	for _, h := range membership.Rank(key, local, p.cfg.LocalNeighbours) {
 		chosen[h] = true
 	}
-	for _, h := range membership.Rank(key, far, p.cfg.RemoteNeighbours) {
+	for _, h := range membership.Rank(key, remote, p.cfg.RemoteNeighbours) {
 		chosen[h] = true
 	}
 	for h, q := range p.peers {
 		if !chosen[h] {
-			p.forget(q)
+			p.removePeer(q)
 		}
 	}
 	for h := range chosen {
@@ -73,7 +73,7 @@
 	if q := p.peers[n.Host]; q != nil {
 		return q
 	}
-	q := &peer{Node: n, far: n.Domain != p.self.Domain, bits: bitset.New(uint(p.count))}
+	q := &peer{Node: n, crossDomain: n.Domain != p.self.Domain, held: bitset.New(uint(p.count))}
 	p.peers[n.Host] = q
 	return q
 }
@@ -83,30 +83,30 @@
 	for h := range p.peers {
 		hosts = append(hosts, h)
 	}
-	p.order = p.order[:0]
+	p.neighbours = p.neighbours[:0]
 	for _, h := range membership.Rank("order", hosts, len(hosts)) {
-		p.order = append(p.order, p.peers[h])
+		p.neighbours = append(p.neighbours, p.peers[h])
 	}
 }
 
-func (p *Planner) forget(q *peer) {
-	for i, ok := q.bits.NextSet(0); ok; i, ok = q.bits.NextSet(i + 1) {
+func (p *Planner) removePeer(q *peer) {
+	for i, ok := q.held.NextSet(0); ok; i, ok = q.held.NextSet(i + 1) {
 		p.copies[i]--
 	}
 	delete(p.peers, q.Host)
 }
 
-// PeerGone forgets what a peer holds, for one that cannot be reached.
+// PeerGone clears the chunks that an unreachable peer has reported.
 func (p *Planner) PeerGone(host string) {
 	if q := p.peers[host]; q != nil {
-		p.forget(q)
+		p.removePeer(q)
 		p.addPeer(q.Node)
 		p.peers[host].inflight = q.inflight
 		p.reorder()
 	}
 }
 
-// PeerHolds sets the whole bitmap of a neighbour. Words beyond the chunk
+// PeerHolds sets the bitmap of the chunks that a neighbour holds. Bits beyond the chunk
 // count are ignored.
 func (p *Planner) PeerHolds(host string, words []uint64) {
 	q := p.peers[host]
@@ -115,14 +115,14 @@
 	}
 	for i := range p.count {
 		if w := i / 64; w < len(words) && words[w]>>(i%64)&1 == 1 {
-			p.gained(q, i)
+			p.setHeld(q, i)
 		} else {
-			p.lostChunk(q, i)
+			p.clearHeld(q, i)
 		}
 	}
 }
 
-// PeerGained adds chunks to what a neighbour holds.
+// PeerGained adds chunks to those that a neighbour holds.
 func (p *Planner) PeerGained(host string, chunks []uint32) {
 	q := p.peers[host]
 	if q == nil {
@@ -130,28 +130,28 @@
 	}
 	for _, c := range chunks {
 		if int(c) < p.count {
-			p.gained(q, int(c))
+			p.setHeld(q, int(c))
 		}
 	}
 }
 
-func (p *Planner) gained(q *peer, chunk int) {
-	if !q.bits.Test(uint(chunk)) {
-		q.bits.Set(uint(chunk))
+func (p *Planner) setHeld(q *peer, chunk int) {
+	if !q.held.Test(uint(chunk)) {
+		q.held.Set(uint(chunk))
 		p.copies[chunk]++
 	}
 }
 
-func (p *Planner) lostChunk(q *peer, chunk int) {
-	if q.bits.Test(uint(chunk)) {
-		q.bits.Clear(uint(chunk))
+func (p *Planner) clearHeld(q *peer, chunk int) {
+	if q.held.Test(uint(chunk)) {
+		q.held.Clear(uint(chunk))
 		p.copies[chunk]--
 	}
 }
 
-func (p *Planner) peerWorked(host string) {
+func (p *Planner) peerSucceeded(host string) {
 	if q := p.peers[host]; q != nil {
-		q.strikes, q.bans = 0, 0
+		q.failures, q.bans = 0, 0
 	}
 }
 
@@ -160,72 +160,71 @@
 	if q == nil {
 		return
 	}
-	p.lostChunk(q, f.Chunk)
-	q.strikes++
-	if fault == FaultCorrupt || q.strikes >= maxStrikes {
-		q.banned = now.Add(p.cfg.BanDuration << min(q.bans, maxBanShift))
+	p.clearHeld(q, f.Chunk)
+	q.failures++
+	if fault == FaultCorrupt || q.failures >= failuresBeforeBan {
+		q.bannedUntil = now.Add(p.cfg.BanDuration << min(q.bans, maxBanShift))
 		q.bans++
-		q.strikes = 0
+		q.failures = 0
 	}
 }
 
-// fromPeer asks a neighbour for a rare chunk. Neighbours of this failure
-// domain come first; another domain is asked only for chunks that this host
-// has to bring in.
+// fromPeer requests a rare chunk from a neighbour. Neighbours in this failure domain are
+// preferred; those in another are used only for chunks that this host has to import.
 func (p *Planner) fromPeer(now time.Time) (Fetch, bool) {
-	if len(p.order) == 0 {
+	if len(p.neighbours) == 0 {
 		return Fetch{}, false
 	}
-	start := p.rng.IntN(len(p.order))
-	for _, far := range []bool{false, true} {
-		if f, ok := p.fromPeers(now, start, far); ok {
+	start := p.rng.IntN(len(p.neighbours))
+	for _, crossDomain := range []bool{false, true} {
+		if f, ok := p.fromPeers(now, start, crossDomain); ok {
 			return f, true
 		}
 	}
 	return Fetch{}, false
 }
 
-func (p *Planner) fromPeers(now time.Time, start int, far bool) (Fetch, bool) {
+func (p *Planner) fromPeers(now time.Time, start int, crossDomain bool) (Fetch, bool) {
 	for load := range p.cfg.PerPeer {
-		for i := range p.order {
-			q := p.order[(start+i)%len(p.order)]
-			if q.far != far || q.inflight != load || now.Before(q.banned) {
+		for i := range p.neighbours {
+			q := p.neighbours[(start+i)%len(p.neighbours)]
+			if q.crossDomain != crossDomain || q.inflight != load || now.Before(q.bannedUntil) {
 				continue
 			}
 			if c := p.rarest(now, q); c >= 0 {
-				return Fetch{Chunk: c, Kind: FromPeer, Peer: q.Host, CrossDomain: far}, true
+				return Fetch{Chunk: c, Kind: FromPeer, Peer: q.Host, CrossDomain: crossDomain}, true
 			}
 		}
 	}
 	return Fetch{}, false
 }
 
-// rarest returns a wanted chunk of q with few copies among the neighbours, or
-// -1. It looks at a random sample.
+// rarest returns the wanted chunk of q with the fewest copies among the neighbours in a
+// random sample, or -1.
 func (p *Planner) rarest(now time.Time, q *peer) int {
 	best := -1
-	seen := 0
-	look := func(from, to uint) {
-		for i, ok := q.bits.NextSet(from); ok && i < to && seen < rareSample; i, ok = q.bits.NextSet(i + 1) {
+	sampled := 0
+	sample := func(from, to uint) {
+		for i, ok := q.held.NextSet(from); ok && i < to && sampled < rareSample; i, ok = q.held.NextSet(i + 1) {
 			c := int(i)
-			if !p.wanted(c) || q.far && !p.mayImport(now, c) {
+			if !p.wanted(c) || q.crossDomain && !p.mayImport(now, c) {
 				continue
 			}
-			seen++
+			sampled++
 			if best < 0 || p.copies[c] < p.copies[best] {
 				best = c
 			}
 		}
 	}
 	start := uint(p.rng.IntN(p.count))
-	look(start, uint(p.count))
-	look(0, start)
+	sample(start, uint(p.count))
+	sample(0, start)
 	return best
 }
 
-// mayImport reports whether this host may fetch a chunk across failure
-// domains: no other host of its domain is to bring it in.
+// mayImport reports whether this host may fetch a chunk across failure domains: no other
+// available host of its domain is assigned to import it.
 func (p *Planner) mayImport(now time.Time, chunk int) bool {
-	i := p.up(now, p.readers.importChain(chunk, p.self.Domain))
+	i := p.firstAvailable(now, p.readers.importChain(chunk, p.self.Domain))
 	return i == none || i == p.self.index
 }
--- a/spread/planner.go
+++ b/spread/planner.go
@@ -9,30 +9,30 @@
 	"github.com/springgate/springgate/intent"
 )
 
-// Planner plans the transfer of one version to one host. It is owned by one
-// goroutine.
+// Planner plans the transfer of one version to one host. It must be used by one goroutine
+// only.
 type Planner struct {
 	cfg   Config
 	self  selfNode
 	count int
 	rng   *rand.Rand
 
-	have     *bitset.BitSet
-	busy     *bitset.BitSet // in flight
-	inflight []Fetch
-	holds    int // of them, questions that the peer may hold
-	patience [FromOrigin + 1]patience
-	gainedAt time.Time // of the last chunk
-	copies   []uint16  // neighbours that hold each chunk
-	peers    map[string]*peer
-	order    []*peer // neighbours, for random draws
-	sources  [FromOrigin + 1]source
-
-	readers  *Readers
-	duties   []int                // chunks that this host brings into its domain
-	unable   map[string]time.Time // readers that are passed over until then
-	askAgain []time.Time          // per chunk: no question before
-	nextAsk  time.Time            // no question about any chunk before
+	have        *bitset.BitSet
+	busy        *bitset.BitSet // in flight
+	inflight    []Fetch
+	longPolls   int // those of inflight with a LongPollTimeout
+	timeouts    [FromOrigin + 1]adaptiveTimeout
+	lastChunkAt time.Time // when the last chunk was fetched
+	copies      []uint16  // number of neighbours that hold each chunk
+	peers       map[string]*peer
+	neighbours  []*peer // the peers in a stable order, for random selection
+	sources     [FromOrigin + 1]source
+
+	readers           *Readers
+	assigned          []int                // chunks that this host is assigned to import
+	unavailableUntil  map[string]time.Time // readers that are skipped until then
+	retryAt           []time.Time          // for each chunk: no request to a reader before
+	nextReaderRequest time.Time            // no request by fromReader before
 }
 
 // selfNode is this host and its index among the readers' nodes.
@@ -41,20 +41,20 @@
 	index uint16
 }
 
-// NewPlanner plans a version for the host self. readers come from the hosts
-// that want the version and are thought to be live, self included. hasStore
-// says whether a store is to be asked before the origin.
+// NewPlanner returns a planner for the host self. readers are computed from the hosts that
+// want the version and are assumed to be live, including self. hasStore says whether a
+// store is used before the origin.
 func NewPlanner(cfg Config, self Node, readers *Readers, hasStore bool, rng *rand.Rand) *Planner {
 	n := readers.count
 	p := &Planner{cfg: cfg.applyDefaults(), self: selfNode{Node: self}, count: n, rng: rng,
 		have: bitset.New(uint(n)), busy: bitset.New(uint(n)),
 		copies: make([]uint16, n), peers: map[string]*peer{},
-		unable: map[string]time.Time{}, askAgain: make([]time.Time, n)}
-	for k := range p.patience {
-		p.patience[k] = newPatience(SourceKind(k), p.cfg.FetchTimeout)
+		unavailableUntil: map[string]time.Time{}, retryAt: make([]time.Time, n)}
+	for k := range p.timeouts {
+		p.timeouts[k] = newAdaptiveTimeout(SourceKind(k), p.cfg.FetchTimeout)
 	}
-	p.sources[FromOrigin].known = true
-	p.sources[FromStore].known = hasStore
+	p.sources[FromOrigin].hasVersion = true
+	p.sources[FromStore].hasVersion = hasStore
 	p.SetReaders(readers)
 	return p
 }
@@ -65,33 +65,33 @@
 // Complete reports whether all chunks are held.
 func (p *Planner) Complete() bool { return int(p.have.Count()) == p.count }
 
-// Held returns how many chunks are held.
+// Held returns the number of chunks that are held.
 func (p *Planner) Held() int { return int(p.have.Count()) }
 
 // Has reports whether a chunk is held.
 func (p *Planner) Has(chunk int) bool { return p.have.Test(uint(chunk)) }
 
-// Bits returns the chunks held as a bitmap in words of 64 bits.
+// Bits returns the held chunks as a bitmap in words of 64 bits.
 func (p *Planner) Bits() []uint64 { return slices.Clone(p.have.Words()) }
 
-// Inflight returns how many fetches are under way.
+// Inflight returns the number of fetches in flight.
 func (p *Planner) Inflight() int { return len(p.inflight) }
 
 // Next returns the next fetch to start, if any.
 func (p *Planner) Next(now time.Time) (Fetch, bool) {
-	if p.gainedAt.IsZero() {
-		p.gainedAt = now
+	if p.lastChunkAt.IsZero() {
+		p.lastChunkAt = now
 	}
 	if p.Complete() {
 		return Fetch{}, false
 	}
-	if f, ok := p.fromDuty(now); ok {
+	if f, ok := p.fromAssigned(now); ok {
 		return p.begin(now, f), true
 	}
-	if len(p.inflight)-p.holds >= p.cfg.Pipeline {
+	if len(p.inflight)-p.longPolls >= p.cfg.Pipeline {
 		return Fetch{}, false
 	}
-	for _, choose := range []func(time.Time) (Fetch, bool){p.fromPeer, p.fromReader, p.fromSourceInstead} {
+	for _, choose := range []func(time.Time) (Fetch, bool){p.fromPeer, p.fromReader, p.fromSourceWhenIdle} {
 		if f, ok := choose(now); ok {
 			return p.begin(now, f), true
 		}
@@ -101,9 +101,9 @@
 
 func (p *Planner) begin(now time.Time, f Fetch) Fetch {
 	f.Started = now
-	f.Deadline = now.Add(p.patience[f.Kind].allowed)
+	f.Deadline = now.Add(p.timeouts[f.Kind].current)
 	if f.LongPollTimeout > 0 {
-		p.holds++
+		p.longPolls++
 		f.Deadline = f.Deadline.Add(f.LongPollTimeout)
 	}
 	p.busy.Set(uint(f.Chunk))
@@ -123,24 +123,24 @@
 		return
 	}
 	p.have.Set(uint(f.Chunk))
-	p.patience[f.Kind].learn(now.Sub(f.Started))
-	p.gainedAt = now
+	p.timeouts[f.Kind].observe(now.Sub(f.Started))
+	p.lastChunkAt = now
 	if f.Kind == FromPeer {
-		p.peerWorked(f.Peer)
+		p.peerSucceeded(f.Peer)
 		return
 	}
-	p.sources[f.Kind].worked()
+	p.sources[f.Kind].succeeded()
 }
 
-// Failed reports that a fetch failed. wait is the time a limiting source asks
-// to wait.
+// Failed reports that a fetch failed. wait is the time for which a source that limits the
+// rate asked to wait.
 func (p *Planner) Failed(now time.Time, f Fetch, fault Fault, wait time.Duration) {
 	if !p.finish(f) {
 		return
 	}
 	if f.Kind == FromPeer {
 		if f.ToReader {
-			p.askFailed(now, f, fault)
+			p.readerFailed(now, f, fault)
 		}
 		if !f.ToReader || fault != FaultPending {
 			p.peerFailed(now, f, fault)
@@ -150,26 +150,26 @@
 	p.sourceFailed(now, f.Kind, fault, wait)
 }
 
-// Expired returns the fetches whose time is up. The caller cancels them and
-// reports them as failed.
+// Expired returns the fetches that have timed out. The caller cancels them and reports
+// them as failed.
 func (p *Planner) Expired(now time.Time) []Fetch {
 	var out []Fetch
-	late := [FromOrigin + 1]bool{}
+	timedOut := [FromOrigin + 1]bool{}
 	for _, f := range p.inflight {
 		if !now.Before(f.Deadline) {
 			out = append(out, f)
-			late[f.Kind] = true
+			timedOut[f.Kind] = true
 		}
 	}
-	for k, is := range late {
-		if is {
-			p.patience[k].exhausted()
+	for k, expired := range timedOut {
+		if expired {
+			p.timeouts[k].increase()
 		}
 	}
 	return out
 }
 
-// finish removes a fetch; it reports false for one that is not under way.
+// finish removes a fetch and reports whether it was in flight.
 func (p *Planner) finish(f Fetch) bool {
 	i := slices.Index(p.inflight, f)
 	if i < 0 {
@@ -178,7 +178,7 @@
 	p.inflight = slices.Delete(p.inflight, i, i+1)
 	p.busy.Clear(uint(f.Chunk))
 	if f.LongPollTimeout > 0 {
-		p.holds--
+		p.longPolls--
 	}
 	if f.Kind != FromPeer {
 		p.sources[f.Kind].inflight--
@@ -194,17 +194,17 @@
 	return !p.have.Test(uint(chunk)) && !p.busy.Test(uint(chunk))
 }
 
-// perSource is how many chunks may be asked of a source at once.
+// perSource returns the maximum number of fetches in flight from one source.
 func (p *Planner) perSource() int {
 	if p.cfg.Goal == intent.SpreadTime {
-		return timeFactor * p.cfg.PerSource
+		return timeGoalFactor * p.cfg.PerSource
 	}
 	return p.cfg.PerSource
 }
 
-// idleTime is how long a host gains nothing before it reads from a source what
-// others are to bring.
+// idleTime is the time without a new chunk after which a host reads chunks from a source
+// although they are assigned to other hosts.
 const idleTime = 2 * time.Second
 
-// timeFactor is how many times more is asked of a source if time weighs more.
-const timeFactor = 2
+// timeGoalFactor multiplies Config.PerSource if the goal is transfer time.
+const timeGoalFactor = 2
--- a/spread/planner_test.go
+++ b/spread/planner_test.go
@@ -27,8 +27,8 @@
 	return NewPlanner(cfg, all[self], Assign("v", chunks, all), store, rand.New(rand.NewPCG(1, uint64(self))))
 }
 
-// take starts all fetches that the planner wants now.
-func take(p *Planner, now time.Time) []Fetch {
+// startAll starts all fetches that the planner returns now.
+func startAll(p *Planner, now time.Time) []Fetch {
 	var out []Fetch
 	for {
 		f, ok := p.Next(now)
@@ -54,55 +54,56 @@
 	}
 }
 
-func TestStepsInOnlyForReadersThatCannot(t *testing.T) {
+// A reader that does not have the chunk yet is waited for; an unreachable one is replaced.
+func TestReplacesOnlyUnavailableReaders(t *testing.T) {
 	all := nodes(3, 1)
 	p := planner(Config{Goal: intent.SpreadOriginBytes, PerSource: 100}, 0, all, 30, false)
-	own := 0
-	var asked []Fetch
-	for _, f := range take(p, start) {
+	fromOrigin := 0
+	var requested []Fetch
+	for _, f := range startAll(p, start) {
 		if f.Kind == FromOrigin {
-			own++
+			fromOrigin++
 			p.Done(start, f)
 		} else {
-			asked = append(asked, f)
+			requested = append(requested, f)
 		}
 	}
-	assert.Assert(t, own > 3 && own < 20, "%d of its own", own)
-	for _, f := range asked {
+	assert.Assert(t, fromOrigin > 3 && fromOrigin < 20, "%d of its own", fromOrigin)
+	for _, f := range requested {
 		p.Failed(start, f, FaultPending, 0)
 	}
 	now := start.Add(2 * time.Second)
-	for _, f := range take(p, now) {
+	for _, f := range startAll(p, now) {
 		assert.Equal(t, f.Kind, FromPeer, "a reader that waits is waited for")
 		p.Failed(now, f, FaultUnreachable, 0)
 	}
 	now = now.Add(time.Second)
-	steppedIn := 0
+	replacements := 0
 	for range 20 {
-		for _, f := range take(p, now) {
+		for _, f := range startAll(p, now) {
 			if f.Kind == FromOrigin {
-				steppedIn++
+				replacements++
 			}
 		}
 		now = now.Add(300 * time.Millisecond)
 	}
-	assert.Assert(t, steppedIn > 0, "a dead reader is replaced")
+	assert.Assert(t, replacements > 0, "a dead reader is replaced")
 }
 
-func TestStoreBeforeOriginAndLimitsObeyed(t *testing.T) {
+func TestStoreIsPreferredAndRateLimitsAreObeyed(t *testing.T) {
 	p := planner(Config{}, 0, nodes(1, 1), 10, true)
-	f := take(p, start)[0]
+	f := startAll(p, start)[0]
 	assert.Equal(t, f.Kind, FromStore)
 	p.Failed(start, f, FaultRateLimited, 5*time.Second)
-	for _, f := range take(p, start.Add(time.Second)) {
+	for _, f := range startAll(p, start.Add(time.Second)) {
 		assert.Equal(t, f.Kind, FromStore, "fetches that were under way")
 		p.Failed(start, f, FaultRateLimited, 5*time.Second)
 	}
-	assert.Equal(t, len(take(p, start.Add(4*time.Second))), 0, "told to wait")
-	f = take(p, start.Add(11*time.Second))[0]
+	assert.Equal(t, len(startAll(p, start.Add(4*time.Second))), 0, "told to wait")
+	f = startAll(p, start.Add(11*time.Second))[0]
 	assert.Equal(t, f.Kind, FromStore)
 	p.Failed(start, f, FaultMissing, 0)
-	got := take(p, start.Add(12*time.Second))
+	got := startAll(p, start.Add(12*time.Second))
 	assert.Equal(t, got[len(got)-1].Kind, FromOrigin, "the store does not have it")
 }
 
@@ -110,7 +111,7 @@
 	p := planner(Config{Goal: intent.SpreadOriginBytes}, 0, nodes(1, 1), 10, false)
 	now, tries := start, 0
 	for now.Before(start.Add(time.Minute)) {
-		for _, f := range take(p, now) {
+		for _, f := range startAll(p, now) {
 			tries++
 			p.Failed(now, f, FaultUnreachable, 0)
 		}
@@ -119,13 +120,13 @@
 	assert.Assert(t, tries >= 4 && tries < 20, "%d tries in a minute", tries)
 }
 
-func TestCorruptAndLyingPeersAreLeftAlone(t *testing.T) {
+func TestPeersWithCorruptOrMissingChunksAreBanned(t *testing.T) {
 	all := nodes(2, 1)
 	cfg := Config{Goal: intent.SpreadOriginBytes, MaxLongPolls: 1}
 	p := planner(cfg, 0, all, 64, false)
 	p.PeerHolds("h001", []uint64{^uint64(0)})
 	fromPeer := func(now time.Time) (out []Fetch) {
-		for _, f := range take(p, now) {
+		for _, f := range startAll(p, now) {
 			if f.Kind == FromPeer && !f.ToReader {
 				out = append(out, f)
 			}
@@ -143,29 +144,29 @@
 	assert.Assert(t, len(fromPeer(start.Add(5*time.Minute))) > 0, "it gets another chance")
 }
 
-// A neighbour that said it holds a chunk and then says it is still waiting for
-// it has lied as well.
-func TestNeighbourThatOnlyWaitsIsNotAskedForEver(t *testing.T) {
+// A neighbour that reported a chunk but answers that it is still pending counts as failed,
+// so that requests to it are bounded.
+func TestNeighbourWithPendingChunksIsBanned(t *testing.T) {
 	p := planner(Config{Goal: intent.SpreadOriginBytes, MaxLongPolls: 1}, 0, nodes(2, 1), 64, false)
 	p.PeerHolds("h001", []uint64{^uint64(0)})
-	asked := 0
+	requests := 0
 	for range 50 {
-		for _, f := range take(p, start) {
+		for _, f := range startAll(p, start) {
 			if f.Kind == FromPeer && !f.ToReader {
-				asked++
+				requests++
 				p.Failed(start, f, FaultPending, 0)
 			}
 		}
 	}
-	assert.Assert(t, asked <= 2*maxStrikes, "asked %d times", asked)
+	assert.Assert(t, requests <= 2*failuresBeforeBan, "asked %d times", requests)
 }
 
-func TestSharedChunksAreNotFetched(t *testing.T) {
+func TestHeldChunksAreNotFetched(t *testing.T) {
 	p := planner(Config{}, 0, nodes(1, 1), 4, false)
 	for _, c := range []int{0, 2, 3} {
 		p.MarkHeld(c)
 	}
-	got := take(p, start)
+	got := startAll(p, start)
 	assert.Equal(t, len(got), 1)
 	assert.Equal(t, got[0].Chunk, 1)
 	p.Done(start, got[0])
@@ -188,10 +189,10 @@
 	}
 }
 
-// TestOraclePlanner drives one planner through arbitrary answers, deaths and
-// lists, and holds it to what any plan must keep: never two fetches of one
-// chunk, never one that is held, bounds kept, and completion once the world
-// works again.
+// TestOraclePlanner drives one planner with arbitrary results of fetches, unreachable peers
+// and host lists, and checks the invariants of any plan: no two concurrent fetches of a
+// chunk, no fetch of a held chunk, a bounded number in flight, and completion once all
+// fetches succeed.
 func TestOraclePlanner(t *testing.T) {
 	steps := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -218,7 +219,7 @@
 			}
 			open = append(open, f)
 		}
-		one := func(t *rapid.T) Fetch {
+		takeOpen := func(t *rapid.T) Fetch {
 			if len(open) == 0 {
 				t.Skip("none open")
 			}
@@ -231,12 +232,12 @@
 			"next":  next,
 			"next2": next,
 			"done": func(t *rapid.T) {
-				f := one(t)
+				f := takeOpen(t)
 				held[f.Chunk] = true
 				p.Done(now, f)
 			},
 			"failed": func(t *rapid.T) {
-				f := one(t)
+				f := takeOpen(t)
 				fault := Fault(rapid.IntRange(1, 5).Draw(t, "fault"))
 				if f.Kind == FromPeer && fault == FaultRateLimited || f.Kind != FromPeer && fault == FaultPending {
 					fault = FaultUnreachable
@@ -244,7 +245,7 @@
 				p.Failed(now, f, fault, time.Second)
 			},
 			"twice": func(t *rapid.T) { // a late report of a fetch that has ended
-				f := one(t)
+				f := takeOpen(t)
 				p.Failed(now, f, FaultUnreachable, 0)
 				p.Done(now, f)
 			},
@@ -272,7 +273,7 @@
 				if p.Inflight() != len(open) || p.Held() != len(held) {
 					t.Fatalf("in flight %d, want %d; held %d, want %d", p.Inflight(), len(open), p.Held(), len(held))
 				}
-				if n := p.Inflight() - p.holds; n > cfg.Pipeline+4 {
+				if n := p.Inflight() - p.longPolls; n > cfg.Pipeline+4 {
 					t.Fatalf("%d fetches in flight", n)
 				}
 			},
@@ -281,7 +282,7 @@
 			actions[name] = func(t *rapid.T) { steps++; f(t) }
 		}
 		t.Repeat(actions)
-		// From here everything works: whoever is asked delivers.
+		// From here on all fetches succeed.
 		for i := 0; i < 10000 && !p.Complete(); i++ {
 			for _, f := range open {
 				p.Done(now, f)
@@ -297,7 +298,7 @@
 	t.Logf("%d steps", steps)
 }
 
-// TestSpreadOverLinks runs the swarm over fake links at a small size.
+// TestSpreadOverLinks runs a small swarm over simulated links, with and without faults.
 func TestSpreadOverLinks(t *testing.T) {
 	for _, faults := range []bool{false, true} {
 		l := newLinks(20, 4, 128, intent.SpreadOriginBytes, 1)
--- a/spread/readers.go
+++ b/spread/readers.go
@@ -8,55 +8,55 @@
 	"github.com/springgate/springgate/membership"
 )
 
-// Lengths of the chains of readers.
+// Lengths of the ranked lists of hosts for each chunk.
 const (
-	globalRanks = 4
-	domainRanks = 3
+	sourceChainLength = 4
+	importChainLength = 3
 )
 
-// none is an empty place in a chain.
+// none marks an unused position in a chain.
 const none = ^uint16(0)
 
-// Readers says for each chunk which hosts are to read it from a source, and
-// which are to bring it into each failure domain, in order. It follows from
-// rendezvous hashing over the hosts that take part, so no host needs to be
-// told, and two hosts with the same list agree. It is immutable.
+// Readers holds for each chunk the ranked hosts that read it from a source, and those that
+// import it into each failure domain. The ranking is computed by rendezvous hashing over
+// the participating hosts, so two hosts with the same list agree without communication.
+// It is immutable.
 type Readers struct {
-	key     string
-	count   int
-	nodes   []Node
-	index   map[string]int
-	domains map[string]int
-	global  []uint16 // count * globalRanks
-	local   []uint16 // count * len(domains) * domainRanks
+	key          string
+	count        int
+	nodes        []Node
+	hostIndex    map[string]int
+	domainIndex  map[string]int
+	sourceChains []uint16 // count * sourceChainLength
+	importChains []uint16 // count * len(domainIndex) * importChainLength
 }
 
-// Assign computes the readers of a version named key with count chunks. Its
-// cost is that of one hash for each pair of a node and a chunk.
+// Assign computes the readers of the version key with count chunks. It computes one hash
+// for each pair of a node and a chunk.
 func Assign(key string, count int, nodes []Node) *Readers {
 	r := &Readers{key: key, count: count, nodes: slices.Clone(nodes),
-		index: make(map[string]int, len(nodes)), domains: map[string]int{}}
+		hostIndex: make(map[string]int, len(nodes)), domainIndex: map[string]int{}}
 	scores := make([]uint64, len(nodes))
 	domainOf := make([]int, len(nodes))
 	for i, n := range nodes {
-		r.index[n.Host] = i
+		r.hostIndex[n.Host] = i
 		scores[i] = membership.Score(key, n.Host)
-		d, ok := r.domains[n.Domain]
+		d, ok := r.domainIndex[n.Domain]
 		if !ok {
-			d = len(r.domains)
-			r.domains[n.Domain] = d
+			d = len(r.domainIndex)
+			r.domainIndex[n.Domain] = d
 		}
 		domainOf[i] = d
 	}
-	r.global = filled(count * globalRanks)
-	r.local = filled(count * len(r.domains) * domainRanks)
+	r.sourceChains = filled(count * sourceChainLength)
+	r.importChains = filled(count * len(r.domainIndex) * importChainLength)
 	weights := make([]uint64, len(nodes))
 	for c := range count {
 		for i, s := range scores {
 			weights[i] = combine(s, uint64(c))
-			place(r.global[c*globalRanks:(c+1)*globalRanks], weights, uint16(i))
-			at := (c*len(r.domains) + domainOf[i]) * domainRanks
-			place(r.local[at:at+domainRanks], weights, uint16(i))
+			insertByWeight(r.sourceChains[c*sourceChainLength:(c+1)*sourceChainLength], weights, uint16(i))
+			at := (c*len(r.domainIndex) + domainOf[i]) * importChainLength
+			insertByWeight(r.importChains[at:at+importChainLength], weights, uint16(i))
 		}
 	}
 	return r
@@ -70,8 +70,8 @@
 	return s
 }
 
-// place puts node i into a chain that is ordered by weight.
-func place(chain []uint16, weights []uint64, i uint16) {
+// insertByWeight inserts node i into a chain that is ordered by descending weight.
+func insertByWeight(chain []uint16, weights []uint64, i uint16) {
 	for k, x := range chain {
 		if x == none || weights[i] > weights[x] {
 			copy(chain[k+1:], chain[k:])
@@ -81,23 +81,23 @@
 	}
 }
 
-// sourceChain returns the hosts that are to read a chunk from a source.
+// sourceChain returns the ranked hosts that read a chunk from a source.
 func (r *Readers) sourceChain(chunk int) []uint16 {
-	return r.global[chunk*globalRanks : (chunk+1)*globalRanks]
+	return r.sourceChains[chunk*sourceChainLength : (chunk+1)*sourceChainLength]
 }
 
-// importChain returns the hosts that are to bring a chunk into a domain.
+// importChain returns the ranked hosts that import a chunk into a domain.
 func (r *Readers) importChain(chunk int, domain string) []uint16 {
-	d, ok := r.domains[domain]
+	d, ok := r.domainIndex[domain]
 	if !ok {
 		return nil
 	}
-	at := (chunk*len(r.domains) + d) * domainRanks
-	return r.local[at : at+domainRanks]
+	at := (chunk*len(r.domainIndex) + d) * importChainLength
+	return r.importChains[at : at+importChainLength]
 }
 
-// combine mixes a host's score with a chunk's number, so that each chunk
-// ranks the hosts in an order of its own.
+// combine hashes a host's score with a chunk's number, so that each chunk ranks the hosts
+// in a different order.
 func combine(host, chunk uint64) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], host)
--- a/spread/source.go
+++ b/spread/source.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// maxRetryShift bounds the doubling of a source's retry wait.
-const maxRetryShift = 5
+// maxBackoffShift bounds the doubling of a source's back-off.
+const maxBackoffShift = 5
 
-// source is the store or the origin as this host sees it.
+// source is this host's state of the store or the origin.
 type source struct {
-	known    bool
-	inflight int
-	failures int
-	blocked  time.Time
+	hasVersion   bool // the version may be read from it
+	inflight     int
+	failures     int
+	blockedUntil time.Time
 }
 
-func (s *source) worked() { s.failures = 0 }
+func (s *source) succeeded() { s.failures = 0 }
 
-// openSource returns the source to read from now: the store while it is
-// known to have the version and is not blocked, else the origin.
-func (p *Planner) openSource(now time.Time) (SourceKind, bool) {
+// availableSource returns the source to read from now: the store while it has the
+// version and is not blocked, otherwise the origin.
+func (p *Planner) availableSource(now time.Time) (SourceKind, bool) {
 	for _, k := range []SourceKind{FromStore, FromOrigin} {
 		s := &p.sources[k]
-		if !s.known {
+		if !s.hasVersion {
 			continue
 		}
-		if now.Before(s.blocked) {
+		if now.Before(s.blockedUntil) {
 			if k == FromStore && s.failures == 0 {
-				return 0, false // limited, not broken: wait for it
+				return 0, false // rate-limited, not failed: wait for the store
 			}
 			continue
 		}
@@ -34,31 +34,31 @@
 	return 0, false
 }
 
-// sourceWorks reports whether a source may be read now or will be soon.
-func (p *Planner) sourceWorks(now time.Time) bool {
+// hasWorkingSource reports whether a source can be read now or after a rate limit.
+func (p *Planner) hasWorkingSource(now time.Time) bool {
 	for _, k := range []SourceKind{FromStore, FromOrigin} {
-		if s := &p.sources[k]; s.known && (s.failures == 0 || !now.Before(s.blocked)) {
+		if s := &p.sources[k]; s.hasVersion && (s.failures == 0 || !now.Before(s.blockedUntil)) {
 			return true
 		}
 	}
 	return false
 }
 
-// sourceFailed notes a failure. A store without the version is not asked
-// again. A limit is obeyed for the time asked and a random part more, so that
-// hosts told to wait together do not return together.
+// sourceFailed records a failure. A store without the version is not used again. After a
+// rate limit, the source is blocked for the requested time plus a random part of it, so
+// that hosts that were limited at the same time do not retry at the same time.
 func (p *Planner) sourceFailed(now time.Time, k SourceKind, fault Fault, wait time.Duration) {
 	s := &p.sources[k]
 	if fault == FaultMissing && k == FromStore {
-		s.known = false
+		s.hasVersion = false
 		return
 	}
 	if fault == FaultRateLimited {
 		s.failures = 0
-		s.blocked = now.Add(wait + time.Duration(p.rng.Int64N(int64(wait)+1)))
+		s.blockedUntil = now.Add(wait + time.Duration(p.rng.Int64N(int64(wait)+1)))
 		return
 	}
-	base := p.cfg.SourceBackoff << min(s.failures, maxRetryShift)
+	base := p.cfg.SourceBackoff << min(s.failures, maxBackoffShift)
 	s.failures++
-	s.blocked = now.Add(base/2 + time.Duration(p.rng.Int64N(int64(base))))
+	s.blockedUntil = now.Add(base/2 + time.Duration(p.rng.Int64N(int64(base))))
 }
