--- a/spread/bench_test.go
+++ b/spread/bench_test.go
@@ -45,7 +45,7 @@
 	}
 	took, ok := l.run(benchLimit)
 	if !ok {
-		b.Fatalf("not done after %s", took)
+		b.Fatalf("transfer not complete after %s", took)
 	}
 	b.ReportMetric(took.Seconds()/l.bound(hosts, benchChunks).Seconds(), "x-bound")
 	b.ReportMetric(float64(l.originChunks)/benchChunks, "origin-copies")
--- a/spread/failure_test.go
+++ b/spread/failure_test.go
@@ -24,7 +24,7 @@
 		prepare func(l *links)
 		copies  float64
 	}{
-		"the only holder dies": {func(l *links) {
+		"the only host with a chunk fails": {func(l *links) {
 			// Each of the two hosts dies just after its first chunk arrived from the origin.
 			at(l, 3*time.Second, func() { l.kill(l.hosts[4]) })
 			at(l, 6*time.Second, func() { l.kill(l.hosts[9]) })
@@ -32,7 +32,7 @@
 		"a link stalls without closing": {func(l *links) {
 			at(l, 10*time.Second, func() { l.hosts[2].stalled = true })
 		}, 1.5},
-		"a peer lies about what it holds": {func(l *links) {
+		"a peer reports chunks that it does not hold": {func(l *links) {
 			l.hosts[3].misreports = true
 			for _, h := range l.hosts {
 				if h != l.hosts[3] {
@@ -40,13 +40,13 @@
 				}
 			}
 		}, 1.3},
-		"the origin is down and returns after a minute": {func(l *links) {
+		"the origin is unreachable for a minute": {func(l *links) {
 			l.originDown = func() bool { return l.now > 5*time.Second && l.now < 65*time.Second }
 		}, 1.3},
 		"the origin is slow": {func(l *links) {
 			l.originTime *= 8 // all fetches queue for a long time, without a fault
 		}, 1.1},
-		"a failure domain is cut off and joins": {func(l *links) {
+		"a failure domain is partitioned and reconnects": {func(l *links) {
 			l.partitioned = func(a, b *linkHost) bool {
 				return l.now > 10*time.Second && l.now < 70*time.Second && (a.node.Domain == "d1") != (b.node.Domain == "d1")
 			}
@@ -54,7 +54,7 @@
 		"a host is paused for a minute": {func(l *links) {
 			at(l, 20*time.Second, func() { l.hosts[5].pausedUntil = l.now + time.Minute })
 		}, 1.3},
-		"a pause and a death": {func(l *links) {
+		"a pause and a host failure": {func(l *links) {
 			at(l, 20*time.Second, func() { l.hosts[5].pausedUntil = l.now + time.Minute })
 			at(l, 30*time.Second, func() { l.kill(l.hosts[8]) })
 		}, 1.4},
@@ -62,7 +62,7 @@
 			l.corruptEvery = 50
 			at(l, 10*time.Second, func() { l.hosts[2].stalled = true })
 		}, 1.6},
-		"a death while the origin is down": {func(l *links) {
+		"a host fails while the origin is unreachable": {func(l *links) {
 			l.originDown = func() bool { return l.now > 5*time.Second && l.now < 35*time.Second }
 			at(l, 15*time.Second, func() { l.kill(l.hosts[6]) })
 		}, 1.4},
@@ -73,10 +73,10 @@
 				l := newLinksWith(Config{Goal: goal}, failHosts, 3, failChunks, 1)
 				c.prepare(l)
 				took, ok := l.run(20 * time.Minute)
-				assert.Assert(t, ok, "not done after %s", took)
+				assert.Assert(t, ok, "transfer not complete after %s", took)
 				copies := float64(l.originChunks) / failChunks
-				t.Logf("%s: %.2f times the floor, %.2f copies", goal, took.Seconds()/l.bound(failHosts, failChunks).Seconds(), copies)
-				assert.Assert(t, copies <= most, "%.2f copies", copies)
+				t.Logf("%s: %.2f times the lower bound, %.2f copies read from the origin", goal, took.Seconds()/l.bound(failHosts, failChunks).Seconds(), copies)
+				assert.Assert(t, copies <= most, "%.2f copies read from the origin", copies)
 			}
 		})
 	}
--- a/spread/planner_test.go
+++ b/spread/planner_test.go
@@ -45,7 +45,7 @@
 	for c := range 100 {
 		chain := r.sourceChain(c)
 		first := all[chain[0]]
-		assert.Equal(t, r.importChain(c, first.Domain)[0], chain[0], "a source reader also serves its domain")
+		assert.Equal(t, r.importChain(c, first.Domain)[0], chain[0], "the first reader of a chunk must also import it into its domain")
 		seen := map[uint16]bool{}
 		for _, i := range chain {
 			assert.Assert(t, !seen[i])
@@ -68,13 +68,13 @@
 			requested = append(requested, f)
 		}
 	}
-	assert.Assert(t, fromOrigin > 3 && fromOrigin < 20, "%d of its own", fromOrigin)
+	assert.Assert(t, fromOrigin > 3 && fromOrigin < 20, "%d chunks read from the origin", fromOrigin)
 	for _, f := range requested {
 		p.Failed(start, f, FaultPending, 0)
 	}
 	now := start.Add(2 * time.Second)
 	for _, f := range startAll(p, now) {
-		assert.Equal(t, f.Kind, FromPeer, "a reader that waits is waited for")
+		assert.Equal(t, f.Kind, FromPeer, "a reader with the chunk pending was replaced")
 		p.Failed(now, f, FaultUnreachable, 0)
 	}
 	now = now.Add(time.Second)
@@ -87,7 +87,7 @@
 		}
 		now = now.Add(300 * time.Millisecond)
 	}
-	assert.Assert(t, replacements > 0, "a dead reader is replaced")
+	assert.Assert(t, replacements > 0, "an unreachable reader was not replaced")
 }
 
 func TestStoreIsPreferredAndRateLimitsAreObeyed(t *testing.T) {
@@ -96,15 +96,15 @@
 	assert.Equal(t, f.Kind, FromStore)
 	p.Failed(start, f, FaultRateLimited, 5*time.Second)
 	for _, f := range startAll(p, start.Add(time.Second)) {
-		assert.Equal(t, f.Kind, FromStore, "fetches that were under way")
+		assert.Equal(t, f.Kind, FromStore, "fetches in flight before the rate limit")
 		p.Failed(start, f, FaultRateLimited, 5*time.Second)
 	}
-	assert.Equal(t, len(startAll(p, start.Add(4*time.Second))), 0, "told to wait")
+	assert.Equal(t, len(startAll(p, start.Add(4*time.Second))), 0, "fetch started during the rate limit")
 	f = startAll(p, start.Add(11*time.Second))[0]
 	assert.Equal(t, f.Kind, FromStore)
 	p.Failed(start, f, FaultMissing, 0)
 	got := startAll(p, start.Add(12*time.Second))
-	assert.Equal(t, got[len(got)-1].Kind, FromOrigin, "the store does not have it")
+	assert.Equal(t, got[len(got)-1].Kind, FromOrigin, "the store lacks the version, so the origin is used")
 }
 
 func TestSourceFailuresBackOff(t *testing.T) {
@@ -117,7 +117,7 @@
 		}
 		now = now.Add(50 * time.Millisecond)
 	}
-	assert.Assert(t, tries >= 4 && tries < 20, "%d tries in a minute", tries)
+	assert.Assert(t, tries >= 4 && tries < 20, "%d fetches in a minute", tries)
 }
 
 func TestPeersWithCorruptOrMissingChunksAreBanned(t *testing.T) {
@@ -141,7 +141,7 @@
 		p.Failed(start, f, FaultMissing, 0)
 	}
 	assert.Equal(t, len(fromPeer(start.Add(time.Second))), 0)
-	assert.Assert(t, len(fromPeer(start.Add(5*time.Minute))) > 0, "it gets another chance")
+	assert.Assert(t, len(fromPeer(start.Add(5*time.Minute))) > 0, "no fetch from the peer after its ban")
 }
 
 // A neighbour that reported a chunk but answers that it is still pending counts as failed,
@@ -158,7 +158,7 @@
 			}
 		}
 	}
-	assert.Assert(t, requests <= 2*failuresBeforeBan, "asked %d times", requests)
+	assert.Assert(t, requests <= 2*failuresBeforeBan, "%d requests to the neighbour", requests)
 }
 
 func TestHeldChunksAreNotFetched(t *testing.T) {
@@ -209,19 +209,19 @@
 				return
 			}
 			if held[f.Chunk] {
-				t.Fatalf("chunk %d is held and fetched", f.Chunk)
+				t.Fatalf("fetch of chunk %d, which is held", f.Chunk)
 			}
 			if slices.ContainsFunc(open, func(o Fetch) bool { return o.Chunk == f.Chunk }) {
-				t.Fatalf("chunk %d is fetched twice", f.Chunk)
+				t.Fatalf("concurrent fetches of chunk %d", f.Chunk)
 			}
 			if f.Kind == FromPeer && f.Peer == all[0].Host {
-				t.Fatal("fetch from itself")
+				t.Fatal("fetch from the host itself")
 			}
 			open = append(open, f)
 		}
 		takeOpen := func(t *rapid.T) Fetch {
 			if len(open) == 0 {
-				t.Skip("none open")
+				t.Skip("no fetch in flight")
 			}
 			i := rapid.IntRange(0, len(open)-1).Draw(t, "fetch")
 			f := open[i]
@@ -292,7 +292,7 @@
 			now = now.Add(100 * time.Millisecond)
 		}
 		if !p.Complete() {
-			t.Fatalf("%d of %d chunks", p.Held(), chunks)
+			t.Fatalf("transfer incomplete: %d of %d chunks held", p.Held(), chunks)
 		}
 	})
 	t.Logf("%d steps", steps)
@@ -313,9 +313,9 @@
 		ratio := took.Seconds() / l.bound(20, 128).Seconds()
 		copies := float64(l.originChunks) / 128
 		if faults {
-			assert.Assert(t, ratio < 1.6 && copies < 1.3, "ratio %.2f, %.2f copies", ratio, copies)
+			assert.Assert(t, ratio < 1.6 && copies < 1.3, "%.2f times the lower bound, %.2f copies read from the origin", ratio, copies)
 		} else {
-			assert.Assert(t, ratio < 1.25 && copies < 1.1, "ratio %.2f, %.2f copies", ratio, copies)
+			assert.Assert(t, ratio < 1.25 && copies < 1.1, "%.2f times the lower bound, %.2f copies read from the origin", ratio, copies)
 		}
 	}
 }
