--- a/mirror/contact_test.go
+++ b/mirror/contact_test.go
@@ -110,8 +110,8 @@
 }
 
 // At any rate of changes, a reader's copy gets no older than one watch and the interval
-// before the next, and is never read because it is stale. Each change costs at most one
-// call in addition to those without changes, and a burst costs at most five calls per
+// before the next, and is never read because it is stale. Each change costs at maxCalls one
+// call in addition to those without changes, and a burst costs at maxCalls five calls per
 // second.
 func TestCopyStaysFreshAtAnyRateOfChanges(t *testing.T) {
 	for _, every := range []time.Duration{20, 150, 500, 850, 950, 990, 1050, 1900, 3700} {
@@ -141,8 +141,8 @@
 				}
 				assert.Check(t, oldest <= 1200*time.Millisecond, "maximum age of the copy is %v", oldest)
 				assert.Equal(t, f.stats.staleReads.Count(), int64(0))
-				most := min(minute+changes, 5*minute) + 5
-				assert.Check(t, store.calls.Load() <= int64(most), "%d calls, %d changes", store.calls.Load(), changes)
+				maxCalls := min(minute+changes, 5*minute) + 5
+				assert.Check(t, store.calls.Load() <= int64(maxCalls), "%d calls, %d changes", store.calls.Load(), changes)
 				t.Log("calls", store.calls.Load(), "changes", changes, "oldest", oldest)
 				cancel()
 				synctest.Wait()
--- a/mirror/oracle_test.go
+++ b/mirror/oracle_test.go
@@ -26,10 +26,10 @@
 	return b
 }
 
-func (m *model) since(after int64, most int) Batch {
+func (m *model) since(after int64, limit int) Batch {
 	b := Batch{Revision: after}
 	for _, e := range m.changes {
-		if e.Revision > after && len(b.Events) < most {
+		if e.Revision > after && len(b.Events) < limit {
 			b.Events = append(b.Events, e)
 			b.Revision = e.Revision
 		}
--- a/spread/bench_test.go
+++ b/spread/bench_test.go
@@ -26,7 +26,7 @@
 				}
 				b.Run(name, func(b *testing.B) {
 					for i := range b.N {
-						spreadOnce(b, hosts, goal, faults, uint64(i+1))
+						runTransfer(b, hosts, goal, faults, uint64(i+1))
 					}
 				})
 			}
@@ -34,7 +34,7 @@
 	}
 }
 
-func spreadOnce(b *testing.B, hosts int, goal intent.Spread, faults bool, seed uint64) {
+func runTransfer(b *testing.B, hosts int, goal intent.Spread, faults bool, seed uint64) {
 	l := newLinks(hosts, min(benchDomains, hosts/3), benchChunks, goal, seed)
 	if faults {
 		l.corruptEvery = 1000
@@ -47,7 +47,7 @@
 	if !ok {
 		b.Fatalf("transfer not complete after %s", took)
 	}
-	b.ReportMetric(took.Seconds()/l.bound(hosts, benchChunks).Seconds(), "x-bound")
+	b.ReportMetric(took.Seconds()/l.lowerBound(hosts, benchChunks).Seconds(), "x-bound")
 	b.ReportMetric(float64(l.originChunks)/benchChunks, "origin-copies")
 	b.ReportMetric(float64(l.farChunks)/benchChunks, "cross-domain-copies")
 	b.ReportMetric(float64(l.controlBytes)/float64(hosts)/took.Seconds(), "control-B/s/host")
@@ -61,7 +61,7 @@
 			l := newLinks(1, 1, benchChunks, intent.SpreadTime, 1)
 			for range b.N {
 				took := time.Duration(hosts*benchChunks) * l.originTime
-				b.ReportMetric(took.Seconds()/l.bound(hosts, benchChunks).Seconds(), "x-bound")
+				b.ReportMetric(took.Seconds()/l.lowerBound(hosts, benchChunks).Seconds(), "x-bound")
 				b.ReportMetric(float64(hosts), "origin-copies")
 			}
 		})
@@ -69,7 +69,7 @@
 			for range b.N {
 				l := newLinks(1, 1, benchChunks, intent.SpreadTime, 1)
 				took := treeTime(l, hosts)
-				b.ReportMetric(took.Seconds()/l.bound(hosts, benchChunks).Seconds(), "x-bound")
+				b.ReportMetric(took.Seconds()/l.lowerBound(hosts, benchChunks).Seconds(), "x-bound")
 				b.ReportMetric(1, "origin-copies")
 			}
 		})
--- a/spread/failure_test.go
+++ b/spread/failure_test.go
@@ -69,14 +69,14 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			for goal, most := range map[intent.Spread]float64{intent.SpreadOriginBytes: c.copies, intent.SpreadTime: maxTimeCopies} {
+			for goal, maxCopies := range map[intent.Spread]float64{intent.SpreadOriginBytes: c.copies, intent.SpreadTime: maxTimeCopies} {
 				l := newLinksWith(Config{Goal: goal}, failHosts, 3, failChunks, 1)
 				c.prepare(l)
 				took, ok := l.run(20 * time.Minute)
 				assert.Assert(t, ok, "transfer not complete after %s", took)
 				copies := float64(l.originChunks) / failChunks
-				t.Logf("%s: %.2f times the lower bound, %.2f copies read from the origin", goal, took.Seconds()/l.bound(failHosts, failChunks).Seconds(), copies)
-				assert.Assert(t, copies <= most, "%.2f copies read from the origin", copies)
+				t.Logf("%s: %.2f times the lower bound, %.2f copies read from the origin", goal, took.Seconds()/l.lowerBound(failHosts, failChunks).Seconds(), copies)
+				assert.Assert(t, copies <= maxCopies, "%.2f copies read from the origin", copies)
 			}
 		})
 	}
--- a/spread/links_test.go
+++ b/spread/links_test.go
@@ -376,9 +376,9 @@
 	return l.now, false
 }
 
-// bound returns the lower bound of the time in which the links can transfer the version to
+// lowerBound returns the lower bound of the time in which the links can transfer the version to
 // n hosts.
-func (l *links) bound(n, chunks int) time.Duration {
+func (l *links) lowerBound(n, chunks int) time.Duration {
 	perHost := time.Duration(chunks) * l.chunkTime
 	return max(perHost, time.Duration(chunks)*l.originTime)
 }
--- a/spread/planner_test.go
+++ b/spread/planner_test.go
@@ -310,7 +310,7 @@
 		}
 		took, ok := l.run(time.Hour)
 		assert.Assert(t, ok)
-		ratio := took.Seconds() / l.bound(20, 128).Seconds()
+		ratio := took.Seconds() / l.lowerBound(20, 128).Seconds()
 		copies := float64(l.originChunks) / 128
 		if faults {
 			assert.Assert(t, ratio < 1.6 && copies < 1.3, "%.2f times the lower bound, %.2f copies read from the origin", ratio, copies)
