--- a/agent/fetch.go
+++ b/agent/fetch.go
@@ -65,7 +65,7 @@
 	kind := intent.Origin
 	switch f.Kind {
 	case spread.FromPeer:
-		return w.chunkFromPeer(ctx, f.Peer, &peer.GetChunk{Digest: want, Manifest: t.id, Index: f.Chunk, HoldMs: f.Hold.Milliseconds()})
+		return w.chunkFromPeer(ctx, f.Peer, &peer.GetChunk{Digest: want, Manifest: t.id, Index: f.Chunk, HoldMs: f.LongPollTimeout.Milliseconds()})
 	case spread.FromStore:
 		kind = intent.Store
 	}
@@ -123,9 +123,9 @@
 		t.planner.Failed(now, f, spread.FaultCorrupt, 0)
 	case errors.As(err, &limited):
 		w.counters.limited.Inc(1)
-		t.planner.Failed(now, f, spread.FaultLimited, limited.RetryAfter)
+		t.planner.Failed(now, f, spread.FaultRateLimited, limited.RetryAfter)
 	case errors.Is(err, errComing):
-		t.planner.Failed(now, f, spread.FaultComing, 0)
+		t.planner.Failed(now, f, spread.FaultPending, 0)
 	case errors.Is(err, weightstore.ErrMissing):
 		t.planner.Failed(now, f, spread.FaultMissing, 0)
 	default:
@@ -143,7 +143,7 @@
 		w.counters.fromStore.Inc(int64(n))
 	case f.Kind == spread.FromOrigin:
 		w.counters.fromOrigin.Inc(int64(n))
-	case f.Far:
+	case f.CrossDomain:
 		w.counters.fromFar.Inc(int64(n))
 		w.counters.fromPeer.Inc(int64(n))
 	default:
--- a/mesh/catchup.go
+++ b/mesh/catchup.go
@@ -31,7 +31,7 @@
 // takes, because no watch result is to be expected then. An entry without a copy reads
 // it from its source.
 func (m *Mesh) catchUpDelay(now time.Time) time.Duration {
-	if at := m.table.ContactAt(); !at.IsZero() && now.Sub(at) > m.cfg.StaleAfter {
+	if at := m.table.ConfirmedAt(); !at.IsZero() && now.Sub(at) > m.cfg.StaleAfter {
 		return 0
 	}
 	return m.cfg.CatchUpAfter
--- a/mesh/follow.go
+++ b/mesh/follow.go
@@ -60,7 +60,7 @@
 // NewFollower returns a follower, not running, that keeps this entry's copy of the store up
 // to date, from the store or from other entries. It must be called once, before Run.
 func (m *Mesh) NewFollower(cfg mirror.Config, store mirror.Source, log logrus.FieldLogger) *mirror.Follower {
-	m.store = mirror.NewContact(store, log)
+	m.store = mirror.NewMonitoredStore(store, log)
 	return mirror.NewFollower(mirror.Options{Config: cfg, Table: m.table, Store: m.store, Route: m, Log: log,
 		Stats: mirror.NewStats(m.metrics)})
 }
@@ -79,8 +79,8 @@
 	return &peerSource{mesh: m, addr: m.role.follows}, m.sourceChanged
 }
 
-// Patience implements mirror.Route.
-func (m *Mesh) Patience() time.Duration {
+// StoreReadDelay implements mirror.Route.
+func (m *Mesh) StoreReadDelay() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.role.readDelay
--- a/mesh/follow_test.go
+++ b/mesh/follow_test.go
@@ -130,7 +130,7 @@
 				time.Sleep(5 * time.Second)
 				cut := time.Now()
 				for _, e := range all.all {
-					at, _ := e.table.Read()
+					at, _ := e.table.LastStoreRead()
 					assert.Check(t, at.Sub(e.view.lastCall()) <= watchWait, "%s reports a read later than its last call", e.addr)
 				}
 				for i, e := range all.all {
@@ -192,7 +192,7 @@
 		src := &peerSource{mesh: near.mesh, addr: far.addr}
 		b, err := src.Watch(t.Context(), "", far.table.Revision(), 200*time.Millisecond)
 		assert.NilError(t, err)
-		age := time.Since(far.table.ContactAt())
+		age := time.Since(far.table.ConfirmedAt())
 		assert.Check(t, b.Age >= age && b.Age <= age+10*time.Millisecond, "age %v, want %v", b.Age, age)
 	})
 }
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -46,7 +46,7 @@
 	metrics       metrics.Registry
 	startedAt     time.Time         // zero of the clock that is sent to others
 	sourceChanges metrics.Counter   // of the own copy
-	store         *mirror.Contact   // set by NewFollower
+	store         *mirror.MonitoredStore   // set by NewFollower
 	crashes       *quarantine.Table // crash records; nil for none
 	engines       *reportRegistry
 	isSeed        bool // other processes start discovery at this entry
@@ -131,7 +131,7 @@
 // storeContact returns the revision of the own copy, and what the calls of this process
 // show about the store.
 func (m *Mesh) storeContact(now time.Time) (int64, peer.StoreContact) {
-	at, revision := m.table.Read()
+	at, revision := m.table.LastStoreRead()
 	c := peer.StoreContact{Known: !at.IsZero(), Failing: m.failing(), ClockMs: now.Sub(m.startedAt).Milliseconds()}
 	if c.Known {
 		c.AgeMs = milliseconds(now.Sub(at))
@@ -285,7 +285,7 @@
 
 // sendLoads queues a load report on all links if one is due or the store state changed.
 func (m *Mesh) sendLoads(now time.Time, r *loadReporter, loads func() []peer.TargetLoad) {
-	storeAt, _ := m.table.Read()
+	storeAt, _ := m.table.LastStoreRead()
 	urgent := r.urgent(now, storeAt, m.failing())
 	if !urgent && !r.due(now, m.cfg.loadInterval(len(m.Entries()))) {
 		return
--- a/spread/failure_test.go
+++ b/spread/failure_test.go
@@ -11,72 +11,72 @@
 const (
 	failHosts  = 15
 	failChunks = 128
-	// maxTimeCopies is what the origin's link carries in one window.
+	// maxTimeCopies is the number of copies that the origin's link transfers in one window.
 	maxTimeCopies = 4
 )
 
-// TestSpreadThroughFailures causes failures on the fake links, alone and two
-// at once. Every live host must end with the whole version, and the origin
-// must not be read much more than once.
+// TestSpreadThroughFailures causes one or two failures on the simulated links. Every live
+// host must complete the version, and the chunks read from the origin must not exceed the
+// given number of copies.
 func TestSpreadThroughFailures(t *testing.T) {
 	at := func(l *links, d time.Duration, f func()) { l.after(d, f) }
 	cases := map[string]struct {
 		prepare func(l *links)
 		copies  float64
 	}{
-		"the only holder dies": {func(l *links) {
-			// Each host dies just after its first chunk arrived from the origin.
+		"the only host with a chunk fails": {func(l *links) {
+			// Each of the two hosts dies just after its first chunk arrived from the origin.
 			at(l, 3*time.Second, func() { l.kill(l.hosts[4]) })
 			at(l, 6*time.Second, func() { l.kill(l.hosts[9]) })
 		}, 1.3},
 		"a link stalls without closing": {func(l *links) {
 			at(l, 10*time.Second, func() { l.hosts[2].stalled = true })
 		}, 1.5},
-		"a peer lies about what it holds": {func(l *links) {
-			l.hosts[3].liar = true
+		"a peer reports chunks that it does not hold": {func(l *links) {
+			l.hosts[3].misreports = true
 			for _, h := range l.hosts {
 				if h != l.hosts[3] {
 					h.planner.PeerHolds("h003", []uint64{^uint64(0), ^uint64(0)})
 				}
 			}
 		}, 1.3},
-		"the origin is down and returns after a minute": {func(l *links) {
+		"the origin is unreachable for a minute": {func(l *links) {
 			l.originDown = func() bool { return l.now > 5*time.Second && l.now < 65*time.Second }
 		}, 1.3},
 		"the origin is slow": {func(l *links) {
-			l.origin *= 8 // all wait long in its queue, and nothing is wrong
+			l.originTime *= 8 // all fetches queue for a long time, without a fault
 		}, 1.1},
-		"a failure domain is cut off and joins": {func(l *links) {
-			l.cut = func(a, b *linkHost) bool {
+		"a failure domain is partitioned and reconnects": {func(l *links) {
+			l.partitioned = func(a, b *linkHost) bool {
 				return l.now > 10*time.Second && l.now < 70*time.Second && (a.node.Domain == "d1") != (b.node.Domain == "d1")
 			}
-		}, 2.2}, // both sides read the origin for themselves meanwhile
+		}, 2.2}, // meanwhile both sides read from the origin independently
 		"a host is paused for a minute": {func(l *links) {
-			at(l, 20*time.Second, func() { l.hosts[5].asleep = l.now + time.Minute })
+			at(l, 20*time.Second, func() { l.hosts[5].pausedUntil = l.now + time.Minute })
 		}, 1.3},
-		"a pause and a death": {func(l *links) {
-			at(l, 20*time.Second, func() { l.hosts[5].asleep = l.now + time.Minute })
+		"a pause and a host failure": {func(l *links) {
+			at(l, 20*time.Second, func() { l.hosts[5].pausedUntil = l.now + time.Minute })
 			at(l, 30*time.Second, func() { l.kill(l.hosts[8]) })
 		}, 1.4},
 		"a stall and corrupt chunks": {func(l *links) {
 			l.corruptEvery = 50
 			at(l, 10*time.Second, func() { l.hosts[2].stalled = true })
 		}, 1.6},
-		"a death while the origin is down": {func(l *links) {
+		"a host fails while the origin is unreachable": {func(l *links) {
 			l.originDown = func() bool { return l.now > 5*time.Second && l.now < 35*time.Second }
 			at(l, 15*time.Second, func() { l.kill(l.hosts[6]) })
 		}, 1.4},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			for goal, most := range map[intent.Spread]float64{intent.SpreadOriginBytes: c.copies, intent.SpreadTime: maxTimeCopies} {
+			for goal, maxCopies := range map[intent.Spread]float64{intent.SpreadOriginBytes: c.copies, intent.SpreadTime: maxTimeCopies} {
 				l := newLinksWith(Config{Goal: goal}, failHosts, 3, failChunks, 1)
 				c.prepare(l)
 				took, ok := l.run(20 * time.Minute)
-				assert.Assert(t, ok, "not done after %s", took)
+				assert.Assert(t, ok, "transfer not complete after %s", took)
 				copies := float64(l.originChunks) / failChunks
-				t.Logf("%s: %.2f times the floor, %.2f copies", goal, took.Seconds()/l.bound(failHosts, failChunks).Seconds(), copies)
-				assert.Assert(t, copies <= most, "%.2f copies", copies)
+				t.Logf("%s: %.2f times the lower bound, %.2f copies read from the origin", goal, took.Seconds()/l.lowerBound(failHosts, failChunks).Seconds(), copies)
+				assert.Assert(t, copies <= maxCopies, "%.2f copies read from the origin", copies)
 			}
 		})
 	}
