--- a/intent/decode.go
+++ b/intent/decode.go
@@ -11,8 +11,8 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Fault is one thing wrong with a fleet file.
-type Fault struct {
+// ValidationError is one thing wrong with a fleet file.
+type ValidationError struct {
 	File  string
 	Line  int
 	Field string
@@ -20,12 +20,12 @@
 }
 
 // Error returns "file:line: field: text".
-func (f Fault) Error() string {
+func (f ValidationError) Error() string {
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Field, f.Text)
 }
 
 // Faults is every fault found in a file, in the order of the lines.
-type Faults []Fault
+type Faults []ValidationError
 
 // Error returns one line for each fault.
 func (f Faults) Error() string {
@@ -43,7 +43,7 @@
 }
 
 func (d *decoder) fault(line int, field, format string, args ...any) {
-	d.faults = append(d.faults, Fault{File: d.file, Line: line, Field: field, Text: fmt.Sprintf(format, args...)})
+	d.faults = append(d.faults, ValidationError{File: d.file, Line: line, Field: field, Text: fmt.Sprintf(format, args...)})
 }
 
 // object is a mapping whose fields have been checked against a list.
--- a/intent/parse.go
+++ b/intent/parse.go
@@ -47,7 +47,7 @@
 	}
 	f := d.fleet(root)
 	if len(d.faults) > 0 {
-		slices.SortStableFunc(d.faults, func(a, b Fault) int { return cmp.Compare(a.Line, b.Line) })
+		slices.SortStableFunc(d.faults, func(a, b ValidationError) int { return cmp.Compare(a.Line, b.Line) })
 		return nil, d.faults
 	}
 	f.index()
