--- a/intent/decode.go
+++ b/intent/decode.go
@@ -24,11 +24,11 @@
 	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Field, f.Text)
 }
 
-// Faults is every fault found in a file, in the order of the lines.
-type Faults []ValidationError
+// ValidationErrors is every fault found in a file, in the order of the lines.
+type ValidationErrors []ValidationError
 
 // Error returns one line for each fault.
-func (f Faults) Error() string {
+func (f ValidationErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, x := range f {
 		lines[i] = x.Error()
@@ -39,7 +39,7 @@
 // decoder walks a YAML tree and collects faults in place of stopping.
 type decoder struct {
 	file   string
-	faults Faults
+	faults ValidationErrors
 }
 
 func (d *decoder) fault(line int, field, format string, args ...any) {
--- a/intent/parse_test.go
+++ b/intent/parse_test.go
@@ -81,7 +81,7 @@
 func TestParseListsAllFaults(t *testing.T) {
 	file := strings.NewReplacer("weight: 4", "weight: 0", "kind: plain", "kind: simple", "fleet: wallet", "fleet: ' '").Replace(goodFile)
 	_, err := Parse("f", []byte(file))
-	assert.Equal(t, len(err.(Faults)), 3, "%s", err)
+	assert.Equal(t, len(err.(ValidationErrors)), 3, "%s", err)
 }
 
 func TestDiff(t *testing.T) {
@@ -152,7 +152,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		fleet, err := Parse("f", b)
 		if err != nil {
-			assert.Assert(t, len(err.(Faults)) > 0)
+			assert.Assert(t, len(err.(ValidationErrors)) > 0)
 			return
 		}
 		for i := range fleet.Services {
