--- a/control/node_test.go
+++ b/control/node_test.go
@@ -113,7 +113,7 @@
 // A process that skipped revisions takes its knowledge of earlier homes for
 // incomplete until a peer fills the gap.
 func TestSkippedRevisionShortensHistory(t *testing.T) {
-	n := &Node{cfg: Config{}.applyDefaults(), fold: intent.NewFold(time.Minute), asked: map[string]bool{}}
+	n := &Node{cfg: Config{}.applyDefaults(), fold: intent.NewTracker(time.Minute), asked: map[string]bool{}}
 	start := time.Unix(1_800_000_000, 0)
 	n.extendHistory(start, 0, 5)
 	n.extendHistory(start.Add(time.Second), 5, 6)
--- a/intent/fold.go
+++ b/intent/fold.go
@@ -56,8 +56,8 @@
 	keep       time.Duration
 }
 
-// NewFold returns a Fold that remembers earlier accepted revisions for keep.
-func NewFold(keep time.Duration) *Fold {
+// NewTracker returns a Fold that remembers earlier accepted revisions for keep.
+func NewTracker(keep time.Duration) *Fold {
 	return &Fold{parts: map[digest.Digest][]byte{}, keep: keep}
 }
 
--- a/intent/oracle_test.go
+++ b/intent/oracle_test.go
@@ -46,7 +46,7 @@
 		var pubs []published
 		nodes := make([]*foldNode, 3)
 		for i := range nodes {
-			nodes[i] = &foldNode{fold: NewFold(time.Minute), offered: map[Ref]bool{}, seen: map[string]bool{}}
+			nodes[i] = &foldNode{fold: NewTracker(time.Minute), offered: map[Ref]bool{}, seen: map[string]bool{}}
 		}
 		// The platform may be down, or show an older head, to a part of the fleet;
 		// the fleet may be cut in two.
@@ -125,7 +125,7 @@
 			},
 			"restart": func(t *rapid.T) {
 				n := nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "node")]
-				*n = foldNode{fold: NewFold(time.Minute), offered: map[Ref]bool{}, seen: map[string]bool{}}
+				*n = foldNode{fold: NewTracker(time.Minute), offered: map[Ref]bool{}, seen: map[string]bool{}}
 			},
 			"time": func(*rapid.T) { now = now.Add(20 * time.Second) },
 			"cut":  func(*rapid.T) { cut = !cut },
@@ -194,7 +194,7 @@
 }
 
 func TestFoldBoundsWhatItKeeps(t *testing.T) {
-	f := NewFold(time.Minute)
+	f := NewTracker(time.Minute)
 	now := time.Unix(0, 0)
 	for i := range 40 {
 		file := append(largeFile(500), fmt.Sprintf("# %d\n", i)...)
@@ -212,7 +212,7 @@
 
 // Heads that never become whole must not keep a lower valid one out.
 func TestFoldValidBehindBrokenHeads(t *testing.T) {
-	f := NewFold(time.Minute)
+	f := NewTracker(time.Minute)
 	now := time.Unix(0, 0)
 	for i := range 2 * maxCandidates {
 		h, _ := Pack(uint64(100+i), fmt.Appendf(largeFile(10), "# %d\n", i))
--- a/intent/replay_test.go
+++ b/intent/replay_test.go
@@ -38,7 +38,7 @@
 
 func (p *tracePlayer) fold(name string) *Fold {
 	if p.folds[name] == nil {
-		p.folds[name] = NewFold(time.Minute)
+		p.folds[name] = NewTracker(time.Minute)
 	}
 	return p.folds[name]
 }
