--- a/control/node.go
+++ b/control/node.go
@@ -70,7 +70,7 @@
 	ctx context.Context // of Run; set before the loop starts
 
 	// The fields below are owned by the loop.
-	fold         *intent.Fold
+	fold         *intent.Tracker
 	view         *membership.View
 	rng          *rand.Rand
 	hostsRaw     []byte
--- a/intent/fold.go
+++ b/intent/fold.go
@@ -44,10 +44,10 @@
 	head Head
 }
 
-// Fold accepts revisions in order. It only ever moves to a higher Ref, and
+// Tracker accepts revisions in order. It only ever moves to a higher Ref, and
 // only to one whose every part matches and whose file is valid. It is owned
 // by one goroutine.
-type Fold struct {
+type Tracker struct {
 	accepted   *Accepted
 	candidates []candidate // ascending by Ref, all above accepted
 	rejected   []Rejection // oldest first
@@ -57,15 +57,15 @@
 }
 
 // NewTracker returns a Fold that remembers earlier accepted revisions for keep.
-func NewTracker(keep time.Duration) *Fold {
-	return &Fold{parts: map[digest.Digest][]byte{}, keep: keep}
+func NewTracker(keep time.Duration) *Tracker {
+	return &Tracker{parts: map[digest.Digest][]byte{}, keep: keep}
 }
 
 // Accepted returns the revision in force, or nil.
-func (f *Fold) Accepted() *Accepted { return f.accepted }
+func (f *Tracker) Accepted() *Accepted { return f.accepted }
 
 // Ref returns the identity of the revision in force, or the zero Ref.
-func (f *Fold) Ref() Ref {
+func (f *Tracker) Ref() Ref {
 	if f.accepted == nil {
 		return Ref{}
 	}
@@ -73,7 +73,7 @@
 }
 
 // Pending returns the highest head that waits for parts, or nil.
-func (f *Fold) Pending() *Head {
+func (f *Tracker) Pending() *Head {
 	if len(f.candidates) == 0 {
 		return nil
 	}
@@ -81,7 +81,7 @@
 }
 
 // LastRejection returns the highest revision rejected above the accepted one.
-func (f *Fold) LastRejection() *Rejection {
+func (f *Tracker) LastRejection() *Rejection {
 	var top *Rejection
 	for i := range f.rejected {
 		r := &f.rejected[i]
@@ -94,10 +94,10 @@
 
 // History returns the revisions accepted before the one in force and replaced
 // less than the keep time ago, oldest first.
-func (f *Fold) History() []Accepted { return slices.Clone(f.history) }
+func (f *Tracker) History() []Accepted { return slices.Clone(f.history) }
 
 // OfferHead takes note of a published head.
-func (f *Fold) OfferHead(now time.Time, h Head) (HeadVerdict, error) {
+func (f *Tracker) OfferHead(now time.Time, h Head) (HeadVerdict, error) {
 	ref := h.Ref()
 	switch {
 	case ref == f.Ref() && f.accepted != nil:
@@ -118,7 +118,7 @@
 
 // OfferPart adds a part that some candidate misses; others are ignored. It
 // reports whether the part was wanted.
-func (f *Fold) OfferPart(now time.Time, b []byte) bool {
+func (f *Tracker) OfferPart(now time.Time, b []byte) bool {
 	d := digest.Of(b)
 	if !slices.Contains(f.Missing(), d) {
 		return false
@@ -129,7 +129,7 @@
 }
 
 // Missing returns the parts that candidates wait for, highest revision first.
-func (f *Fold) Missing() []digest.Digest {
+func (f *Tracker) Missing() []digest.Digest {
 	var out []digest.Digest
 	seen := map[digest.Digest]bool{}
 	for i := len(f.candidates) - 1; i >= 0; i-- {
@@ -144,9 +144,9 @@
 }
 
 // Part returns a part held for the accepted or a pending revision, or nil.
-func (f *Fold) Part(d digest.Digest) []byte { return f.parts[d] }
+func (f *Tracker) Part(d digest.Digest) []byte { return f.parts[d] }
 
-func (f *Fold) addCandidate(h Head) {
+func (f *Tracker) addCandidate(h Head) {
 	for _, c := range f.candidates {
 		if c.head.Ref() == h.Ref() {
 			return
@@ -164,7 +164,7 @@
 // dropLowest forgets the lowest candidate but the newcomer, whose parts are
 // about to be offered: heads that never become whole must not keep a valid
 // one out.
-func (f *Fold) dropLowest(newcomer Ref) {
+func (f *Tracker) dropLowest(newcomer Ref) {
 	at := 0
 	if f.candidates[0].head.Ref() == newcomer {
 		at = 1
@@ -175,7 +175,7 @@
 
 // settle activates the highest whole and valid candidate and returns the
 // verdict on ref.
-func (f *Fold) settle(now time.Time, ref Ref) (HeadVerdict, error) {
+func (f *Tracker) settle(now time.Time, ref Ref) (HeadVerdict, error) {
 	for i := len(f.candidates) - 1; i >= 0; i-- {
 		h := f.candidates[i].head
 		b, whole := f.assemble(h)
@@ -201,7 +201,7 @@
 	return HeadPending, nil
 }
 
-func (f *Fold) assemble(h Head) ([]byte, bool) {
+func (f *Tracker) assemble(h Head) ([]byte, bool) {
 	b := make([]byte, 0, h.Size)
 	for _, p := range h.Parts {
 		part, ok := f.parts[p.Digest]
@@ -234,7 +234,7 @@
 	return fleet, nil
 }
 
-func (f *Fold) accept(now time.Time, h Head, fleet *Fleet) {
+func (f *Tracker) accept(now time.Time, h Head, fleet *Fleet) {
 	if f.accepted != nil {
 		old := *f.accepted
 		old.At = now // the time it was replaced
@@ -249,20 +249,20 @@
 
 // Expire forgets earlier revisions that were replaced longer than the keep
 // time ago.
-func (f *Fold) Expire(now time.Time) {
+func (f *Tracker) Expire(now time.Time) {
 	f.history = slices.DeleteFunc(f.history, func(a Accepted) bool {
 		return now.Sub(a.At) > f.keep
 	})
 }
 
-func (f *Fold) reject(ref Ref, err error) {
+func (f *Tracker) reject(ref Ref, err error) {
 	f.rejected = append(f.rejected, Rejection{Ref: ref, Err: err})
 	if len(f.rejected) > maxRejected {
 		f.rejected = f.rejected[1:]
 	}
 }
 
-func (f *Fold) rejection(ref Ref) *Rejection {
+func (f *Tracker) rejection(ref Ref) *Rejection {
 	for i := range f.rejected {
 		if f.rejected[i].Ref == ref {
 			return &f.rejected[i]
@@ -273,7 +273,7 @@
 
 // RejectedBetween reports whether every revision number between two, both
 // excluded, was seen and rejected, so that no process had it in force.
-func (f *Fold) RejectedBetween(lo, hi uint64) bool {
+func (f *Tracker) RejectedBetween(lo, hi uint64) bool {
 	if hi-lo > maxRejected {
 		return false
 	}
@@ -286,7 +286,7 @@
 }
 
 // prune drops parts that neither the accepted nor a pending head names.
-func (f *Fold) prune() {
+func (f *Tracker) prune() {
 	wanted := map[digest.Digest]bool{}
 	mark := func(h Head) {
 		for _, p := range h.Parts {
--- a/intent/oracle_test.go
+++ b/intent/oracle_test.go
@@ -19,7 +19,7 @@
 // foldNode is one process: it learns heads and parts in any order, from the
 // platform or from a peer.
 type foldNode struct {
-	fold    *Fold
+	fold    *Tracker
 	highest Ref // oracle: highest valid revision that was whole here
 	offered map[Ref]bool
 	seen    map[string]bool // digests of parts offered after their head
--- a/intent/replay_test.go
+++ b/intent/replay_test.go
@@ -33,10 +33,10 @@
 	t     *testing.T
 	pubs  map[uint64]published
 	parts map[uint64][][]byte // as served
-	folds map[string]*Fold
+	folds map[string]*Tracker
 }
 
-func (p *tracePlayer) fold(name string) *Fold {
+func (p *tracePlayer) fold(name string) *Tracker {
 	if p.folds[name] == nil {
 		p.folds[name] = NewTracker(time.Minute)
 	}
@@ -98,7 +98,7 @@
 // TestReplayTraces plays every recorded trace against its stated revisions.
 func TestReplayTraces(t *testing.T) {
 	trace.Replay(t, "testdata/replay/*.jsonl", 6, func(t *testing.T) func(traceEvent) {
-		p := &tracePlayer{t: t, pubs: map[uint64]published{}, parts: map[uint64][][]byte{}, folds: map[string]*Fold{}}
+		p := &tracePlayer{t: t, pubs: map[uint64]published{}, parts: map[uint64][][]byte{}, folds: map[string]*Tracker{}}
 		return p.play
 	})
 }
