--- a/intent/decode.go
+++ b/intent/decode.go
@@ -11,7 +11,7 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// ValidationError is one thing wrong with a fleet file.
+// ValidationError is one invalid field of a fleet file.
 type ValidationError struct {
 	File  string
 	Line  int
@@ -20,33 +20,33 @@
 }
 
 // Error returns "file:line: field: text".
-func (f ValidationError) Error() string {
-	return fmt.Sprintf("%s:%d: %s: %s", f.File, f.Line, f.Field, f.Text)
+func (e ValidationError) Error() string {
+	return fmt.Sprintf("%s:%d: %s: %s", e.File, e.Line, e.Field, e.Text)
 }
 
-// ValidationErrors is every fault found in a file, in the order of the lines.
+// ValidationErrors lists every error found in a file, ordered by line.
 type ValidationErrors []ValidationError
 
-// Error returns one line for each fault.
-func (f ValidationErrors) Error() string {
-	lines := make([]string, len(f))
-	for i, x := range f {
+// Error returns one line for each error.
+func (e ValidationErrors) Error() string {
+	lines := make([]string, len(e))
+	for i, x := range e {
 		lines[i] = x.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
-// decoder walks a YAML tree and collects faults in place of stopping.
+// decoder walks a YAML tree and collects all errors instead of stopping at the first.
 type decoder struct {
-	file   string
-	faults ValidationErrors
+	file string
+	errs ValidationErrors
 }
 
-func (d *decoder) fault(line int, field, format string, args ...any) {
-	d.faults = append(d.faults, ValidationError{File: d.file, Line: line, Field: field, Text: fmt.Sprintf(format, args...)})
+func (d *decoder) errorf(line int, field, format string, args ...any) {
+	d.errs = append(d.errs, ValidationError{File: d.file, Line: line, Field: field, Text: fmt.Sprintf(format, args...)})
 }
 
-// object is a mapping whose fields have been checked against a list.
+// object is a mapping whose field names have been checked against the allowed ones.
 type object struct {
 	d      *decoder
 	path   string
@@ -57,16 +57,16 @@
 func (d *decoder) object(n *yaml.Node, path string, allowed ...string) *object {
 	o := &object{d: d, path: path, line: n.Line, fields: map[string]*yaml.Node{}}
 	if n.Kind != yaml.MappingNode {
-		d.fault(n.Line, path, "want a mapping with %s", strings.Join(allowed, ", "))
+		d.errorf(n.Line, path, "want a mapping with %s", strings.Join(allowed, ", "))
 		return o
 	}
 	for i := 0; i+1 < len(n.Content); i += 2 {
 		k, v := n.Content[i], n.Content[i+1]
 		switch {
 		case !slices.Contains(allowed, k.Value):
-			d.fault(k.Line, o.name(k.Value), "unknown field; allowed: %s", strings.Join(allowed, ", "))
+			d.errorf(k.Line, o.fieldPath(k.Value), "unknown field; allowed: %s", strings.Join(allowed, ", "))
 		case o.fields[k.Value] != nil:
-			d.fault(k.Line, o.name(k.Value), "field given twice, first in line %d", o.fields[k.Value].Line)
+			d.errorf(k.Line, o.fieldPath(k.Value), "field given twice, first in line %d", o.fields[k.Value].Line)
 		default:
 			o.fields[k.Value] = v
 		}
@@ -74,7 +74,7 @@
 	return o
 }
 
-func (o *object) name(field string) string {
+func (o *object) fieldPath(field string) string {
 	if o.path == "" {
 		return field
 	}
@@ -89,20 +89,20 @@
 	return o.line
 }
 
-func (o *object) fault(field, format string, args ...any) {
-	o.d.fault(o.lineOf(field), o.name(field), format, args...)
+func (o *object) errorf(field, format string, args ...any) {
+	o.d.errorf(o.lineOf(field), o.fieldPath(field), format, args...)
 }
 
 func (o *object) has(field string) bool { return o.fields[field] != nil }
 
-// scalar returns the text of a scalar field with one of the given tags.
+// scalar returns the text of a scalar field that has one of the given YAML tags.
 func (o *object) scalar(field, want string, tags ...string) (string, bool) {
 	n := o.fields[field]
 	if n == nil {
 		return "", false
 	}
 	if n.Kind != yaml.ScalarNode || !slices.Contains(tags, n.Tag) {
-		o.fault(field, "want %s", want)
+		o.errorf(field, "want %s", want)
 		return "", false
 	}
 	return n.Value, true
@@ -114,24 +114,24 @@
 		return v
 	}
 	if required && (ok || !o.has(field)) {
-		o.fault(field, "missing; want a text")
+		o.errorf(field, "missing; want a text")
 	}
 	return ""
 }
 
-// nameOf reads a name: 1 to 63 letters, digits, '-', '_' or '.'.
-func (o *object) nameOf(field string) string {
+// nameField reads a name: 1 to 63 letters, digits, '-', '_' or '.'.
+func (o *object) nameField(field string) string {
 	v := o.str(field, true)
 	if v != "" && !validName(v) {
-		o.fault(field, "%q: want 1 to %d letters, digits, '-', '_' or '.'", v, maxName)
+		o.errorf(field, "%q: want 1 to %d letters, digits, '-', '_' or '.'", v, maxNameLength)
 	}
 	return v
 }
 
-const maxName = 63
+const maxNameLength = 63
 
 func validName(s string) bool {
-	if len(s) == 0 || len(s) > maxName {
+	if len(s) == 0 || len(s) > maxNameLength {
 		return false
 	}
 	return !strings.ContainsFunc(s, func(r rune) bool {
@@ -146,7 +146,7 @@
 	}
 	n, err := strconv.Atoi(v)
 	if err != nil || n < lo || n > hi {
-		o.fault(field, "%s: want a whole number from %d to %d", v, lo, hi)
+		o.errorf(field, "%s: want a whole number from %d to %d", v, lo, hi)
 		return def
 	}
 	return n
@@ -167,14 +167,14 @@
 	}
 	t, err := time.ParseDuration(v)
 	if err != nil || t < lo || t > hi {
-		o.fault(field, "%q: want a duration from %s to %s", v, lo, hi)
+		o.errorf(field, "%q: want a duration from %s to %s", v, lo, hi)
 		return def
 	}
 	return t
 }
 
-// enum reads one of the allowed texts; def is used if the field is absent and
-// def is not empty.
+// enum reads one of the allowed values. If the field is absent it returns def;
+// an empty def makes the field required.
 func enum[T ~string](o *object, field string, def T, allowed ...T) T {
 	names := make([]string, len(allowed))
 	for i, a := range allowed {
@@ -186,9 +186,9 @@
 	case ok && slices.Contains(allowed, T(v)):
 		return T(v)
 	case ok:
-		o.fault(field, "%q: want %s", v, want)
+		o.errorf(field, "%q: want %s", v, want)
 	case def == "" && !o.has(field):
-		o.fault(field, "missing; want %s", want)
+		o.errorf(field, "missing; want %s", want)
 	}
 	return def
 }
@@ -200,30 +200,30 @@
 	}
 	d, err := digest.Parse(v)
 	if err != nil {
-		o.fault(field, "%q: want blake3: and 64 hexadecimal digits", v)
+		o.errorf(field, "%q: want blake3: and 64 hexadecimal digits", v)
 	}
 	return d
 }
 
-// list returns the elements of a sequence field with their paths.
+// list returns the elements of a sequence field, each with its field path.
 func (o *object) list(field string, required bool) []element {
 	n := o.fields[field]
 	if n == nil {
 		if required {
-			o.fault(field, "missing; want a list")
+			o.errorf(field, "missing; want a list")
 		}
 		return nil
 	}
 	if n.Kind != yaml.SequenceNode {
-		o.fault(field, "want a list")
+		o.errorf(field, "want a list")
 		return nil
 	}
 	if required && len(n.Content) == 0 {
-		o.fault(field, "want at least one element")
+		o.errorf(field, "want at least one element")
 	}
 	out := make([]element, len(n.Content))
 	for i, c := range n.Content {
-		out[i] = element{node: c, path: fmt.Sprintf("%s[%d]", o.name(field), i)}
+		out[i] = element{node: c, path: fmt.Sprintf("%s[%d]", o.fieldPath(field), i)}
 	}
 	return out
 }
--- a/intent/diff.go
+++ b/intent/diff.go
@@ -34,7 +34,7 @@
 	return out
 }
 
-// diffNamed compares two lists whose elements have names, element by element.
+// diffNamed compares two lists whose elements are identified by name.
 func diffNamed[T any](out *[]Change, field string, before, after []T, name func(T) string) {
 	a, b := byName(before, name), byName(after, name)
 	for _, n := range names(a, b) {
@@ -50,10 +50,10 @@
 	a, b := byName(before.Services, name), byName(after.Services, name)
 	for _, n := range names(a, b) {
 		field := fmt.Sprintf("services[%s]", n)
-		old, hadOld := a[n]
-		new, hasNew := b[n]
-		if !hadOld || !hasNew {
-			*out = append(*out, Change{field, presence(hadOld), presence(hasNew)})
+		old, inOld := a[n]
+		new, inNew := b[n]
+		if !inOld || !inNew {
+			*out = append(*out, Change{field, presence(inOld), presence(inNew)})
 			continue
 		}
 		diffService(out, field, old, new)
--- a/intent/fleet.go
+++ b/intent/fleet.go
@@ -1,7 +1,7 @@
-// Package intent holds the operators' fleet file: its types, its strict
+// Package intent defines the operators' fleet file: its types, its strict
 // parser, and the rules by which a process accepts published revisions. It
-// has no I/O and no goroutines; every process comes to the same verdict from
-// the same bytes.
+// does no I/O and starts no goroutines. Validation depends only on the
+// published bytes, so all processes accept or reject the same revisions.
 package intent
 
 import (
@@ -12,10 +12,10 @@
 )
 
 // Format is the newest fleet file format that this release accepts. It is
-// raised only when a file could be accepted by one release and not by another.
+// incremented only when one release could accept a file that another rejects.
 const Format = 1
 
-// Kind is the kind of targets behind a service.
+// Kind is the kind of targets that a service runs on.
 type Kind string
 
 // Kinds of service.
@@ -24,7 +24,7 @@
 	Plain  Kind = "plain"  // ordinary HTTP services
 )
 
-// Role is what an engine does with requests.
+// Role is the phase of inference that an engine performs.
 type Role string
 
 // Roles of an engine.
@@ -34,23 +34,25 @@
 	Decode  Role = "decode"
 )
 
-// Spread is the goal of a weight transfer.
+// Spread is what a weight transfer optimizes for.
 type Spread string
 
 // Goals of a weight transfer.
 const (
-	// SpreadTime reads from the origin until the host's link is busy.
+	// SpreadTime minimizes the transfer time: it reads from the origin until the
+	// host's link is saturated.
 	SpreadTime Spread = "time"
-	// SpreadOriginBytes reads each chunk from the origin about once.
+	// SpreadOriginBytes minimizes the bytes read from the origin: each chunk is
+	// read from it about once.
 	SpreadOriginBytes Spread = "origin-bytes"
 )
 
-// SourceKind tells a weight store from an origin.
+// SourceKind distinguishes weight stores from origins.
 type SourceKind string
 
 // Kinds of weight source.
 const (
-	Store  SourceKind = "store"  // rate-limited, asked first
+	Store  SourceKind = "store"  // rate-limited, tried first
 	Origin SourceKind = "origin" // has every version
 )
 
@@ -67,7 +69,7 @@
 	byHost    map[string]*Service
 }
 
-// Source is where weights can be read.
+// Source is a server from which weights can be read.
 type Source struct {
 	Name string
 	Kind SourceKind
@@ -79,15 +81,16 @@
 	Name string
 	// Weight is the team's share relative to the other teams.
 	Weight int
-	// Concurrency bounds the team's running requests on one target; 0 is none.
+	// Concurrency limits the team's running requests on one target; 0 is no limit.
 	Concurrency int
-	// Rate bounds the team's requests a second on one target; 0 is none.
+	// Rate limits the team's requests per second on one target; 0 is no limit.
 	Rate int
-	// Priority is added to the urgency of RFC 9218; a lower sum goes first.
+	// Priority is added to the request's urgency (RFC 9218); requests with a
+	// lower sum are served first.
 	Priority int
 }
 
-// Service is a set of targets that answer the same requests.
+// Service is a set of targets that serve the same requests.
 type Service struct {
 	Name     string
 	Kind     Kind
@@ -96,35 +99,38 @@
 	Model    Version
 	Adapters []Version
 	Spread   Spread
-	// MaxUnavailable bounds the engines that are out for a switch at once.
+	// MaxUnavailable limits how many engines may be unavailable at once while
+	// they switch versions.
 	MaxUnavailable int
-	// AffinityBytes is how much of the start of a request body names a
-	// conversation, whose requests then go to one engine; 0 is no affinity.
+	// AffinityBytes is the length of the request body prefix that identifies a
+	// conversation, whose requests are routed to one engine; 0 disables affinity.
 	AffinityBytes int
-	// Fenced is true if the engines refuse orders with an old fencing number.
+	// Fenced is true if the engines reject orders that carry an outdated fencing
+	// token.
 	Fenced bool
 	Limits Limits
 }
 
-// HostRef names one host of a service.
+// HostRef identifies a host of a service.
 type HostRef struct {
 	Name   string
 	Domain string
 }
 
-// Version names a model or adapter version by its manifest.
+// Version identifies a version of a model or adapter by its manifest.
 type Version struct {
 	Name     string
 	Manifest digest.Digest
 }
 
-// Limits bound the work of one target.
+// Limits are the admission limits of one target.
 type Limits struct {
-	// Concurrency is how many requests a target runs at once.
+	// Concurrency is the maximum number of requests that a target runs at once.
 	Concurrency int
-	// Queue is how many requests may wait at a target.
+	// Queue is the maximum number of requests that wait at a target.
 	Queue int
-	// Timeout bounds a request from its arrival at the entry.
+	// Timeout limits the duration of a request, measured from its arrival at the
+	// entry.
 	Timeout time.Duration
 }
 
@@ -137,8 +143,8 @@
 // ServiceOf returns the service of the named host, or nil.
 func (f *Fleet) ServiceOf(host string) *Service { return f.byHost[host] }
 
-// Versions returns the versions that an engine of the service must hold, the
-// model first.
+// Versions returns the versions that an engine of the service must have loaded,
+// the model first.
 func (s *Service) Versions() []Version {
 	if s.Kind != Engine {
 		return nil
--- a/intent/fold.go
+++ b/intent/fold.go
@@ -9,26 +9,26 @@
 	"github.com/springgate/springgate/digest"
 )
 
-// Bounds of what a Fold remembers.
+// Limits on the state of a Tracker.
 const (
 	maxCandidates = 8
 	maxRejected   = 64
 )
 
-// Accepted is a revision that was whole and valid when it was accepted.
+// Accepted is a complete and valid revision that this process has accepted.
 type Accepted struct {
 	Head  Head
 	Fleet *Fleet
-	At    time.Time // when this process accepted it
+	At    time.Time // when it was accepted, or replaced if returned by History
 }
 
-// Rejection tells why a revision is refused.
+// Rejection records why a revision was rejected.
 type Rejection struct {
 	Ref Ref
 	Err error
 }
 
-// HeadVerdict is the result of offering a head.
+// HeadVerdict is the result of OfferHead.
 type HeadVerdict uint8
 
 // Verdicts on a head.
@@ -36,105 +36,108 @@
 	HeadStale    HeadVerdict = iota + 1 // not above the accepted revision
 	HeadCurrent                         // the accepted revision itself
 	HeadPending                         // parts are missing
-	HeadAccepted                        // now in force
-	HeadRejected                        // whole, but not valid
+	HeadAccepted                        // now the revision in force
+	HeadRejected                        // malformed, or complete but invalid
 )
 
 type candidate struct {
 	head Head
 }
 
-// Tracker accepts revisions in order. It only ever moves to a higher Ref, and
-// only to one whose every part matches and whose file is valid. It is owned
-// by one goroutine.
+// Tracker decides which published revision is in force. It only moves to a
+// higher Ref, and only once every part is present, the digests match and the
+// file is valid. It is not safe for concurrent use.
 type Tracker struct {
 	accepted   *Accepted
 	candidates []candidate // ascending by Ref, all above accepted
 	rejected   []Rejection // oldest first
 	parts      map[digest.Digest][]byte
-	history    []Accepted // accepted before, oldest first
-	keep       time.Duration
+	history    []Accepted // accepted earlier and since replaced, oldest first
+	retention  time.Duration
 }
 
-// NewTracker returns a Fold that remembers earlier accepted revisions for keep.
-func NewTracker(keep time.Duration) *Tracker {
-	return &Tracker{parts: map[digest.Digest][]byte{}, keep: keep}
+// NewTracker returns a Tracker that retains replaced revisions for the given
+// time.
+func NewTracker(retention time.Duration) *Tracker {
+	return &Tracker{parts: map[digest.Digest][]byte{}, retention: retention}
 }
 
 // Accepted returns the revision in force, or nil.
-func (f *Tracker) Accepted() *Accepted { return f.accepted }
+func (t *Tracker) Accepted() *Accepted { return t.accepted }
 
 // Ref returns the identity of the revision in force, or the zero Ref.
-func (f *Tracker) Ref() Ref {
-	if f.accepted == nil {
+func (t *Tracker) Ref() Ref {
+	if t.accepted == nil {
 		return Ref{}
 	}
-	return f.accepted.Head.Ref()
+	return t.accepted.Head.Ref()
 }
 
-// Pending returns the highest head that waits for parts, or nil.
-func (f *Tracker) Pending() *Head {
-	if len(f.candidates) == 0 {
+// Pending returns the highest head with missing parts, or nil.
+func (t *Tracker) Pending() *Head {
+	if len(t.candidates) == 0 {
 		return nil
 	}
-	return &f.candidates[len(f.candidates)-1].head
+	return &t.candidates[len(t.candidates)-1].head
 }
 
-// LastRejection returns the highest revision rejected above the accepted one.
-func (f *Tracker) LastRejection() *Rejection {
+// LastRejection returns the highest rejected revision above the one in force,
+// or nil.
+func (t *Tracker) LastRejection() *Rejection {
 	var top *Rejection
-	for i := range f.rejected {
-		r := &f.rejected[i]
-		if f.Ref().Less(r.Ref) && (top == nil || top.Ref.Less(r.Ref)) {
+	for i := range t.rejected {
+		r := &t.rejected[i]
+		if t.Ref().Less(r.Ref) && (top == nil || top.Ref.Less(r.Ref)) {
 			top = r
 		}
 	}
 	return top
 }
 
-// History returns the revisions accepted before the one in force and replaced
-// less than the keep time ago, oldest first.
-func (f *Tracker) History() []Accepted { return slices.Clone(f.history) }
+// History returns the revisions that were in force earlier and were replaced
+// within the retention period, oldest first.
+func (t *Tracker) History() []Accepted { return slices.Clone(t.history) }
 
-// OfferHead takes note of a published head.
-func (f *Tracker) OfferHead(now time.Time, h Head) (HeadVerdict, error) {
+// OfferHead processes a published head.
+func (t *Tracker) OfferHead(now time.Time, h Head) (HeadVerdict, error) {
 	ref := h.Ref()
 	switch {
-	case ref == f.Ref() && f.accepted != nil:
+	case ref == t.Ref() && t.accepted != nil:
 		return HeadCurrent, nil
-	case f.accepted != nil && !f.Ref().Less(ref):
+	case t.accepted != nil && !t.Ref().Less(ref):
 		return HeadStale, nil
 	}
-	if r := f.rejection(ref); r != nil {
+	if r := t.rejection(ref); r != nil {
 		return HeadRejected, r.Err
 	}
 	if err := h.check(); err != nil {
-		f.reject(ref, err)
+		t.reject(ref, err)
 		return HeadRejected, err
 	}
-	f.addCandidate(h)
-	return f.settle(now, ref)
+	t.addCandidate(h)
+	return t.evaluate(now, ref)
 }
 
-// OfferPart adds a part that some candidate misses; others are ignored. It
-// reports whether the part was wanted.
-func (f *Tracker) OfferPart(now time.Time, b []byte) bool {
+// OfferPart stores a part that a candidate is missing and ignores any other. It
+// reports whether the part was stored.
+func (t *Tracker) OfferPart(now time.Time, b []byte) bool {
 	d := digest.Of(b)
-	if !slices.Contains(f.Missing(), d) {
+	if !slices.Contains(t.Missing(), d) {
 		return false
 	}
-	f.parts[d] = b
-	_, _ = f.settle(now, Ref{})
+	t.parts[d] = b
+	_, _ = t.evaluate(now, Ref{})
 	return true
 }
 
-// Missing returns the parts that candidates wait for, highest revision first.
-func (f *Tracker) Missing() []digest.Digest {
+// Missing returns the digests of the parts that candidates are missing, highest
+// revision first.
+func (t *Tracker) Missing() []digest.Digest {
 	var out []digest.Digest
 	seen := map[digest.Digest]bool{}
-	for i := len(f.candidates) - 1; i >= 0; i-- {
-		for _, p := range f.candidates[i].head.Parts {
-			if f.parts[p.Digest] == nil && !seen[p.Digest] {
+	for i := len(t.candidates) - 1; i >= 0; i-- {
+		for _, p := range t.candidates[i].head.Parts {
+			if t.parts[p.Digest] == nil && !seen[p.Digest] {
 				seen[p.Digest] = true
 				out = append(out, p.Digest)
 			}
@@ -143,68 +146,68 @@
 	return out
 }
 
-// Part returns a part held for the accepted or a pending revision, or nil.
-func (f *Tracker) Part(d digest.Digest) []byte { return f.parts[d] }
+// Part returns a stored part of the accepted or a pending revision, or nil.
+func (t *Tracker) Part(d digest.Digest) []byte { return t.parts[d] }
 
-func (f *Tracker) addCandidate(h Head) {
-	for _, c := range f.candidates {
+func (t *Tracker) addCandidate(h Head) {
+	for _, c := range t.candidates {
 		if c.head.Ref() == h.Ref() {
 			return
 		}
 	}
-	f.candidates = append(f.candidates, candidate{head: h})
-	sort.Slice(f.candidates, func(i, j int) bool {
-		return f.candidates[i].head.Ref().Less(f.candidates[j].head.Ref())
+	t.candidates = append(t.candidates, candidate{head: h})
+	sort.Slice(t.candidates, func(i, j int) bool {
+		return t.candidates[i].head.Ref().Less(t.candidates[j].head.Ref())
 	})
-	if len(f.candidates) > maxCandidates {
-		f.dropLowest(h.Ref())
+	if len(t.candidates) > maxCandidates {
+		t.evictLowest(h.Ref())
 	}
 }
 
-// dropLowest forgets the lowest candidate but the newcomer, whose parts are
-// about to be offered: heads that never become whole must not keep a valid
-// one out.
-func (f *Tracker) dropLowest(newcomer Ref) {
+// evictLowest removes the lowest candidate other than the one just added, whose
+// parts are about to be offered: heads that never become complete must not
+// block a valid one.
+func (t *Tracker) evictLowest(added Ref) {
 	at := 0
-	if f.candidates[0].head.Ref() == newcomer {
+	if t.candidates[0].head.Ref() == added {
 		at = 1
 	}
-	f.candidates = slices.Delete(f.candidates, at, at+1)
-	f.prune()
+	t.candidates = slices.Delete(t.candidates, at, at+1)
+	t.prune()
 }
 
-// settle activates the highest whole and valid candidate and returns the
-// verdict on ref.
-func (f *Tracker) settle(now time.Time, ref Ref) (HeadVerdict, error) {
-	for i := len(f.candidates) - 1; i >= 0; i-- {
-		h := f.candidates[i].head
-		b, whole := f.assemble(h)
-		if !whole {
+// evaluate accepts the highest complete and valid candidate, rejects invalid
+// ones above it, and returns the verdict on ref.
+func (t *Tracker) evaluate(now time.Time, ref Ref) (HeadVerdict, error) {
+	for i := len(t.candidates) - 1; i >= 0; i-- {
+		h := t.candidates[i].head
+		b, complete := t.assemble(h)
+		if !complete {
 			continue
 		}
-		f.candidates = slices.Delete(f.candidates, i, i+1)
+		t.candidates = slices.Delete(t.candidates, i, i+1)
 		fleet, err := validate(h, b)
 		if err != nil {
-			f.reject(h.Ref(), err)
+			t.reject(h.Ref(), err)
 			continue
 		}
-		f.accept(now, h, fleet)
+		t.accept(now, h, fleet)
 		break
 	}
-	f.prune()
+	t.prune()
 	switch {
-	case f.Ref() == ref:
+	case t.Ref() == ref:
 		return HeadAccepted, nil
-	case f.rejection(ref) != nil:
-		return HeadRejected, f.rejection(ref).Err
+	case t.rejection(ref) != nil:
+		return HeadRejected, t.rejection(ref).Err
 	}
 	return HeadPending, nil
 }
 
-func (f *Tracker) assemble(h Head) ([]byte, bool) {
+func (t *Tracker) assemble(h Head) ([]byte, bool) {
 	b := make([]byte, 0, h.Size)
 	for _, p := range h.Parts {
-		part, ok := f.parts[p.Digest]
+		part, ok := t.parts[p.Digest]
 		if !ok {
 			return nil, false
 		}
@@ -213,13 +216,14 @@
 	return b, true
 }
 
-// Errors of a whole file.
+// Errors of a complete file.
 var (
 	ErrDigest       = errors.New("intent: file does not match the digest of its head")
 	ErrFormatDiffer = errors.New("intent: format of file and head differ")
 )
 
-// validate is a pure function of the published bytes.
+// validate depends only on the published bytes, so that all processes reach the
+// same result.
 func validate(h Head, b []byte) (*Fleet, error) {
 	if digest.Of(b) != h.Digest {
 		return nil, ErrDigest
@@ -234,74 +238,75 @@
 	return fleet, nil
 }
 
-func (f *Tracker) accept(now time.Time, h Head, fleet *Fleet) {
-	if f.accepted != nil {
-		old := *f.accepted
-		old.At = now // the time it was replaced
-		f.history = append(f.history, old)
+func (t *Tracker) accept(now time.Time, h Head, fleet *Fleet) {
+	if t.accepted != nil {
+		old := *t.accepted
+		old.At = now // from here on the time of replacement
+		t.history = append(t.history, old)
 	}
-	f.accepted = &Accepted{Head: h, Fleet: fleet, At: now}
-	f.candidates = slices.DeleteFunc(f.candidates, func(c candidate) bool {
+	t.accepted = &Accepted{Head: h, Fleet: fleet, At: now}
+	t.candidates = slices.DeleteFunc(t.candidates, func(c candidate) bool {
 		return !h.Ref().Less(c.head.Ref())
 	})
-	f.Expire(now)
+	t.Expire(now)
 }
 
-// Expire forgets earlier revisions that were replaced longer than the keep
-// time ago.
-func (f *Tracker) Expire(now time.Time) {
-	f.history = slices.DeleteFunc(f.history, func(a Accepted) bool {
-		return now.Sub(a.At) > f.keep
+// Expire removes revisions that were replaced longer ago than the retention
+// period.
+func (t *Tracker) Expire(now time.Time) {
+	t.history = slices.DeleteFunc(t.history, func(a Accepted) bool {
+		return now.Sub(a.At) > t.retention
 	})
 }
 
-func (f *Tracker) reject(ref Ref, err error) {
-	f.rejected = append(f.rejected, Rejection{Ref: ref, Err: err})
-	if len(f.rejected) > maxRejected {
-		f.rejected = f.rejected[1:]
+func (t *Tracker) reject(ref Ref, err error) {
+	t.rejected = append(t.rejected, Rejection{Ref: ref, Err: err})
+	if len(t.rejected) > maxRejected {
+		t.rejected = t.rejected[1:]
 	}
 }
 
-func (f *Tracker) rejection(ref Ref) *Rejection {
-	for i := range f.rejected {
-		if f.rejected[i].Ref == ref {
-			return &f.rejected[i]
+func (t *Tracker) rejection(ref Ref) *Rejection {
+	for i := range t.rejected {
+		if t.rejected[i].Ref == ref {
+			return &t.rejected[i]
 		}
 	}
 	return nil
 }
 
-// RejectedBetween reports whether every revision number between two, both
-// excluded, was seen and rejected, so that no process had it in force.
-func (f *Tracker) RejectedBetween(lo, hi uint64) bool {
+// RejectedBetween reports whether every revision number strictly between lo and
+// hi was rejected here, which means that no process had it in force.
+func (t *Tracker) RejectedBetween(lo, hi uint64) bool {
 	if hi-lo > maxRejected {
 		return false
 	}
 	for r := lo + 1; r < hi; r++ {
-		if !slices.ContainsFunc(f.rejected, func(x Rejection) bool { return x.Ref.Revision == r }) {
+		if !slices.ContainsFunc(t.rejected, func(x Rejection) bool { return x.Ref.Revision == r }) {
 			return false
 		}
 	}
 	return true
 }
 
-// prune drops parts that neither the accepted nor a pending head names.
-func (f *Tracker) prune() {
-	wanted := map[digest.Digest]bool{}
+// prune deletes parts that neither the accepted head nor a pending one
+// references.
+func (t *Tracker) prune() {
+	referenced := map[digest.Digest]bool{}
 	mark := func(h Head) {
 		for _, p := range h.Parts {
-			wanted[p.Digest] = true
+			referenced[p.Digest] = true
 		}
 	}
-	if f.accepted != nil {
-		mark(f.accepted.Head)
+	if t.accepted != nil {
+		mark(t.accepted.Head)
 	}
-	for _, c := range f.candidates {
+	for _, c := range t.candidates {
 		mark(c.head)
 	}
-	for d := range f.parts {
-		if !wanted[d] {
-			delete(f.parts, d)
+	for d := range t.parts {
+		if !referenced[d] {
+			delete(t.parts, d)
 		}
 	}
 }
--- a/intent/main_test.go
+++ b/intent/main_test.go
@@ -6,7 +6,7 @@
 	"github.com/springgate/springgate/internal/fixedseed"
 )
 
-// checks is how many courses of events each stateful test tries.
+// checks is the number of random event sequences that each stateful test runs.
 const checks = 100
 
 func TestMain(m *testing.M) { fixedseed.Main(m, checks) }
--- a/intent/oracle_test.go
+++ b/intent/oracle_test.go
@@ -9,50 +9,51 @@
 	"pgregory.net/rapid"
 )
 
-// published is one head with what the oracle knows of it.
+// published is a published head, its parts, and whether the oracle expects it to
+// be accepted.
 type published struct {
 	head  Head
 	parts [][]byte
 	valid bool
 }
 
-// foldNode is one process: it learns heads and parts in any order, from the
+// trackerNode is one process. It receives heads and parts in any order, from the
 // platform or from a peer.
-type foldNode struct {
-	fold    *Tracker
-	highest Ref // oracle: highest valid revision that was whole here
+type trackerNode struct {
+	tracker *Tracker
+	highest Ref // oracle: highest valid revision that was complete here
 	offered map[Ref]bool
 	seen    map[string]bool // digests of parts offered after their head
 }
 
-// readWhole gives a process a head and all its parts.
-func readWhole(n *foldNode, now time.Time, p published) {
-	_, _ = n.fold.OfferHead(now, p.head)
+// readComplete delivers a head and all its parts to a process.
+func readComplete(n *trackerNode, now time.Time, p published) {
+	_, _ = n.tracker.OfferHead(now, p.head)
 	for _, b := range p.parts {
-		n.fold.OfferPart(now, b)
+		n.tracker.OfferPart(now, b)
 	}
 	if p.valid && n.highest.Less(p.head.Ref()) {
 		n.highest = p.head.Ref()
 	}
 }
 
-// TestOracleFold holds a fleet of folds against an oracle: nothing invalid is
-// ever accepted, nothing ever reverts, and processes that have seen the same
-// agree on the highest valid revision.
-func TestOracleFold(t *testing.T) {
+// TestOracleTracker compares several trackers with an oracle: an invalid revision
+// is never accepted, no tracker reverts to a lower revision, and processes that
+// have received the same heads and parts agree on the highest valid revision.
+func TestOracleTracker(t *testing.T) {
 	steps := 0
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(0, 0)
 		var pubs []published
-		nodes := make([]*foldNode, 3)
+		nodes := make([]*trackerNode, 3)
 		for i := range nodes {
-			nodes[i] = &foldNode{fold: NewTracker(time.Minute), offered: map[Ref]bool{}, seen: map[string]bool{}}
+			nodes[i] = &trackerNode{tracker: NewTracker(time.Minute), offered: map[Ref]bool{}, seen: map[string]bool{}}
 		}
-		// The platform may be down, or show an older head, to a part of the fleet;
-		// the fleet may be cut in two.
-		down, stale, cut := make([]bool, len(nodes)), make([]bool, len(nodes)), false
+		// The platform may be down for, or return an older head to, some of the
+		// nodes, and a partition may separate node 0 from the others.
+		down, stale, partitioned := make([]bool, len(nodes)), make([]bool, len(nodes)), false
 		side := func(i int) bool { return i == 0 }
-		pick := func(t *rapid.T) (*foldNode, published) {
+		pick := func(t *rapid.T) (*trackerNode, published) {
 			if len(pubs) == 0 {
 				t.Skip("nothing published")
 			}
@@ -83,38 +84,38 @@
 			},
 			"head": func(t *rapid.T) {
 				n, p := pick(t)
-				_, _ = n.fold.OfferHead(now, p.head)
+				_, _ = n.tracker.OfferHead(now, p.head)
 			},
 			"part": func(t *rapid.T) {
 				n, p := pick(t)
-				n.fold.OfferPart(now, p.parts[rapid.IntRange(0, len(p.parts)-1).Draw(t, "part")])
+				n.tracker.OfferPart(now, p.parts[rapid.IntRange(0, len(p.parts)-1).Draw(t, "part")])
 			},
 			"corrupt part": func(t *rapid.T) {
 				n, p := pick(t)
 				b := append([]byte(nil), p.parts[0]...)
 				b[0] ^= 1
-				if n.fold.OfferPart(now, b) {
+				if n.tracker.OfferPart(now, b) {
 					t.Fatal("a corrupt part was taken")
 				}
 			},
 			"whole": func(t *rapid.T) {
 				n, p := pick(t)
-				readWhole(n, now, p)
+				readComplete(n, now, p)
 			},
 			"from peer": func(t *rapid.T) {
 				i, j := rapid.IntRange(0, len(nodes)-1).Draw(t, "node"), rapid.IntRange(0, len(nodes)-1).Draw(t, "peer")
-				if cut && side(i) != side(j) {
+				if partitioned && side(i) != side(j) {
 					t.Skip("cut off")
 				}
 				n, o := nodes[i], nodes[j]
-				a := o.fold.Accepted()
+				a := o.tracker.Accepted()
 				if a == nil {
 					t.Skip("peer has none")
 				}
-				_, _ = n.fold.OfferHead(now, a.Head)
+				_, _ = n.tracker.OfferHead(now, a.Head)
 				for _, p := range a.Head.Parts {
-					if b := o.fold.Part(p.Digest); b != nil {
-						n.fold.OfferPart(now, b)
+					if b := o.tracker.Part(p.Digest); b != nil {
+						n.tracker.OfferPart(now, b)
 					} else {
 						t.Fatal("a part of the accepted revision is gone")
 					}
@@ -125,10 +126,10 @@
 			},
 			"restart": func(t *rapid.T) {
 				n := nodes[rapid.IntRange(0, len(nodes)-1).Draw(t, "node")]
-				*n = foldNode{fold: NewTracker(time.Minute), offered: map[Ref]bool{}, seen: map[string]bool{}}
+				*n = trackerNode{tracker: NewTracker(time.Minute), offered: map[Ref]bool{}, seen: map[string]bool{}}
 			},
 			"time": func(*rapid.T) { now = now.Add(20 * time.Second) },
-			"cut":  func(*rapid.T) { cut = !cut },
+			"cut":  func(*rapid.T) { partitioned = !partitioned },
 			"platform": func(t *rapid.T) {
 				i := rapid.IntRange(0, len(nodes)-1).Draw(t, "node")
 				down[i], stale[i] = rapid.Bool().Draw(t, "down"), rapid.Bool().Draw(t, "stale")
@@ -142,13 +143,13 @@
 				if down[i] || at < 0 {
 					t.Skip("nothing to read")
 				}
-				readWhole(nodes[i], now, pubs[at])
+				readComplete(nodes[i], now, pubs[at])
 			},
 		}
 		before := make([]Ref, len(nodes))
 		check := func(t *rapid.T) {
 			for i, n := range nodes {
-				ref := n.fold.Ref()
+				ref := n.tracker.Ref()
 				if ref.Less(before[i]) && n.highest != (Ref{}) {
 					t.Fatalf("node %d went back from %d to %d", i, before[i].Revision, ref.Revision)
 				}
@@ -156,7 +157,7 @@
 					t.Fatalf("node %d is at %d, but was given %d whole and valid", i, ref.Revision, n.highest.Revision)
 				}
 				before[i] = ref
-				a := n.fold.Accepted()
+				a := n.tracker.Accepted()
 				if a == nil {
 					continue
 				}
@@ -174,56 +175,57 @@
 		}
 		actions[""] = check
 		t.Repeat(actions)
-		// All is whole again: every process reads what is published, and all agree.
-		var top Ref
+		// After all failures have ended, every process reads all published heads
+		// and parts, and all agree.
+		var highestValid Ref
 		for _, p := range pubs {
-			if p.valid && top.Less(p.head.Ref()) {
-				top = p.head.Ref()
+			if p.valid && highestValid.Less(p.head.Ref()) {
+				highestValid = p.head.Ref()
 			}
 			for _, n := range nodes {
-				readWhole(n, now, p)
+				readComplete(n, now, p)
 			}
 		}
 		for i, n := range nodes {
-			if n.fold.Ref() != top {
-				t.Fatalf("node %d ends at %d, want %d", i, n.fold.Ref().Revision, top.Revision)
+			if n.tracker.Ref() != highestValid {
+				t.Fatalf("node %d ends at %d, want %d", i, n.tracker.Ref().Revision, highestValid.Revision)
 			}
 		}
 	})
 	t.Logf("%d steps", steps)
 }
 
-func TestFoldBoundsWhatItKeeps(t *testing.T) {
-	f := NewTracker(time.Minute)
+func TestTrackerBoundsItsState(t *testing.T) {
+	tr := NewTracker(time.Minute)
 	now := time.Unix(0, 0)
 	for i := range 40 {
 		file := append(largeFile(500), fmt.Sprintf("# %d\n", i)...)
 		h, parts := Pack(uint64(i+1), file)
-		_, _ = f.OfferHead(now, h)
-		f.OfferPart(now, parts[0]) // never whole
+		_, _ = tr.OfferHead(now, h)
+		tr.OfferPart(now, parts[0]) // never complete
 	}
-	if len(f.candidates) > maxCandidates {
-		t.Fatalf("%d candidates", len(f.candidates))
+	if len(tr.candidates) > maxCandidates {
+		t.Fatalf("%d candidates", len(tr.candidates))
 	}
-	if len(f.parts) > maxCandidates {
-		t.Fatalf("%d parts", len(f.parts))
+	if len(tr.parts) > maxCandidates {
+		t.Fatalf("%d parts", len(tr.parts))
 	}
 }
 
-// Heads that never become whole must not keep a lower valid one out.
-func TestFoldValidBehindBrokenHeads(t *testing.T) {
-	f := NewTracker(time.Minute)
+// Heads that never become complete must not block a valid lower one.
+func TestTrackerAcceptsValidBelowIncompleteHeads(t *testing.T) {
+	tr := NewTracker(time.Minute)
 	now := time.Unix(0, 0)
 	for i := range 2 * maxCandidates {
 		h, _ := Pack(uint64(100+i), fmt.Appendf(largeFile(10), "# %d\n", i))
-		_, _ = f.OfferHead(now, h)
+		_, _ = tr.OfferHead(now, h)
 	}
 	h, parts := Pack(7, largeFile(10))
-	_, _ = f.OfferHead(now, h)
+	_, _ = tr.OfferHead(now, h)
 	for _, p := range parts {
-		f.OfferPart(now, p)
+		tr.OfferPart(now, p)
 	}
-	if f.Ref() != h.Ref() {
-		t.Fatalf("in force: %d", f.Ref().Revision)
+	if tr.Ref() != h.Ref() {
+		t.Fatalf("in force: %d", tr.Ref().Revision)
 	}
 }
--- a/intent/pack.go
+++ b/intent/pack.go
@@ -9,25 +9,28 @@
 	"github.com/springgate/springgate/digest"
 )
 
-// Part sizes. Parts end at lines chosen by their content, so that a small
-// change to a large file changes few parts.
+// Part sizes. Parts end at line breaks chosen by the content of the line
+// (content-defined chunking), so that a small change to a large file changes
+// few parts.
 const (
-	// MaxPart is the largest value the configuration service holds, in bytes.
+	// MaxPart is the largest value that the configuration service stores, in
+	// bytes.
 	MaxPart = 1 << 20
-	// minPart and cutMask give parts of about 16 KiB for lines of 40 bytes.
+	// minPart, in bytes, and cutMask give parts of about 16 KiB on average for
+	// lines of 40 bytes.
 	minPart = 8 << 10
 	cutMask = 1<<8 - 1
-	// maxParts bounds the length of a head.
+	// maxParts limits the size of a head.
 	maxParts = 4096
 )
 
-// PartRef names one part of a fleet file.
+// PartRef identifies a part of a fleet file.
 type PartRef struct {
 	Digest digest.Digest `json:"digest"`
 	Size   int           `json:"size"`
 }
 
-// Head is what the platform publishes to name a revision.
+// Head describes a published revision and lists its parts.
 type Head struct {
 	Format   int           `json:"format"`
 	Revision uint64        `json:"revision"`
@@ -36,8 +39,8 @@
 	Parts    []PartRef     `json:"parts"`
 }
 
-// Ref identifies a revision. Revisions are ordered by number and, should two
-// heads carry one number, by digest; so all processes agree on the highest.
+// Ref identifies a revision. Revisions are ordered by number and, if two heads
+// have the same number, by digest, so that all processes agree on the highest.
 type Ref struct {
 	Revision uint64
 	Digest   digest.Digest
@@ -46,7 +49,7 @@
 // Ref returns the identity of the head.
 func (h Head) Ref() Ref { return Ref{h.Revision, h.Digest} }
 
-// Less reports whether r comes before o.
+// Less reports whether r is ordered before o.
 func (r Ref) Less(o Ref) bool {
 	if r.Revision != o.Revision {
 		return r.Revision < o.Revision
@@ -54,8 +57,8 @@
 	return bytes.Compare(r.Digest[:], o.Digest[:]) < 0
 }
 
-// Pack splits a fleet file into parts and returns the head that names them.
-// The caller has validated the file.
+// Pack splits a fleet file into parts and returns them with the head that lists
+// them. The file must be valid.
 func Pack(revision uint64, b []byte) (Head, [][]byte) {
 	h := Head{Format: Format, Revision: revision, Digest: digest.Of(b), Size: len(b)}
 	parts := split(b)
@@ -86,13 +89,13 @@
 	return parts
 }
 
-// Errors of a head.
+// Errors returned by ParseHead.
 var (
 	ErrHeadFormat = errors.New("intent: format of the head is newer than this release")
 	ErrHeadShape  = errors.New("intent: malformed head")
 )
 
-// ParseHead reads and checks a published head.
+// ParseHead decodes and checks a published head.
 func ParseHead(b []byte) (Head, error) {
 	var h Head
 	dec := json.NewDecoder(bytes.NewReader(b))
--- a/intent/parse_test.go
+++ b/intent/parse_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// largeFile returns a fleet file with many hosts.
+// largeFile returns a fleet file with the given number of hosts.
 func largeFile(hosts int) []byte {
 	var b strings.Builder
 	head, _, _ := strings.Cut(goodFile, "    hosts:")
@@ -123,27 +123,27 @@
 func TestPackSplitsByContent(t *testing.T) {
 	file := largeFile(4400)
 	h, parts := Pack(7, file)
-	var whole []byte
+	var joined []byte
 	old := map[digest.Digest]bool{}
 	for i, p := range parts {
 		assert.Equal(t, h.Parts[i].Digest, digest.Of(p))
 		assert.Assert(t, len(p) <= MaxPart)
-		whole = append(whole, p...)
+		joined = append(joined, p...)
 		old[digest.Of(p)] = true
 	}
-	assert.Equal(t, string(whole), string(file))
+	assert.Equal(t, string(joined), string(file))
 	assert.NilError(t, h.check())
 	assert.Assert(t, len(parts) > 4)
 
 	changed := strings.Replace(string(file), "host-02200", "host-x2200-longer", 1)
 	next, _ := Pack(8, []byte(changed))
-	fresh := 0
+	changedParts := 0
 	for _, p := range next.Parts {
 		if !old[p.Digest] {
-			fresh++
+			changedParts++
 		}
 	}
-	assert.Assert(t, fresh <= 2, "%d parts changed", fresh)
+	assert.Assert(t, changedParts <= 2, "%d parts changed", changedParts)
 }
 
 func FuzzParse(f *testing.F) {
--- a/intent/replay_test.go
+++ b/intent/replay_test.go
@@ -10,17 +10,17 @@
 	"gotest.tools/v3/assert"
 )
 
-// A trace is a recorded course of publications and reads, one JSON object a
-// line, with the revision that was stated to be in force.
+// traceEvent is one line of a trace: a recorded sequence of publications and
+// reads, with the revisions that are expected to be in force or rejected.
 type traceEvent struct {
 	// Do is the event:
 	//   publish   the platform publishes revision rev (invalid, no-parts, corrupt)
-	//   republish another file under the number rev
-	//   read      process p reads the head of rev and the parts that exist
+	//   republish the platform publishes another file with number rev
+	//   read      process p reads the head of rev and the parts that are served
 	//   read-head process p reads the head of rev only
 	//   parts     process p reads the parts of rev
-	//   hear      process p takes what process from has in force
-	//   restart   process p starts anew
+	//   hear      process p reads the revision in force at process from
+	//   restart   process p restarts with empty state
 	//   in-force  process p must have rev in force; 0 is none
 	//   rejected  process p must have rejected rev
 	Do, P, From      string
@@ -30,17 +30,17 @@
 }
 
 type tracePlayer struct {
-	t     *testing.T
-	pubs  map[uint64]published
-	parts map[uint64][][]byte // as served
-	folds map[string]*Tracker
+	t        *testing.T
+	pubs     map[uint64]published
+	parts    map[uint64][][]byte // as served, which may differ from the published ones
+	trackers map[string]*Tracker
 }
 
-func (p *tracePlayer) fold(name string) *Tracker {
-	if p.folds[name] == nil {
-		p.folds[name] = NewTracker(time.Minute)
+func (p *tracePlayer) tracker(name string) *Tracker {
+	if p.trackers[name] == nil {
+		p.trackers[name] = NewTracker(time.Minute)
 	}
-	return p.folds[name]
+	return p.trackers[name]
 }
 
 func (p *tracePlayer) publish(e traceEvent, variant string) {
@@ -61,44 +61,45 @@
 
 func (p *tracePlayer) play(e traceEvent) {
 	now := time.Unix(0, 0)
-	f := p.fold(e.P)
+	tr := p.tracker(e.P)
 	switch e.Do {
 	case "publish":
 		p.publish(e, "")
 	case "republish":
 		p.publish(e, "other")
 	case "read", "read-head":
-		_, _ = f.OfferHead(now, p.pubs[e.Rev].head)
+		_, _ = tr.OfferHead(now, p.pubs[e.Rev].head)
 		if e.Do == "read-head" {
 			return
 		}
 		fallthrough
 	case "parts":
 		for _, b := range p.parts[e.Rev] {
-			f.OfferPart(now, b)
+			tr.OfferPart(now, b)
 		}
 	case "hear":
-		a := p.fold(e.From).Accepted()
-		_, _ = f.OfferHead(now, a.Head)
+		a := p.tracker(e.From).Accepted()
+		_, _ = tr.OfferHead(now, a.Head)
 		for _, x := range a.Head.Parts {
-			f.OfferPart(now, p.fold(e.From).Part(x.Digest))
+			tr.OfferPart(now, p.tracker(e.From).Part(x.Digest))
 		}
 	case "restart":
-		p.folds[e.P] = nil
+		p.trackers[e.P] = nil
 	case "in-force":
-		assert.Equal(p.t, f.Ref().Revision, e.Rev, "process %s", e.P)
+		assert.Equal(p.t, tr.Ref().Revision, e.Rev, "process %s", e.P)
 	case "rejected":
-		r := f.LastRejection()
+		r := tr.LastRejection()
 		assert.Assert(p.t, r != nil && r.Ref.Revision == e.Rev, "process %s", e.P)
 	default:
 		p.t.Fatalf("unknown event %q", e.Do)
 	}
 }
 
-// TestReplayTraces plays every recorded trace against its stated revisions.
+// TestReplayTraces replays every recorded trace and checks the revisions that it
+// expects.
 func TestReplayTraces(t *testing.T) {
 	trace.Replay(t, "testdata/replay/*.jsonl", 6, func(t *testing.T) func(traceEvent) {
-		p := &tracePlayer{t: t, pubs: map[uint64]published{}, parts: map[uint64][][]byte{}, folds: map[string]*Tracker{}}
+		p := &tracePlayer{t: t, pubs: map[uint64]published{}, parts: map[uint64][][]byte{}, trackers: map[string]*Tracker{}}
 		return p.play
 	})
 }
