--- a/intent/decode.go
+++ b/intent/decode.go
@@ -109,12 +109,12 @@
 }
 
 func (o *object) str(field string, required bool) string {
-	v, ok := o.scalar(field, "a text", "!!str")
+	v, ok := o.scalar(field, "a string", "!!str")
 	if ok && v != "" {
 		return v
 	}
 	if required && (ok || !o.has(field)) {
-		o.errorf(field, "missing; want a text")
+		o.errorf(field, "missing; want a string")
 	}
 	return ""
 }
--- a/intent/oracle_test.go
+++ b/intent/oracle_test.go
@@ -95,7 +95,7 @@
 				b := append([]byte(nil), p.parts[0]...)
 				b[0] ^= 1
 				if n.tracker.OfferPart(now, b) {
-					t.Fatal("a corrupt part was taken")
+					t.Fatal("a corrupt part was accepted")
 				}
 			},
 			"whole": func(t *rapid.T) {
@@ -117,7 +117,7 @@
 					if b := o.tracker.Part(p.Digest); b != nil {
 						n.tracker.OfferPart(now, b)
 					} else {
-						t.Fatal("a part of the accepted revision is gone")
+						t.Fatal("a part of the accepted revision is missing")
 					}
 				}
 				if n.highest.Less(a.Head.Ref()) {
@@ -151,10 +151,10 @@
 			for i, n := range nodes {
 				ref := n.tracker.Ref()
 				if ref.Less(before[i]) && n.highest != (Ref{}) {
-					t.Fatalf("node %d went back from %d to %d", i, before[i].Revision, ref.Revision)
+					t.Fatalf("node %d reverted from revision %d to %d", i, before[i].Revision, ref.Revision)
 				}
 				if ref.Less(n.highest) {
-					t.Fatalf("node %d is at %d, but was given %d whole and valid", i, ref.Revision, n.highest.Revision)
+					t.Fatalf("node %d is at revision %d, want at least %d, which is complete and valid there", i, ref.Revision, n.highest.Revision)
 				}
 				before[i] = ref
 				a := n.tracker.Accepted()
@@ -188,7 +188,7 @@
 		}
 		for i, n := range nodes {
 			if n.tracker.Ref() != highestValid {
-				t.Fatalf("node %d ends at %d, want %d", i, n.tracker.Ref().Revision, highestValid.Revision)
+				t.Fatalf("node %d ends at revision %d, want %d", i, n.tracker.Ref().Revision, highestValid.Revision)
 			}
 		}
 	})
@@ -226,6 +226,6 @@
 		tr.OfferPart(now, p)
 	}
 	if tr.Ref() != h.Ref() {
-		t.Fatalf("in force: %d", tr.Ref().Revision)
+		t.Fatalf("revision in force: %d", tr.Ref().Revision)
 	}
 }
