--- a/control/config.go
+++ b/control/config.go
@@ -24,9 +24,9 @@
 	// Heartbeat is the time between two rounds of heartbeats. Shorter spreads
 	// repairs faster and costs more bytes. Default 500 ms.
 	Heartbeat time.Duration
-	// LocalFanout and Far are how many hosts of this and of other failure domains
+	// LocalFanout and RemoteFanout are how many hosts of this and of other failure domains
 	// get a heartbeat each round. Defaults 2 and 1.
-	LocalFanout, Far int
+	LocalFanout, RemoteFanout int
 	// Pause is the gap in the own clock after which the process takes itself
 	// for stale and catches up before it acts. Default 2 s.
 	Pause time.Duration
@@ -50,7 +50,7 @@
 func (c Config) applyDefaults() Config {
 	c.Heartbeat = cmp.Or(c.Heartbeat, 500*time.Millisecond)
 	c.LocalFanout = cmp.Or(c.LocalFanout, 2)
-	c.Far = cmp.Or(c.Far, 1)
+	c.RemoteFanout = cmp.Or(c.RemoteFanout, 1)
 	c.Pause = cmp.Or(c.Pause, 2*time.Second)
 	c.WatchWait = cmp.Or(c.WatchWait, 2*time.Second)
 	c.HostsEvery = cmp.Or(c.HostsEvery, time.Second)
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -26,7 +26,7 @@
 	n.lastRound = now
 	hb := n.heartbeat(now)
 	n.choosePartners(now)
-	for _, m := range membership.GossipTargets(n.cfg.Host, n.cfg.Domain, n.partners, n.cfg.LocalFanout, n.cfg.Far, n.rng) {
+	for _, m := range membership.GossipTargets(n.cfg.Host, n.cfg.Domain, n.partners, n.cfg.LocalFanout, n.cfg.RemoteFanout, n.rng) {
 		go n.exchange(m, hb)
 	}
 }
@@ -44,7 +44,7 @@
 	}
 	n.partnersAt = now
 	n.partners = membership.GossipTargets(n.cfg.Host, n.cfg.Domain, n.snapshot.Load().Members,
-		partnerFactor*n.cfg.LocalFanout, partnerFactor*n.cfg.Far, n.rng)
+		partnerFactor*n.cfg.LocalFanout, partnerFactor*n.cfg.RemoteFanout, n.rng)
 	n.pool.CloseIdle(now, idleConn)
 }
 
