--- a/control/config.go
+++ b/control/config.go
@@ -27,9 +27,9 @@
 	// LocalFanout and RemoteFanout are how many hosts of this and of other failure domains
 	// get a heartbeat each round. Defaults 2 and 1.
 	LocalFanout, RemoteFanout int
-	// Pause is the gap in the own clock after which the process takes itself
+	// PauseThreshold is the gap in the own clock after which the process takes itself
 	// for stale and catches up before it acts. Default 2 s.
-	Pause time.Duration
+	PauseThreshold time.Duration
 	// WatchWait is how long a reader's watch waits at the platform. It bounds
 	// the age of the proof that the head is current. Default 2 s.
 	WatchWait time.Duration
@@ -51,7 +51,7 @@
 	c.Heartbeat = cmp.Or(c.Heartbeat, 500*time.Millisecond)
 	c.LocalFanout = cmp.Or(c.LocalFanout, 2)
 	c.RemoteFanout = cmp.Or(c.RemoteFanout, 1)
-	c.Pause = cmp.Or(c.Pause, 2*time.Second)
+	c.PauseThreshold = cmp.Or(c.PauseThreshold, 2*time.Second)
 	c.WatchWait = cmp.Or(c.WatchWait, 2*time.Second)
 	c.HostsEvery = cmp.Or(c.HostsEvery, time.Second)
 	c.History = cmp.Or(c.History, 10*time.Minute)
--- a/control/node.go
+++ b/control/node.go
@@ -116,7 +116,7 @@
 // paused since its state was last looked over.
 func (n *Node) Awake(now time.Time) bool {
 	s := n.snapshot.Load()
-	return s.Awake && now.Sub(s.Checked) <= n.cfg.Pause
+	return s.Awake && now.Sub(s.Checked) <= n.cfg.PauseThreshold
 }
 
 // Leave makes the process say that it is leaving, from now on.
@@ -156,7 +156,7 @@
 
 // tick looks over the state. It runs on the loop.
 func (n *Node) tick(now time.Time) {
-	if !n.lastTick.IsZero() && now.Sub(n.lastTick) > n.cfg.Pause {
+	if !n.lastTick.IsZero() && now.Sub(n.lastTick) > n.cfg.PauseThreshold {
 		n.count.pauses.Inc(1)
 		n.awake = false
 		n.log.WithField("gap", now.Sub(n.lastTick).String()).Warn("Process was paused. Catching up.")
--- a/control/node_test.go
+++ b/control/node_test.go
@@ -98,7 +98,7 @@
 	f.publish(t, 3, 0)
 	n := f.nodes[0]
 	waitFor(t, "awake", func() bool { return n.Awake(time.Now()) })
-	assert.Assert(t, !n.Awake(time.Now().Add(n.cfg.Pause+tickEvery)), "no tick for too long")
+	assert.Assert(t, !n.Awake(time.Now().Add(n.cfg.PauseThreshold+tickEvery)), "no tick for too long")
 	pauses := n.count.pauses.Count()
 	_ = n.loop.Call(func() {
 		n.proof = time.Time{}
