--- a/control/config.go
+++ b/control/config.go
@@ -33,8 +33,8 @@
 	// WatchWait is how long a reader's watch waits at the platform. It bounds
 	// the age of the proof that the head is current. Default 2 s.
 	WatchWait time.Duration
-	// HostsEvery is how often a reader reads the host list. Default 1 s.
-	HostsEvery time.Duration
+	// HostListInterval is how often a reader reads the host list. Default 1 s.
+	HostListInterval time.Duration
 	// History is how long earlier revisions are remembered. Default 10 min.
 	History time.Duration
 	// FleetSize is how many processes may start at once; the first read is
@@ -53,7 +53,7 @@
 	c.RemoteFanout = cmp.Or(c.RemoteFanout, 1)
 	c.PauseThreshold = cmp.Or(c.PauseThreshold, 2*time.Second)
 	c.WatchWait = cmp.Or(c.WatchWait, 2*time.Second)
-	c.HostsEvery = cmp.Or(c.HostsEvery, time.Second)
+	c.HostListInterval = cmp.Or(c.HostListInterval, time.Second)
 	c.History = cmp.Or(c.History, 10*time.Minute)
 	c.FleetSize = cmp.Or(c.FleetSize, 50)
 	c.StartRate = cmp.Or(c.StartRate, 1000.0)
--- a/control/platform.go
+++ b/control/platform.go
@@ -225,7 +225,7 @@
 func (n *Node) watchHosts(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.readHosts()
-		loop.Sleep(ctx, n.cfg.HostsEvery)
+		loop.Sleep(ctx, n.cfg.HostListInterval)
 	}
 }
 
