--- a/control/config.go
+++ b/control/config.go
@@ -21,9 +21,9 @@
 	Role        membership.Role
 	Incarnation uint64
 
-	// Heartbeat is the time between two rounds of heartbeats. Shorter spreads
+	// HeartbeatInterval is the time between two rounds of heartbeats. Shorter spreads
 	// repairs faster and costs more bytes. Default 500 ms.
-	Heartbeat time.Duration
+	HeartbeatInterval time.Duration
 	// LocalFanout and RemoteFanout are how many hosts of this and of other failure domains
 	// get a heartbeat each round. Defaults 2 and 1.
 	LocalFanout, RemoteFanout int
@@ -48,7 +48,7 @@
 }
 
 func (c Config) applyDefaults() Config {
-	c.Heartbeat = cmp.Or(c.Heartbeat, 500*time.Millisecond)
+	c.HeartbeatInterval = cmp.Or(c.HeartbeatInterval, 500*time.Millisecond)
 	c.LocalFanout = cmp.Or(c.LocalFanout, 2)
 	c.RemoteFanout = cmp.Or(c.RemoteFanout, 1)
 	c.PauseThreshold = cmp.Or(c.PauseThreshold, 2*time.Second)
--- a/control/node.go
+++ b/control/node.go
@@ -168,7 +168,7 @@
 	n.fold.Expire(now)
 	n.publish(now)
 	n.updateReader(now)
-	if now.Sub(n.lastRound) >= n.cfg.Heartbeat {
+	if now.Sub(n.lastRound) >= n.cfg.HeartbeatInterval {
 		n.round(now)
 	}
 	n.fallback(now)
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -110,7 +110,7 @@
 }
 
 func (f *testFleet) control(name string) control.Config {
-	return control.Config{Host: name, Domain: "d", Addr: loopback, Heartbeat: 100 * time.Millisecond}
+	return control.Config{Host: name, Domain: "d", Addr: loopback, HeartbeatInterval: 100 * time.Millisecond}
 }
 
 func (f *testFleet) startAgent(h *testHost) {
