--- a/control/config.go
+++ b/control/config.go
@@ -30,9 +30,9 @@
 	// PauseThreshold is the gap in the own clock after which the process takes itself
 	// for stale and catches up before it acts. Default 2 s.
 	PauseThreshold time.Duration
-	// WatchWait is how long a reader's watch waits at the platform. It bounds
+	// WatchTimeout is how long a reader's watch waits at the platform. It bounds
 	// the age of the proof that the head is current. Default 2 s.
-	WatchWait time.Duration
+	WatchTimeout time.Duration
 	// HostListInterval is how often a reader reads the host list. Default 1 s.
 	HostListInterval time.Duration
 	// History is how long earlier revisions are remembered. Default 10 min.
@@ -52,7 +52,7 @@
 	c.LocalFanout = cmp.Or(c.LocalFanout, 2)
 	c.RemoteFanout = cmp.Or(c.RemoteFanout, 1)
 	c.PauseThreshold = cmp.Or(c.PauseThreshold, 2*time.Second)
-	c.WatchWait = cmp.Or(c.WatchWait, 2*time.Second)
+	c.WatchTimeout = cmp.Or(c.WatchTimeout, 2*time.Second)
 	c.HostListInterval = cmp.Or(c.HostListInterval, time.Second)
 	c.History = cmp.Or(c.History, 10*time.Minute)
 	c.FleetSize = cmp.Or(c.FleetSize, 50)
--- a/control/platform.go
+++ b/control/platform.go
@@ -49,7 +49,7 @@
 // watchHead is the duty of a reader: it watches the head at the platform.
 func (n *Node) watchHead(ctx context.Context) {
 	for ctx.Err() == nil {
-		if err := n.readHead(ctx, n.cfg.WatchWait, false); err != nil {
+		if err := n.readHead(ctx, n.cfg.WatchTimeout, false); err != nil {
 			loop.Sleep(ctx, watchRetry)
 		}
 	}
