--- a/agent/config.go
+++ b/agent/config.go
@@ -62,6 +62,6 @@
 	c.HaveEvery = cmp.Or(c.HaveEvery, 200*time.Millisecond)
 	c.Idempotency.AtDate = clock.AtDate
 	c.Idempotency = c.Idempotency.ApplyDefaults()
-	c.Control.History = c.Idempotency.History()
+	c.Control.HistoryRetention = c.Idempotency.History()
 	return c
 }
--- a/command/springgate.go
+++ b/command/springgate.go
@@ -90,7 +90,7 @@
 
 func (o *common) logger() (*logrus.Logger, error) {
 	o.control.HeartbeatInterval = o.heartbeat
-	o.control.History = idempotency.Config{KeyWindow: o.keyWindow}.History()
+	o.control.HistoryRetention = idempotency.Config{KeyWindow: o.keyWindow}.History()
 	l, err := telemetry.NewLogger(os.Stderr, o.logLevel, o.logFormat)
 	if err != nil {
 		return nil, err
--- a/control/config.go
+++ b/control/config.go
@@ -35,8 +35,8 @@
 	WatchTimeout time.Duration
 	// HostListInterval is how often a reader reads the host list. Default 1 s.
 	HostListInterval time.Duration
-	// History is how long earlier revisions are remembered. Default 10 min.
-	History time.Duration
+	// HistoryRetention is how long earlier revisions are remembered. Default 10 min.
+	HistoryRetention time.Duration
 	// FleetSize is how many processes may start at once; the first read is
 	// delayed at random so that they stay under StartRate. Default 50.
 	FleetSize int
@@ -54,7 +54,7 @@
 	c.PauseThreshold = cmp.Or(c.PauseThreshold, 2*time.Second)
 	c.WatchTimeout = cmp.Or(c.WatchTimeout, 2*time.Second)
 	c.HostListInterval = cmp.Or(c.HostListInterval, time.Second)
-	c.History = cmp.Or(c.History, 10*time.Minute)
+	c.HistoryRetention = cmp.Or(c.HistoryRetention, 10*time.Minute)
 	c.FleetSize = cmp.Or(c.FleetSize, 50)
 	c.StartRate = cmp.Or(c.StartRate, 1000.0)
 	c.Readers = c.Readers.ApplyDefaults()
--- a/control/history.go
+++ b/control/history.go
@@ -52,7 +52,7 @@
 func (n *Node) learnPast(now time.Time, h *peer.History) {
 	for _, p := range h.Past {
 		replaced := now.Add(-time.Duration(p.ReplacedAgoMs) * time.Millisecond)
-		if now.Sub(replaced) <= n.cfg.History {
+		if now.Sub(replaced) <= n.cfg.HistoryRetention {
 			n.past = append(n.past, PastHosts{Service: p.Service, Hosts: p.Hosts, Replaced: replaced})
 		}
 	}
@@ -70,7 +70,7 @@
 func (n *Node) pastHosts(now time.Time) []PastHosts {
 	out := n.past[:0:0]
 	for _, p := range n.past {
-		if now.Sub(p.Replaced) <= n.cfg.History {
+		if now.Sub(p.Replaced) <= n.cfg.HistoryRetention {
 			out = append(out, p)
 		}
 	}
--- a/control/node.go
+++ b/control/node.go
@@ -95,7 +95,7 @@
 	cfg = cfg.applyDefaults()
 	n := &Node{cfg: cfg, log: log, count: newCounters(reg), service: service, hosts: hosts, pool: pool,
 		loop: loop.New(), direct: rate.NewLimiter(rate.Inf, directBurst),
-		fold: intent.NewTracker(cfg.History), view: membership.New(cfg.Host, cfg.Membership), rng: rng,
+		fold: intent.NewTracker(cfg.HistoryRetention), view: membership.New(cfg.Host, cfg.Membership), rng: rng,
 		awake: true, pulling: map[string]bool{}, asked: map[string]bool{}}
 	n.snapshot.Store(&Snapshot{})
 	return n
