--- a/agent/requests.go
+++ b/agent/requests.go
@@ -121,7 +121,7 @@
 			current = svc.HostNames()
 		}
 	}
-	h.Past = idempotency.Past{Self: r.cfg.Control.Host, KnownSince: s.KnownSince, HeadAge: clock.Since(s.Proof),
+	h.Past = idempotency.Past{Self: r.cfg.Control.Host, KnownSince: s.KnownSince, HeadAge: clock.Since(s.ConfirmedAt),
 		Current: current}
 	for _, x := range s.Past {
 		if x.Service == service {
--- a/control/config.go
+++ b/control/config.go
@@ -69,9 +69,9 @@
 	Past []PastHosts
 	// KnownSince is the time from which Past is complete.
 	KnownSince time.Time
-	// Proof is when the revision in force was last proven to be the published
+	// ConfirmedAt is when the revision in force was last proven to be the published
 	// one.
-	Proof time.Time
+	ConfirmedAt time.Time
 	// Members are the hosts known, ordered by name.
 	Members []membership.Member
 	Serial  uint64
--- a/control/node.go
+++ b/control/node.go
@@ -187,7 +187,7 @@
 // publish stores a new snapshot and tells the listeners.
 func (n *Node) publish(now time.Time) {
 	s := &Snapshot{Accepted: n.fold.Accepted(), Past: n.pastHosts(now), KnownSince: n.knownSince,
-		Proof: n.proof, Members: n.view.Members(now), Serial: n.view.Serial(), Checked: n.lastTick,
+		ConfirmedAt: n.proof, Members: n.view.Members(now), Serial: n.view.Serial(), Checked: n.lastTick,
 		Awake: n.awake, Reader: n.reader}
 	n.snapshot.Store(s)
 	n.count.revision.Update(int64(s.Revision()))
