--- a/control/config.go
+++ b/control/config.go
@@ -75,8 +75,8 @@
 	// Members are the hosts known, ordered by name.
 	Members []membership.Member
 	Serial  uint64
-	// Checked is when the state was last looked over.
-	Checked time.Time
+	// CheckedAt is when the state was last looked over.
+	CheckedAt time.Time
 	// Awake is false after a pause, until the process has caught up.
 	Awake  bool
 	Reader bool
--- a/control/node.go
+++ b/control/node.go
@@ -116,7 +116,7 @@
 // paused since its state was last looked over.
 func (n *Node) Awake(now time.Time) bool {
 	s := n.snapshot.Load()
-	return s.Awake && now.Sub(s.Checked) <= n.cfg.PauseThreshold
+	return s.Awake && now.Sub(s.CheckedAt) <= n.cfg.PauseThreshold
 }
 
 // Leave makes the process say that it is leaving, from now on.
@@ -187,7 +187,7 @@
 // publish stores a new snapshot and tells the listeners.
 func (n *Node) publish(now time.Time) {
 	s := &Snapshot{Accepted: n.fold.Accepted(), Past: n.pastHosts(now), KnownSince: n.knownSince,
-		ConfirmedAt: n.proof, Members: n.view.Members(now), Serial: n.view.Serial(), Checked: n.lastTick,
+		ConfirmedAt: n.proof, Members: n.view.Members(now), Serial: n.view.Serial(), CheckedAt: n.lastTick,
 		Awake: n.awake, Reader: n.reader}
 	n.snapshot.Store(s)
 	n.count.revision.Update(int64(s.Revision()))
