--- a/agent/requests.go
+++ b/agent/requests.go
@@ -123,7 +123,7 @@
 	}
 	h.Past = idempotency.Past{Self: r.cfg.Control.Host, KnownSince: s.KnownSince, HeadAge: clock.Since(s.ConfirmedAt),
 		Current: current}
-	for _, x := range s.Past {
+	for _, x := range s.PastHosts {
 		if x.Service == service {
 			h.Past.Hosts = append(h.Past.Hosts, x.Hosts)
 		}
--- a/control/config.go
+++ b/control/config.go
@@ -65,8 +65,8 @@
 type Snapshot struct {
 	// Accepted is the revision in force, or nil before the first.
 	Accepted *intent.Accepted
-	// Past lists the hosts that services had under earlier revisions.
-	Past []PastHosts
+	// PastHosts lists the hosts that services had under earlier revisions.
+	PastHosts []PastHosts
 	// KnownSince is the time from which Past is complete.
 	KnownSince time.Time
 	// ConfirmedAt is when the revision in force was last proven to be the published
