--- a/control/config.go
+++ b/control/config.go
@@ -74,7 +74,7 @@
 	ConfirmedAt time.Time
 	// Members are the hosts known, ordered by name.
 	Members []membership.Member
-	Serial  uint64
+	HostsSerial  uint64
 	// CheckedAt is when the state was last looked over.
 	CheckedAt time.Time
 	// Awake is false after a pause, until the process has caught up.
--- a/control/node.go
+++ b/control/node.go
@@ -187,7 +187,7 @@
 // publish stores a new snapshot and tells the listeners.
 func (n *Node) publish(now time.Time) {
 	s := &Snapshot{Accepted: n.fold.Accepted(), PastHosts: n.pastHosts(now), KnownSince: n.knownSince,
-		ConfirmedAt: n.proof, Members: n.view.Members(now), Serial: n.view.Serial(), CheckedAt: n.lastTick,
+		ConfirmedAt: n.proof, Members: n.view.Members(now), HostsSerial: n.view.Serial(), CheckedAt: n.lastTick,
 		Awake: n.awake, Reader: n.reader}
 	n.snapshot.Store(s)
 	n.count.revision.Update(int64(s.Revision()))
--- a/control/platform.go
+++ b/control/platform.go
@@ -230,7 +230,7 @@
 }
 
 func (n *Node) readHosts() {
-	raw, err := n.hosts.Read(n.ctx, n.Snapshot().Serial)
+	raw, err := n.hosts.Read(n.ctx, n.Snapshot().HostsSerial)
 	if errors.Is(err, hostlist.ErrUnchanged) {
 		return
 	}
