--- a/control/gossip.go
+++ b/control/gossip.go
@@ -18,8 +18,8 @@
 // pullTimeout bounds the fetch of a fleet file or host list from a peer.
 const pullTimeout = 5 * time.Second
 
-// ErrAnswer is returned if a peer answers with another message than asked for.
-var ErrAnswer = errors.New("control: unexpected answer of a peer")
+// ErrUnexpectedReply is returned if a peer answers with another message than asked for.
+var ErrUnexpectedReply = errors.New("control: unexpected answer of a peer")
 
 // round exchanges heartbeats with a few hosts. It runs on the loop.
 func (n *Node) round(now time.Time) {
@@ -165,7 +165,7 @@
 	}
 	b, ok := m.(*peer.Blob)
 	if !ok || !b.Found {
-		return nil, ErrAnswer
+		return nil, ErrUnexpectedReply
 	}
 	return b.Data, nil
 }
--- a/control/history.go
+++ b/control/history.go
@@ -21,7 +21,7 @@
 	}
 	h, ok := m.(*peer.History)
 	if !ok {
-		return ErrAnswer
+		return ErrUnexpectedReply
 	}
 	n.loop.Post(func() {
 		now := clock.Now()
