--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -23,19 +23,19 @@
 	"gotest.tools/v3/poll"
 )
 
-// simFleet is a number of real nodes in one process.
+// simFleet is a fleet of real nodes in one process.
 type simFleet struct {
 	platform *standin.Platform
 	nodes    []*Node
 	servers  []*peer.Server
 	pools    []*peer.Pool
 	cancel   context.CancelFunc
-	memory   *memoryNet // in place of sockets, if not nil
+	memory   *memoryNet // used instead of sockets if not nil
 }
 
-// startFleet runs nodes real nodes. The host list has listed entries; those
-// beyond the real ones are further names for the same nodes, so that each node
-// carries the state of the larger fleet.
+// startFleet starts the given number of nodes. The host list has listed entries:
+// those beyond the number of nodes are additional names of the same nodes, so that
+// each node holds the state of a fleet of that size.
 func startFleet(t testing.TB, nodes, listed, domains int) *simFleet {
 	p, err := standin.NewPlatform("127.0.0.1:0")
 	assert.NilError(t, err)
@@ -44,7 +44,8 @@
 	return f
 }
 
-// startFleetInMemory is startFleet for a test in virtual time.
+// startFleetInMemory is like startFleet, but uses no sockets, for tests in virtual
+// time.
 func startFleetInMemory(t testing.TB, nodes, listed, domains int) *simFleet {
 	p, handler := standin.NewPlatformHandler()
 	f := &simFleet{platform: p, memory: &memoryNet{platform: handler, nodes: map[string]memoryNode{}}}
@@ -90,7 +91,7 @@
 	go n.Run(ctx)
 }
 
-// listen lets a node accept connections; it returns its address and its pool.
+// listen starts the peer listener of a node and returns its address and its pool.
 func (f *simFleet) listen(t testing.TB, self peer.Hello, h peer.Handler) (string, *peer.Pool) {
 	meter := &peer.Meter{}
 	if f.memory != nil {
@@ -125,7 +126,8 @@
 	f.platform.Close()
 }
 
-// fleetFile names as many hosts as the list.
+// fleetFile returns a fleet file with the given number of hosts, distinguished
+// from others by n.
 func fleetFile(hosts, n int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "format: 1\nfleet: f\nteams: [{name: t%d}]\nservices:\n  - name: s\n    kind: plain\n    hosts:\n      - domain: d0\n        names:\n", n)
@@ -135,24 +137,24 @@
 	return []byte(b.String())
 }
 
-// publish publishes a revision and returns how long each node took to have it
-// in force, in order.
+// publish publishes a revision, waits until it is in force on all nodes, and
+// returns how long each took, in ascending order.
 func (f *simFleet) publish(t testing.TB, hosts, n int) []time.Duration {
 	at := make([]time.Time, len(f.nodes))
 	began := time.Now()
 	revision := f.platform.Publish(fleetFile(hosts, n))
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
-		left := 0
+		remaining := 0
 		for i, node := range f.nodes {
 			if s := node.Snapshot(); s.Revision() >= revision && at[i].IsZero() {
 				at[i] = s.Accepted.At
 			}
 			if at[i].IsZero() {
-				left++
+				remaining++
 			}
 		}
-		if left > 0 {
-			return poll.Continue("%d nodes left", left)
+		if remaining > 0 {
+			return poll.Continue("%d nodes left", remaining)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(5*time.Millisecond))
@@ -170,7 +172,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
@@ -186,15 +188,16 @@
 	return sum
 }
 
-// Times of a measurement.
+// Duration of the warm-up and of a measurement, and the number of revisions
+// published in one.
 const (
-	settleTime  = 4 * time.Second
+	warmUpTime  = 4 * time.Second
 	measureTime = 4 * time.Second
 	revisions   = 5
 )
 
-// BenchmarkCapacity measures what control costs a node, for a number of real
-// nodes and for the size of the host list that each carries.
+// BenchmarkCapacity measures the CPU time, memory and traffic that control takes
+// per node, by the number of nodes and the size of the host list.
 func BenchmarkCapacity(b *testing.B) {
 	for _, c := range []struct{ nodes, listed int }{{3, 3}, {12, 12}, {48, 48}, {150, 150}, {48, 500}, {48, 1500}, {48, 4790}, {150, 4790}} {
 		b.Run(fmt.Sprintf("nodes=%d/listed=%d", c.nodes, c.listed), func(b *testing.B) {
@@ -205,8 +208,8 @@
 	}
 }
 
-// BenchmarkCapacityAtLimit measures how long a revision takes to be in force
-// while the configuration service refuses most calls.
+// BenchmarkCapacityAtLimit measures how long a revision takes to come into force
+// while the configuration service rejects most calls.
 func BenchmarkCapacityAtLimit(b *testing.B) {
 	for _, nodes := range []int{12, 48, 150} {
 		b.Run(fmt.Sprintf("nodes=%d/refused=8of10", nodes), func(b *testing.B) {
@@ -229,11 +232,11 @@
 }
 
 func measureCapacity(b *testing.B, nodes, listed int) {
-	before := heap()
+	before := heapBytes()
 	f := startFleet(b, nodes, listed, 7)
 	defer f.close()
 	f.publish(b, listed, 0)
-	time.Sleep(settleTime)
+	time.Sleep(warmUpTime)
 	bytes, cpu := f.controlBytes(), cpuTime()
 	calls, _ := f.platform.Calls()
 	began := time.Now()
@@ -244,7 +247,7 @@
 	b.ReportMetric(100*perNode((cpuTime()-cpu).Seconds()), "idle-cpu-%/node")
 	later, _ := f.platform.Calls()
 	b.ReportMetric(float64(later-calls)/span, "calls/s")
-	b.ReportMetric(float64(heap()-before)/float64(nodes)/1024, "KiB/node")
+	b.ReportMetric(float64(heapBytes()-before)/float64(nodes)/1024, "KiB/node")
 	bytes, cpu = f.controlBytes(), cpuTime()
 	var all []time.Duration
 	for i := range revisions {
--- a/control/config.go
+++ b/control/config.go
@@ -1,8 +1,9 @@
-// Package control is the part of a process of `springgate serve` and its agents that keeps its
-// state about the fleet (package gateway has a Control of its own): the fleet file in force, the hosts, and the reader's duty. One
-// goroutine owns that state and publishes immutable snapshots; traffic
-// goroutines only read them. Decisions are made by the pure packages intent
-// and membership.
+// Package control maintains a process's view of the fleet: the fleet file in
+// force, the hosts, and whether the process is a reader, that is, watches the
+// platform on behalf of others. It is used by `springgate serve` and its agents;
+// package gateway has a Control of its own. One goroutine owns the state and
+// publishes immutable snapshots, which request goroutines read. Decisions are
+// made by the pure packages intent and membership.
 package control
 
 import (
@@ -16,31 +17,37 @@
 // Config holds the settings of a Node.
 type Config struct {
 	Host        string
-	Addr        string // address of the own peer listener
+	Addr        string // address of this process's peer listener
 	Domain      string
 	Role        membership.Role
 	Incarnation uint64
 
-	// HeartbeatInterval is the time between two rounds of heartbeats. Shorter spreads
-	// repairs faster and costs more bytes. Default 500 ms.
+	// HeartbeatInterval is the time between two rounds of heartbeats. A
+	// shorter interval propagates updates faster and sends more bytes. Default
+	// 500 ms.
 	HeartbeatInterval time.Duration
-	// LocalFanout and RemoteFanout are how many hosts of this and of other failure domains
-	// get a heartbeat each round. Defaults 2 and 1.
+	// LocalFanout and RemoteFanout are the number of hosts of this and of other
+	// failure domains that are sent a heartbeat in each round. Defaults 2 and 1.
 	LocalFanout, RemoteFanout int
-	// PauseThreshold is the gap in the own clock after which the process takes itself
-	// for stale and catches up before it acts. Default 2 s.
+	// PauseThreshold is the time between two ticks above which the process
+	// assumes that it was paused: its state may be stale, and it does not act
+	// on it until the head is confirmed again. Default 2 s.
 	PauseThreshold time.Duration
-	// WatchTimeout is how long a reader's watch waits at the platform. It bounds
-	// the age of the proof that the head is current. Default 2 s.
+	// WatchTimeout is how long a reader's watch blocks at the platform. It
+	// bounds the age of the last confirmation of the head. Default 2 s.
 	WatchTimeout time.Duration
-	// HostListInterval is how often a reader reads the host list. Default 1 s.
+	// HostListInterval is the time between two reads of the host list by a
+	// reader. Default 1 s.
 	HostListInterval time.Duration
-	// HistoryRetention is how long earlier revisions are remembered. Default 10 min.
+	// HistoryRetention is how long replaced revisions are retained. Default
+	// 10 min.
 	HistoryRetention time.Duration
-	// FleetSize is how many processes may start at once; the first read is
-	// delayed at random so that they stay under StartRate. Default 50.
+	// FleetSize is how many processes may start at the same time. The first
+	// read is delayed at random so that together they stay under StartRate.
+	// Default 50.
 	FleetSize int
-	// StartRate bounds the first reads a second of all. Default 1000.
+	// StartRate limits the first reads per second of the whole fleet. Default
+	// 1000.
 	StartRate float64
 
 	Readers    membership.ReaderConfig
@@ -61,23 +68,24 @@
 	return c
 }
 
-// Snapshot is the immutable state of a Node at one time.
+// Snapshot is an immutable copy of the state of a Node.
 type Snapshot struct {
 	// Accepted is the revision in force, or nil before the first.
 	Accepted *intent.Accepted
-	// PastHosts lists the hosts that services had under earlier revisions.
+	// PastHosts lists the hosts that services had under replaced revisions.
 	PastHosts []PastHosts
-	// KnownSince is the time from which Past is complete.
+	// KnownSince is the time from which PastHosts is complete.
 	KnownSince time.Time
-	// ConfirmedAt is when the revision in force was last proven to be the published
-	// one.
+	// ConfirmedAt is when the platform last confirmed that the revision in force
+	// is the published one.
 	ConfirmedAt time.Time
-	// Members are the hosts known, ordered by name.
-	Members []membership.Member
-	HostsSerial  uint64
-	// CheckedAt is when the state was last looked over.
+	// Members are the known hosts, ordered by name.
+	Members     []membership.Member
+	HostsSerial uint64
+	// CheckedAt is the time of the last tick.
 	CheckedAt time.Time
-	// Awake is false after a pause, until the process has caught up.
+	// Awake is false after a pause of the process, until the head has been
+	// confirmed again.
 	Awake  bool
 	Reader bool
 }
@@ -98,7 +106,7 @@
 	return s.Accepted.Head.Revision
 }
 
-// Member returns the named host.
+// Member returns the named host and whether it is known.
 func (s *Snapshot) Member(host string) (membership.Member, bool) {
 	lo, hi := 0, len(s.Members)
 	for lo < hi {
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -12,50 +12,53 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// maxNotices bounds the leaving notices in one heartbeat.
+// maxNotices is the maximum number of leaving notices in one heartbeat.
 const maxNotices = 16
 
-// pullTimeout bounds the fetch of a fleet file or host list from a peer.
+// pullTimeout limits a fetch from a peer: a fleet file, a host list or a history.
 const pullTimeout = 5 * time.Second
 
-// ErrUnexpectedReply is returned if a peer answers with another message than asked for.
+// ErrUnexpectedReply is returned if a peer replies with a message of
+// another type than the request calls for.
 var ErrUnexpectedReply = errors.New("control: unexpected answer of a peer")
 
-// round exchanges heartbeats with a few hosts. It runs on the loop.
-func (n *Node) round(now time.Time) {
-	n.lastRound = now
+// gossip starts one round of heartbeat exchanges with a few hosts. It runs on the
+// loop.
+func (n *Node) gossip(now time.Time) {
+	n.lastGossip = now
 	hb := n.heartbeat(now)
-	n.choosePartners(now)
-	for _, m := range membership.GossipTargets(n.cfg.Host, n.cfg.Domain, n.partners, n.cfg.LocalFanout, n.cfg.RemoteFanout, n.rng) {
+	n.selectGossipPeers(now)
+	for _, m := range membership.GossipTargets(n.cfg.Host, n.cfg.Domain, n.gossipPeers, n.cfg.LocalFanout, n.cfg.RemoteFanout, n.rng) {
 		go n.exchange(m, hb)
 	}
 }
 
-// Partners are drawn anew now and then, so that a process has few connections
-// at a time and meets all others in the long run.
+// Each round draws its targets from a small set of peers, which is replaced
+// regularly: a process has few open connections at a time, yet exchanges
+// heartbeats with all others over time.
 const (
-	partnerFactor = 3 // partners for each host that gets a heartbeat in a round
-	partnersFor   = 10 * time.Second
+	gossipPeersFactor = 3 // peers in the set for each heartbeat of a round
+	gossipPeersTTL    = 10 * time.Second
 )
 
-func (n *Node) choosePartners(now time.Time) {
-	if now.Sub(n.partnersAt) < partnersFor && len(n.partners) > 0 {
+func (n *Node) selectGossipPeers(now time.Time) {
+	if now.Sub(n.gossipPeersSince) < gossipPeersTTL && len(n.gossipPeers) > 0 {
 		return
 	}
-	n.partnersAt = now
-	n.partners = membership.GossipTargets(n.cfg.Host, n.cfg.Domain, n.snapshot.Load().Members,
-		partnerFactor*n.cfg.LocalFanout, partnerFactor*n.cfg.RemoteFanout, n.rng)
-	n.pool.CloseIdle(now, idleConn)
+	n.gossipPeersSince = now
+	n.gossipPeers = membership.GossipTargets(n.cfg.Host, n.cfg.Domain, n.snapshot.Load().Members,
+		gossipPeersFactor*n.cfg.LocalFanout, gossipPeersFactor*n.cfg.RemoteFanout, n.rng)
+	n.pool.CloseIdle(now, idleConnTimeout)
 }
 
-// idleConn is how long a connection may be unused.
-const idleConn = 2 * partnersFor
+// idleConnTimeout is how long a connection may be unused before it is closed.
+const idleConnTimeout = 2 * gossipPeersTTL
 
-// heartbeat returns what this process says about itself. It runs on the loop.
+// heartbeat returns the heartbeat that this process sends. It runs on the loop.
 func (n *Node) heartbeat(now time.Time) *peer.Heartbeat {
-	ref := n.fold.Ref()
+	ref := n.tracker.Ref()
 	hb := &peer.Heartbeat{Host: n.cfg.Host, Incarnation: n.cfg.Incarnation, Leaving: n.leaving.Load(),
-		Revision: ref.Revision, Digest: ref.Digest, HeadAgeMs: now.Sub(n.proof).Milliseconds(),
+		Revision: ref.Revision, Digest: ref.Digest, HeadAgeMs: now.Sub(n.confirmedAt).Milliseconds(),
 		HostsSerial: n.view.Serial()}
 	for _, x := range n.view.Notices(maxNotices) {
 		hb.Notices = append(hb.Notices, peer.Notice{Host: x.Host, Incarnation: x.Incarnation})
@@ -63,37 +66,38 @@
 	return hb
 }
 
-// exchange sends a heartbeat to one host and takes its reply.
+// exchange sends a heartbeat to one host and applies its reply.
 func (n *Node) exchange(m membership.Member, hb *peer.Heartbeat) {
 	ctx, cancel := clock.WithTimeout(n.ctx, callTimeout)
 	defer cancel()
 	n.count.heartbeatsOut.Inc(1)
 	c, err := n.pool.Get(ctx, m.Addr, peer.Control)
 	if err != nil {
-		n.failed(m.Host)
+		n.recordFailure(m.Host)
 		return
 	}
 	reply, err := c.Call(ctx, hb)
 	h, ok := reply.(*peer.Heartbeat)
 	if err != nil || !ok {
-		n.failed(m.Host)
+		n.recordFailure(m.Host)
 		return
 	}
-	n.loop.Post(func() { n.heard(c, h) })
+	n.loop.Post(func() { n.applyHeartbeat(c, h) })
 }
 
-// failed notes that a host could not be reached.
-func (n *Node) failed(host string) {
+// recordFailure records that a host could not be reached.
+func (n *Node) recordFailure(host string) {
 	if n.ctx.Err() == nil {
 		n.loop.Post(func() {
 			n.view.RecordFailure(clock.Now(), host)
-			n.partners = nil // draw others
+			n.gossipPeers = nil // select others
 		})
 	}
 }
 
-// heard takes a heartbeat that came from its sender. It runs on the loop.
-func (n *Node) heard(c *peer.Conn, h *peer.Heartbeat) {
+// applyHeartbeat applies a heartbeat received over c, and fetches from its sender
+// what is newer there. It runs on the loop.
+func (n *Node) applyHeartbeat(c *peer.Conn, h *peer.Heartbeat) {
 	now := clock.Now()
 	n.count.heartbeatsIn.Inc(1)
 	n.view.RecordStatus(now, h.Host, h.Incarnation, h.Leaving, h.Revision)
@@ -102,21 +106,22 @@
 	}
 	ref := intent.Ref{Revision: h.Revision, Digest: h.Digest}
 	switch {
-	case n.fold.Ref().Less(ref):
+	case n.tracker.Ref().Less(ref):
 		n.pull(c, "head", func(ctx context.Context) error { return n.pullHead(ctx, c, h.HeadAgeMs) })
-	case ref == n.fold.Ref() && ref.Revision > 0:
-		n.proven(now.Add(-time.Duration(h.HeadAgeMs)*time.Millisecond), ref)
+	case ref == n.tracker.Ref() && ref.Revision > 0:
+		n.confirmHead(now.Add(-time.Duration(h.HeadAgeMs)*time.Millisecond), ref)
 	}
 	if h.HostsSerial > n.view.Serial() {
 		n.pull(c, "hosts", func(ctx context.Context) error { return n.pullHosts(ctx, c) })
 	}
-	if !n.asked[h.Host] && len(n.asked) < historyPeers {
-		n.asked[h.Host] = true
+	if !n.historyRequested[h.Host] && len(n.historyRequested) < historyPeers {
+		n.historyRequested[h.Host] = true
 		n.pull(c, "history/"+h.Host, func(ctx context.Context) error { return n.pullHistory(ctx, c) })
 	}
 }
 
-// pull runs one fetch of a kind at a time. It runs on the loop.
+// pull runs f in the background unless a fetch of the same kind is in progress.
+// It runs on the loop.
 func (n *Node) pull(c *peer.Conn, kind string, f func(context.Context) error) {
 	if n.pulling[kind] {
 		return
@@ -143,7 +148,7 @@
 		return err
 	}
 	at := clock.Now().Add(-time.Duration(ageMs) * time.Millisecond)
-	return n.take(ctx, h, at, func(ctx context.Context, p intent.PartRef) ([]byte, error) {
+	return n.applyHead(ctx, h, at, func(ctx context.Context, p intent.PartRef) ([]byte, error) {
 		return blob(ctx, c, &peer.GetPart{Digest: p.Digest})
 	})
 }
@@ -153,13 +158,13 @@
 	if err != nil {
 		return err
 	}
-	n.takeHosts(b)
+	n.applyHosts(b)
 	return nil
 }
 
-// blob asks for a byte string.
-func blob(ctx context.Context, c *peer.Conn, ask peer.Message) ([]byte, error) {
-	m, err := c.Call(ctx, ask)
+// blob sends a request that is answered with a byte string.
+func blob(ctx context.Context, c *peer.Conn, request peer.Message) ([]byte, error) {
+	m, err := c.Call(ctx, request)
 	if err != nil {
 		return nil, err
 	}
@@ -170,8 +175,8 @@
 	return b.Data, nil
 }
 
-// Handle serves a stream about control state. It reports false for messages
-// of other parts.
+// Handle serves a stream if its first message concerns the control state, and
+// reports whether it does.
 func (n *Node) Handle(ctx context.Context, s *peer.Stream, m peer.Message) bool {
 	switch m := m.(type) {
 	case *peer.Heartbeat:
@@ -179,7 +184,7 @@
 	case *peer.GetHead:
 		n.reply(ctx, s, n.headBytes)
 	case *peer.GetPart:
-		n.reply(ctx, s, func() []byte { return n.fold.Part(m.Digest) })
+		n.reply(ctx, s, func() []byte { return n.tracker.Part(m.Digest) })
 	case *peer.GetHosts:
 		n.reply(ctx, s, func() []byte { return n.hostsRaw })
 	case *peer.GetHistory:
@@ -193,7 +198,7 @@
 func (n *Node) handleHeartbeat(ctx context.Context, s *peer.Stream, m *peer.Heartbeat) {
 	var hb *peer.Heartbeat
 	if n.loop.Call(func() {
-		n.heard(s.Conn(), m)
+		n.applyHeartbeat(s.Conn(), m)
 		hb = n.heartbeat(clock.Now())
 	}) == nil {
 		_ = s.SendLast(ctx, hb)
@@ -207,9 +212,9 @@
 	}
 }
 
-// headBytes returns the accepted head in its published form.
+// headBytes returns the accepted head in its published encoding.
 func (n *Node) headBytes() []byte {
-	a := n.fold.Accepted()
+	a := n.tracker.Accepted()
 	if a == nil {
 		return nil
 	}
@@ -225,15 +230,15 @@
 	st := &peer.NodeStatus{Host: n.cfg.Host, Domain: n.cfg.Domain, Role: string(n.cfg.Role),
 		Incarnation: n.cfg.Incarnation, Format: intent.Format, Leaving: n.leaving.Load()}
 	_ = n.loop.Call(func() {
-		ref := n.fold.Ref()
+		ref := n.tracker.Ref()
 		st.Revision, st.Digest = ref.Revision, ref.Digest
-		if p := n.fold.Pending(); p != nil {
+		if p := n.tracker.Pending(); p != nil {
 			st.Pending = p.Revision
 		}
-		if r := n.fold.LastRejection(); r != nil {
+		if r := n.tracker.LastRejection(); r != nil {
 			st.Rejected, st.RejectedFor = r.Ref.Revision, r.Err.Error()
 		}
-		st.HeadAgeMs = clock.Since(n.proof).Milliseconds()
+		st.HeadAgeMs = clock.Since(n.confirmedAt).Milliseconds()
 		st.Reader, st.Awake, st.HostsSerial = n.reader, n.awake, n.view.Serial()
 	})
 	return st
--- a/control/history.go
+++ b/control/history.go
@@ -8,12 +8,12 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// historyPeers is how many peers a new process asks which revisions were in
-// force before it started.
+// historyPeers is the number of peers from which a new process requests the
+// revisions that were in force before it started.
 const historyPeers = 3
 
-// pullHistory learns which hosts the services had before this process
-// started, so that it knows the earlier homes of idempotency keys.
+// pullHistory fetches the hosts that the services had before this process
+// started, from which the earlier homes of idempotency keys follow.
 func (n *Node) pullHistory(ctx context.Context, c *peer.Conn) error {
 	m, err := c.Call(ctx, &peer.GetHistory{})
 	if err != nil {
@@ -29,60 +29,63 @@
 		if since.Before(n.knownSince) && h.Revision >= n.knownUpTo {
 			n.knownSince, n.knownUpTo = since, h.Revision
 		}
-		n.learnPast(now, h)
+		n.mergePastHosts(now, h)
 		n.publish(now)
 	})
 	return nil
 }
 
-// extendHistory notes that a revision has come into force after before. If
-// revisions in between were not seen, their hosts are not known, and the
-// history starts anew until a peer fills the gap.
+// extendHistory records that revision after has replaced revision before. If a
+// revision in between may have been in force elsewhere and was not received
+// here, its hosts are unknown: the known history then starts now, until a peer
+// supplies the missing part.
 func (n *Node) extendHistory(now time.Time, before, after uint64) {
 	if after <= n.knownUpTo {
 		return
 	}
-	if before == 0 || !n.fold.RejectedBetween(max(before, n.knownUpTo), after) {
+	if before == 0 || !n.tracker.RejectedBetween(max(before, n.knownUpTo), after) {
 		n.knownSince = now
-		n.asked = map[string]bool{}
+		n.historyRequested = map[string]bool{}
 	}
 	n.knownUpTo = after
 }
 
-func (n *Node) learnPast(now time.Time, h *peer.History) {
+func (n *Node) mergePastHosts(now time.Time, h *peer.History) {
 	for _, p := range h.Past {
 		replaced := now.Add(-time.Duration(p.ReplacedAgoMs) * time.Millisecond)
 		if now.Sub(replaced) <= n.cfg.HistoryRetention {
-			n.past = append(n.past, PastHosts{Service: p.Service, Hosts: p.Hosts, Replaced: replaced})
+			n.peerPastHosts = append(n.peerPastHosts, PastHosts{Service: p.Service, Hosts: p.Hosts, Replaced: replaced})
 		}
 	}
 }
 
-// PastHosts are the hosts of a service under an earlier revision.
+// PastHosts are the hosts of a service under a replaced revision.
 type PastHosts struct {
 	Service  string
 	Hosts    []string
 	Replaced time.Time // when the revision was replaced
 }
 
-// pastHosts lists the different host lists that services had in the window.
-// It runs on the loop.
+// pastHosts returns the host lists of services that were replaced within the
+// retention period, received from peers or known to this process. It runs on the
+// loop.
 func (n *Node) pastHosts(now time.Time) []PastHosts {
-	out := n.past[:0:0]
-	for _, p := range n.past {
+	out := n.peerPastHosts[:0:0]
+	for _, p := range n.peerPastHosts {
 		if now.Sub(p.Replaced) <= n.cfg.HistoryRetention {
 			out = append(out, p)
 		}
 	}
-	n.past = out
-	return append(out[:len(out):len(out)], n.ownPast()...)
+	n.peerPastHosts = out
+	return append(out[:len(out):len(out)], n.localPastHosts()...)
 }
 
-// ownPast lists the host lists that differ from the next revision's.
-func (n *Node) ownPast() []PastHosts {
+// localPastHosts returns, for each revision that this process has had in force,
+// the host lists of services that the next revision changed.
+func (n *Node) localPastHosts() []PastHosts {
 	var out []PastHosts
-	revisions := n.fold.History()
-	if a := n.fold.Accepted(); a != nil {
+	revisions := n.tracker.History()
+	if a := n.tracker.Accepted(); a != nil {
 		revisions = append(revisions, *a)
 	}
 	for i := 0; i+1 < len(revisions); i++ {
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -14,13 +14,14 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// memoryNet joins nodes and their platform without sockets, for tests in virtual time.
+// memoryNet connects nodes with each other and with their platform without
+// sockets, for tests in virtual time.
 type memoryNet struct {
 	platform http.Handler
 
 	mu    sync.Mutex
 	nodes map[string]memoryNode // by address
-	conns []*peer.Conn          // accepted ones
+	conns []*peer.Conn          // accepted connections
 }
 
 // memoryNode accepts the connections to one address.
@@ -29,7 +30,7 @@
 	handler peer.Handler
 }
 
-// listen lets a node accept connections.
+// listen registers a node that accepts connections to addr.
 func (m *memoryNet) listen(addr string, self peer.Hello, h peer.Handler) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -44,20 +45,20 @@
 	if !ok {
 		return nil, errors.New("connection refused")
 	}
-	near, far := net.Pipe()
+	client, server := net.Pipe()
 	go func() {
-		c, err := peer.NewConn(far, to.self, false, to.handler, &peer.Meter{})
+		c, err := peer.NewConn(server, to.self, false, to.handler, &peer.Meter{})
 		if err != nil {
-			return // the dialling side has closed it
+			return // the dialing side has closed the pipe
 		}
 		m.mu.Lock()
 		defer m.mu.Unlock()
 		m.conns = append(m.conns, c)
 	}()
-	return near, nil
+	return client, nil
 }
 
-// close ends all connections.
+// close removes all nodes and closes their connections.
 func (m *memoryNet) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,7 +68,7 @@
 	}
 }
 
-// clients returns the clients of one node for the platform.
+// clients returns platform clients for one node.
 func (m *memoryNet) clients() (*configservice.Client, *hostlist.Client) {
 	h := httpc.NewServiceWithClient("memory", &http.Client{Transport: m})
 	return configservice.NewOver(h, "http://platform"), hostlist.NewOver(h, "http://platform")
--- a/control/node.go
+++ b/control/node.go
@@ -19,16 +19,16 @@
 	"golang.org/x/time/rate"
 )
 
-// tickEvery is how often the state is looked over.
-const tickEvery = 250 * time.Millisecond
+// tickInterval is the time between two calls of tick.
+const tickInterval = 250 * time.Millisecond
 
-// callTimeout bounds a call to another process.
+// callTimeout limits a call to another process.
 const callTimeout = time.Second
 
-// directBurst is how many direct calls a process may make in a row.
+// directBurst is the burst size of directLimiter.
 const directBurst = 4
 
-// Counters of a Node.
+// counters are the metrics of a Node.
 type counters struct {
 	staleHeads, rejectedHeads, accepted, pauses        metrics.Counter
 	heartbeatsOut, heartbeatsIn, directCalls, pulls    metrics.Counter
@@ -50,7 +50,7 @@
 	}
 }
 
-// Node is the control state of one process.
+// Node maintains the control state of one process.
 type Node struct {
 	cfg     Config
 	log     *logrus.Entry
@@ -59,10 +59,10 @@
 	hosts   *hostlist.Client
 	pool    *peer.Pool
 
-	loop     *loop.Loop
-	snapshot atomic.Pointer[Snapshot]
-	leaving  atomic.Bool
-	direct   *rate.Limiter
+	loop          *loop.Loop
+	snapshot      atomic.Pointer[Snapshot]
+	leaving       atomic.Bool
+	directLimiter *rate.Limiter // of direct calls to the platform
 
 	mu        sync.Mutex
 	listeners []func(*Snapshot)
@@ -70,73 +70,74 @@
 	ctx context.Context // of Run; set before the loop starts
 
 	// The fields below are owned by the loop.
-	fold         *intent.Tracker
-	view         *membership.View
-	rng          *rand.Rand
-	hostsRaw     []byte
-	knownSince   time.Time // the past is complete from here
-	knownUpTo    uint64    // up to this revision
-	proof        time.Time
-	lastTick     time.Time
-	lastRound    time.Time
-	nextFallback time.Time
-	awake        bool
-	reader       bool
-	stopReader   context.CancelFunc
-	partners     []membership.Member // hosts that heartbeats are exchanged with
-	partnersAt   time.Time
-	pulling      map[string]bool
-	asked        map[string]bool // peers whose history was asked for
-	past         []PastHosts     // learned from them
+	tracker          *intent.Tracker
+	view             *membership.View
+	rng              *rand.Rand
+	hostsRaw         []byte
+	knownSince       time.Time // the past hosts are complete from this time
+	knownUpTo        uint64    // up to this revision
+	confirmedAt      time.Time // when the platform last confirmed the head
+	lastTick         time.Time
+	lastGossip       time.Time
+	nextFallback     time.Time
+	awake            bool
+	reader           bool
+	stopReader       context.CancelFunc
+	gossipPeers      []membership.Member // set from which the targets of heartbeats are drawn
+	gossipPeersSince time.Time
+	pulling          map[string]bool // kinds of fetches in progress
+	historyRequested map[string]bool // peers whose history was requested
+	peerPastHosts    []PastHosts     // received from peers
 }
 
-// New returns a node. Run starts it.
+// New returns a Node that has not been started; see Run.
 func New(cfg Config, service *configservice.Client, hosts *hostlist.Client, pool *peer.Pool, log *logrus.Entry, reg metrics.Registry, rng *rand.Rand) *Node {
 	cfg = cfg.applyDefaults()
 	n := &Node{cfg: cfg, log: log, count: newCounters(reg), service: service, hosts: hosts, pool: pool,
-		loop: loop.New(), direct: rate.NewLimiter(rate.Inf, directBurst),
-		fold: intent.NewTracker(cfg.HistoryRetention), view: membership.New(cfg.Host, cfg.Membership), rng: rng,
-		awake: true, pulling: map[string]bool{}, asked: map[string]bool{}}
+		loop: loop.New(), directLimiter: rate.NewLimiter(rate.Inf, directBurst),
+		tracker: intent.NewTracker(cfg.HistoryRetention), view: membership.New(cfg.Host, cfg.Membership), rng: rng,
+		awake: true, pulling: map[string]bool{}, historyRequested: map[string]bool{}}
 	n.snapshot.Store(&Snapshot{})
 	return n
 }
 
-// Snapshot returns the newest state.
+// Snapshot returns the latest snapshot.
 func (n *Node) Snapshot() *Snapshot { return n.snapshot.Load() }
 
-// OnChange registers a function that is called with each new snapshot, on the
-// control goroutine; it must not block.
+// OnChange registers a function that is called with each new snapshot. It is
+// called on the control goroutine and must not block.
 func (n *Node) OnChange(f func(*Snapshot)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.listeners = append(n.listeners, f)
 }
 
-// Awake reports whether the process may act on what it knows: it has not been
-// paused since its state was last looked over.
+// Awake reports whether the process may act on its snapshot: it is not recovering
+// from a pause, and the last tick is recent enough to rule out a new one.
 func (n *Node) Awake(now time.Time) bool {
 	s := n.snapshot.Load()
 	return s.Awake && now.Sub(s.CheckedAt) <= n.cfg.PauseThreshold
 }
 
-// Leave makes the process say that it is leaving, from now on.
+// Leave makes all further heartbeats announce that the process is leaving, and
+// sends a round of them at once.
 func (n *Node) Leave() {
 	n.leaving.Store(true)
-	n.loop.Post(func() { n.round(clock.Now()) })
+	n.loop.Post(func() { n.gossip(clock.Now()) })
 }
 
-// Run keeps the state until ctx is done.
+// Run maintains the state until ctx is done.
 func (n *Node) Run(ctx context.Context) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	n.ctx = ctx
 	go n.start()
-	go n.loop.Every(ctx, tickEvery, func() { n.tick(clock.Now()) })
+	go n.loop.Every(ctx, tickInterval, func() { n.tick(clock.Now()) })
 	n.loop.Run(ctx)
 }
 
-// start makes the first reads after a random delay, so that a fleet that
-// starts all at once stays under the platform's limit.
+// start reads the host list after a random delay, so that a fleet whose processes
+// start at the same time stays under the platform's rate limit.
 func (n *Node) start() {
 	var delay time.Duration
 	if n.loop.Call(func() {
@@ -154,7 +155,8 @@
 	n.readHosts()
 }
 
-// tick looks over the state. It runs on the loop.
+// tick detects pauses, expires old state, publishes a snapshot and starts
+// whatever is due. It runs on the loop.
 func (n *Node) tick(now time.Time) {
 	if !n.lastTick.IsZero() && now.Sub(n.lastTick) > n.cfg.PauseThreshold {
 		n.count.pauses.Inc(1)
@@ -163,19 +165,19 @@
 		n.nextFallback = time.Time{}
 	}
 	n.lastTick = now
-	n.noteBytes()
+	n.updateByteGauges()
 	n.view.Tick(now)
-	n.fold.Expire(now)
+	n.tracker.Expire(now)
 	n.publish(now)
 	n.updateReader(now)
-	if now.Sub(n.lastRound) >= n.cfg.HeartbeatInterval {
-		n.round(now)
+	if now.Sub(n.lastGossip) >= n.cfg.HeartbeatInterval {
+		n.gossip(now)
 	}
 	n.fallback(now)
 }
 
-// noteBytes brings the gauges of exchanged bytes up to date.
-func (n *Node) noteBytes() {
+// updateByteGauges updates the gauges of bytes sent and received.
+func (n *Node) updateByteGauges() {
 	in, out := n.pool.Meter().Bytes(peer.Control)
 	n.count.bytesIn.Update(in)
 	n.count.bytesOut.Update(out)
@@ -184,10 +186,10 @@
 	n.count.trafficOut.Update(out)
 }
 
-// publish stores a new snapshot and tells the listeners.
+// publish stores a new snapshot and calls the listeners.
 func (n *Node) publish(now time.Time) {
-	s := &Snapshot{Accepted: n.fold.Accepted(), PastHosts: n.pastHosts(now), KnownSince: n.knownSince,
-		ConfirmedAt: n.proof, Members: n.view.Members(now), HostsSerial: n.view.Serial(), CheckedAt: n.lastTick,
+	s := &Snapshot{Accepted: n.tracker.Accepted(), PastHosts: n.pastHosts(now), KnownSince: n.knownSince,
+		ConfirmedAt: n.confirmedAt, Members: n.view.Members(now), HostsSerial: n.view.Serial(), CheckedAt: n.lastTick,
 		Awake: n.awake, Reader: n.reader}
 	n.snapshot.Store(s)
 	n.count.revision.Update(int64(s.Revision()))
--- a/control/node_test.go
+++ b/control/node_test.go
@@ -10,20 +10,21 @@
 	"gotest.tools/v3/poll"
 )
 
-func waitFor(t testing.TB, what string, ok func() bool) {
+func waitFor(t testing.TB, condition string, ok func() bool) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if ok() {
 			return poll.Success()
 		}
-		return poll.Continue("%s", what)
+		return poll.Continue("%s", condition)
 	}, poll.WithTimeout(30*time.Second), poll.WithDelay(5*time.Millisecond))
 }
 
-// Few processes watch; the rest hears from peers. The platform counts.
-// In virtual time: a process that is paused for longer than its lease reads the platform by
-// design, and beside other work many are.
-func TestCallsStayFew(t *testing.T) {
+// Only the readers watch the platform and the other processes receive revisions
+// from peers, so the number of platform calls per revision is bounded. The test
+// runs in virtual time, because a process that is paused for longer than its lease
+// reads the platform by design, and on a busy machine many are.
+func TestPlatformCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleetInMemory(t, 40, 40, 2)
 		defer f.close()
@@ -48,9 +49,9 @@
 	return n
 }
 
-// A revision comes into force while the platform refuses most calls, and when
-// it was down for a while.
-func TestRevisionThroughAFailingPlatform(t *testing.T) {
+// Revisions come into force while the platform rejects most calls, and after it
+// was down for a while.
+func TestRevisionsWhilePlatformFails(t *testing.T) {
 	f := startFleet(t, 12, 12, 3)
 	defer f.close()
 	f.publish(t, 12, 0)
@@ -72,36 +73,37 @@
 	}
 }
 
-// A head below the revision in force comes from a stale replica and proves
-// nothing.
-func TestStaleReplicaIsNoProof(t *testing.T) {
+// A head below the revision in force comes from a stale replica and must not count
+// as a confirmation.
+func TestStaleReplicaDoesNotConfirmHead(t *testing.T) {
 	f := startFleet(t, 1, 1, 1)
 	defer f.close()
 	f.publish(t, 1, 0)
 	f.publish(t, 1, 1)
 	n := f.nodes[0]
 	assert.NilError(t, n.loop.Call(func() {
-		now, old := time.Now(), n.fold.Ref()
+		now, old := time.Now(), n.tracker.Ref()
 		old.Revision--
-		n.proof, n.awake = time.Time{}, false
-		n.proven(now, old)
-		assert.Check(t, n.proof.IsZero() && !n.awake)
-		n.proven(now, n.fold.Ref())
-		assert.Check(t, n.proof.Equal(now) && n.awake)
+		n.confirmedAt, n.awake = time.Time{}, false
+		n.confirmHead(now, old)
+		assert.Check(t, n.confirmedAt.IsZero() && !n.awake)
+		n.confirmHead(now, n.tracker.Ref())
+		assert.Check(t, n.confirmedAt.Equal(now) && n.awake)
 	}))
 }
 
-// A paused process does not act until it has caught up.
-func TestPauseIsNoticed(t *testing.T) {
+// A process that was paused must not act on its state until the head is confirmed
+// again.
+func TestPauseIsDetected(t *testing.T) {
 	f := startFleet(t, 3, 3, 1)
 	defer f.close()
 	f.publish(t, 3, 0)
 	n := f.nodes[0]
 	waitFor(t, "awake", func() bool { return n.Awake(time.Now()) })
-	assert.Assert(t, !n.Awake(time.Now().Add(n.cfg.PauseThreshold+tickEvery)), "no tick for too long")
+	assert.Assert(t, !n.Awake(time.Now().Add(n.cfg.PauseThreshold+tickInterval)), "no tick for too long")
 	pauses := n.count.pauses.Count()
 	_ = n.loop.Call(func() {
-		n.proof = time.Time{}
+		n.confirmedAt = time.Time{}
 		n.lastTick = time.Now().Add(-time.Minute)
 		n.tick(time.Now())
 		assert.Check(t, !n.snapshot.Load().Awake)
@@ -110,10 +112,10 @@
 	waitFor(t, "caught up", func() bool { return n.Awake(time.Now()) })
 }
 
-// A process that skipped revisions takes its knowledge of earlier homes for
-// incomplete until a peer fills the gap.
+// A process that skipped revisions must treat its history of earlier homes as
+// incomplete until a peer supplies the missing part.
 func TestSkippedRevisionShortensHistory(t *testing.T) {
-	n := &Node{cfg: Config{}.applyDefaults(), fold: intent.NewTracker(time.Minute), asked: map[string]bool{}}
+	n := &Node{cfg: Config{}.applyDefaults(), tracker: intent.NewTracker(time.Minute), historyRequested: map[string]bool{}}
 	start := time.Unix(1_800_000_000, 0)
 	n.extendHistory(start, 0, 5)
 	n.extendHistory(start.Add(time.Second), 5, 6)
--- a/control/platform.go
+++ b/control/platform.go
@@ -13,16 +13,17 @@
 	"golang.org/x/time/rate"
 )
 
-// watchRetry is how long a reader waits after a failed watch.
-const watchRetry = time.Second
+// watchRetryDelay is how long a reader waits after a failed watch.
+const watchRetryDelay = time.Second
 
-// updateReader starts or stops the reader's duty. It runs on the loop.
+// updateReader makes this process a reader or ends that role, according to the
+// members. It runs on the loop.
 func (n *Node) updateReader(now time.Time) {
 	members := n.snapshot.Load().Members
 	_, listed := n.snapshot.Load().Member(n.cfg.Host)
 	on := listed && n.awake && !n.leaving.Load() &&
 		n.cfg.Readers.IsReader(n.cfg.Host, n.cfg.Domain, members)
-	n.limitDirect(len(members))
+	n.updateDirectLimit(len(members))
 	if on == n.reader {
 		return
 	}
@@ -37,37 +38,38 @@
 	go n.watchHosts(ctx)
 }
 
-// limitDirect shares the fleet's fallback rate among its processes.
-func (n *Node) limitDirect(fleet int) {
+// updateDirectLimit sets the limit on direct calls to this process's share of the
+// fleet's fallback rate.
+func (n *Node) updateDirectLimit(fleet int) {
 	share := n.cfg.Readers.FallbackRate / float64(max(1, fleet))
 	limit := rate.Limit(max(1, share))
-	if n.direct.Limit() != limit {
-		n.direct.SetLimit(limit)
+	if n.directLimiter.Limit() != limit {
+		n.directLimiter.SetLimit(limit)
 	}
 }
 
-// watchHead is the duty of a reader: it watches the head at the platform.
+// watchHead watches the head at the platform while this process is a reader.
 func (n *Node) watchHead(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := n.readHead(ctx, n.cfg.WatchTimeout, false); err != nil {
-			loop.Sleep(ctx, watchRetry)
+			loop.Sleep(ctx, watchRetryDelay)
 		}
 	}
 }
 
-// readHead reads or watches the head and offers it. limited says whether the
-// reads of parts obey the limit on direct calls.
+// readHead reads the head, or watches it if wait is not 0, and applies it. If
+// limited is true, reads of parts are subject to directLimiter.
 func (n *Node) readHead(ctx context.Context, wait time.Duration, limited bool) error {
 	var after intent.Ref
 	if a := n.Snapshot().Accepted; a != nil && wait > 0 {
 		after = a.Head.Ref()
 	}
 	n.count.directCalls.Inc(1)
-	asked := clock.Now()
+	requested := clock.Now()
 	h, err := n.service.Watch(ctx, after, wait)
 	switch {
 	case errors.Is(err, configservice.ErrUnchanged):
-		n.loop.Post(func() { n.proven(asked, n.fold.Ref()) })
+		n.loop.Post(func() { n.confirmHead(requested, n.tracker.Ref()) })
 		return nil
 	case errors.Is(err, intent.ErrHeadShape), errors.Is(err, intent.ErrHeadFormat):
 		n.loop.Post(func() { n.offerHead(h) })
@@ -76,23 +78,23 @@
 		n.count.platformFailures.Inc(1)
 		return err
 	}
-	if err := n.take(ctx, h, asked, n.partFromService(limited)); err != nil {
+	if err := n.applyHead(ctx, h, requested, n.partFromService(limited)); err != nil {
 		n.count.platformFailures.Inc(1)
 		return err
 	}
 	if v := n.verdict(h); v != intent.HeadAccepted && v != intent.HeadCurrent {
-		loop.Sleep(ctx, watchRetry) // a watch for a rejected or older head returns at once
+		loop.Sleep(ctx, watchRetryDelay) // the platform answers a watch at once while its head is a rejected or an older one
 	}
 	return nil
 }
 
-// partReader gets one part of a fleet file.
+// partReader reads one part of a fleet file.
 type partReader func(ctx context.Context, p intent.PartRef) ([]byte, error)
 
 func (n *Node) partFromService(limited bool) partReader {
 	return func(ctx context.Context, p intent.PartRef) ([]byte, error) {
 		if limited {
-			if err := n.direct.Wait(ctx); err != nil {
+			if err := n.directLimiter.Wait(ctx); err != nil {
 				return nil, err
 			}
 		}
@@ -101,9 +103,9 @@
 	}
 }
 
-// take offers a head and fetches the parts that it misses. asked is when the
-// head was asked for, which is when it was proven.
-func (n *Node) take(ctx context.Context, h intent.Head, asked time.Time, get partReader) error {
+// applyHead offers a head to the tracker, fetches its missing parts and then
+// records it as confirmed at the time requested, when the head was requested.
+func (n *Node) applyHead(ctx context.Context, h intent.Head, requested time.Time, get partReader) error {
 	var missing []intent.PartRef
 	if err := n.loop.Call(func() {
 		n.offerHead(h)
@@ -118,38 +120,39 @@
 		}
 		n.loop.Post(func() { n.offerPart(b) })
 	}
-	return n.loop.Call(func() { n.proven(asked, h.Ref()) })
+	return n.loop.Call(func() { n.confirmHead(requested, h.Ref()) })
 }
 
-// missingOf lists the parts of h that are not held, if h is wanted at all.
+// missingOf returns the parts of h that are missing, or none if h is not above
+// the revision in force.
 func (n *Node) missingOf(h intent.Head) []intent.PartRef {
-	if !n.fold.Ref().Less(h.Ref()) {
+	if !n.tracker.Ref().Less(h.Ref()) {
 		return nil
 	}
-	wanted := map[string]bool{}
-	for _, d := range n.fold.Missing() {
-		wanted[d.String()] = true
+	missing := map[string]bool{}
+	for _, d := range n.tracker.Missing() {
+		missing[d.String()] = true
 	}
 	var out []intent.PartRef
 	for _, p := range h.Parts {
-		if wanted[p.Digest.String()] {
+		if missing[p.Digest.String()] {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// verdict says what became of a head that was offered.
+// verdict returns the tracker's verdict on a head that was offered before.
 func (n *Node) verdict(h intent.Head) intent.HeadVerdict {
 	var v intent.HeadVerdict
-	_ = n.loop.Call(func() { v, _ = n.fold.OfferHead(clock.Now(), h) })
+	_ = n.loop.Call(func() { v, _ = n.tracker.OfferHead(clock.Now(), h) })
 	return v
 }
 
-// offerHead takes note of a head. It runs on the loop.
+// offerHead offers a head to the tracker. It runs on the loop.
 func (n *Node) offerHead(h intent.Head) {
-	before := n.fold.Ref()
-	v, err := n.fold.OfferHead(clock.Now(), h)
+	before := n.tracker.Ref()
+	v, err := n.tracker.OfferHead(clock.Now(), h)
 	switch v {
 	case intent.HeadStale:
 		n.count.staleHeads.Inc(1)
@@ -157,44 +160,46 @@
 		n.count.rejectedHeads.Inc(1)
 		n.log.WithField("revision", h.Revision).WithError(err).Warn("Revision rejected.")
 	}
-	n.accepted(before)
+	n.onAccepted(before)
 }
 
 func (n *Node) offerPart(b []byte) {
-	before := n.fold.Ref()
-	if n.fold.OfferPart(clock.Now(), b) {
-		n.accepted(before)
+	before := n.tracker.Ref()
+	if n.tracker.OfferPart(clock.Now(), b) {
+		n.onAccepted(before)
 	}
 }
 
-// accepted acts on a revision that has come into force. It runs on the loop.
-func (n *Node) accepted(before intent.Ref) {
-	if n.fold.Ref() == before {
+// onAccepted publishes and gossips the revision in force if it is no longer
+// before. It runs on the loop.
+func (n *Node) onAccepted(before intent.Ref) {
+	if n.tracker.Ref() == before {
 		return
 	}
 	now := clock.Now()
 	n.count.accepted.Inc(1)
-	n.log.WithField("revision", n.fold.Ref().Revision).Info("Revision in force.")
-	n.extendHistory(now, before.Revision, n.fold.Ref().Revision)
+	n.log.WithField("revision", n.tracker.Ref().Revision).Info("Revision in force.")
+	n.extendHistory(now, before.Revision, n.tracker.Ref().Revision)
 	n.publish(now)
-	n.round(now) // tell others at once
+	n.gossip(now) // propagate the revision without delay
 }
 
-// proven notes that the platform showed ref as its head at time at. A head
-// below the revision in force comes from a stale replica and proves nothing;
-// one above it that was rejected proves that none better is published.
-func (n *Node) proven(at time.Time, ref intent.Ref) {
-	if ref.Less(n.fold.Ref()) {
+// confirmHead records that the platform returned ref as its head at time at. A
+// head below the revision in force comes from a stale replica and confirms
+// nothing. A rejected head above it confirms the revision in force, since no
+// newer valid one is published.
+func (n *Node) confirmHead(at time.Time, ref intent.Ref) {
+	if ref.Less(n.tracker.Ref()) {
 		return
 	}
-	if at.After(n.proof) {
-		n.proof = at
+	if at.After(n.confirmedAt) {
+		n.confirmedAt = at
 	}
-	n.caughtUp()
+	n.endPause()
 }
 
-// caughtUp ends the state after a pause.
-func (n *Node) caughtUp() {
+// endPause allows the process to act on its state again after a pause.
+func (n *Node) endPause() {
 	if n.awake {
 		return
 	}
@@ -203,17 +208,18 @@
 	n.publish(clock.Now())
 }
 
-// fallback reads the platform directly if nobody has proven the head for too
-// long. It runs on the loop.
+// fallback reads the head and the host list directly from the platform if the
+// head has not been confirmed for Readers.StaleAfter or the process was paused.
+// It runs on the loop.
 func (n *Node) fallback(now time.Time) {
-	old := now.Sub(n.proof) > n.cfg.Readers.StaleAfter
-	if !old && n.awake || now.Before(n.nextFallback) || n.view.Len() == 0 {
+	stale := now.Sub(n.confirmedAt) > n.cfg.Readers.StaleAfter
+	if !stale && n.awake || now.Before(n.nextFallback) || n.view.Len() == 0 {
 		return
 	}
 	first := n.nextFallback.IsZero()
 	n.nextFallback = now.Add(n.cfg.Readers.FallbackDelay(n.view.Len(), n.rng))
 	if first && n.awake {
-		return // others may be about to tell
+		return // a peer may confirm the head before the delay ends
 	}
 	go func() {
 		_ = n.readHead(n.ctx, 0, true)
@@ -221,7 +227,7 @@
 	}()
 }
 
-// watchHosts is the duty of a reader: it reads the host list.
+// watchHosts polls the host list while this process is a reader.
 func (n *Node) watchHosts(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.readHosts()
@@ -239,11 +245,11 @@
 		n.log.WithError(err).Debug("Host list not read.")
 		return
 	}
-	n.takeHosts(raw)
+	n.applyHosts(raw)
 }
 
-// takeHosts applies a host list in its published form.
-func (n *Node) takeHosts(raw []byte) {
+// applyHosts applies a host list in its published encoding.
+func (n *Node) applyHosts(raw []byte) {
 	l, err := hostlist.Parse(raw)
 	if err != nil {
 		n.log.WithError(err).Warn("Host list refused.")
@@ -255,18 +261,18 @@
 			return
 		}
 		n.hostsRaw = raw
-		n.partners = nil
+		n.gossipPeers = nil
 		n.publish(now)
 		n.closeUnlisted()
-		n.round(now)
+		n.gossip(now)
 	})
 }
 
-// closeUnlisted closes connections to processes that are gone.
+// closeUnlisted closes connections to processes that are no longer listed.
 func (n *Node) closeUnlisted() {
-	addrs := map[string]bool{}
+	listed := map[string]bool{}
 	for _, m := range n.snapshot.Load().Members {
-		addrs[m.Addr] = true
+		listed[m.Addr] = true
 	}
-	n.pool.Keep(func(addr string) bool { return addrs[addr] })
+	n.pool.Keep(func(addr string) bool { return listed[addr] })
 }
--- a/control/suspension_test.go
+++ b/control/suspension_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A process whose machine was suspended did not notice that it had not been running, and
-// acted on what it had known before, also on leases that had ended meanwhile.
+// A process whose machine was suspended must detect the pause. Otherwise it acts on
+// the state from before the suspension, including leases that have expired since.
 func TestSuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	f := startFleet(t, 3, 3, 1)
@@ -19,9 +19,9 @@
 	for _, d := range []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second} {
 		pauses := n.count.pauses.Count()
 		machine.Suspend(d)
-		limit := time.Now().Add(4 * tickEvery)
+		limit := time.Now().Add(4 * tickInterval)
 		for n.count.pauses.Count() == pauses && time.Now().Before(limit) {
-			time.Sleep(tickEvery / 4)
+			time.Sleep(tickInterval / 4)
 		}
 		assert.Check(t, n.count.pauses.Count() > pauses, "suspended for %v", d)
 	}
