--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -154,7 +154,7 @@
 			}
 		}
 		if remaining > 0 {
-			return poll.Continue("%d nodes left", remaining)
+			return poll.Continue("%d nodes do not have the revision in force", remaining)
 		}
 		return poll.Success()
 	}, poll.WithTimeout(time.Minute), poll.WithDelay(5*time.Millisecond))
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -20,7 +20,7 @@
 
 // ErrUnexpectedReply is returned if a peer replies with a message of
 // another type than the request calls for.
-var ErrUnexpectedReply = errors.New("control: unexpected answer of a peer")
+var ErrUnexpectedReply = errors.New("control: unexpected reply from a peer")
 
 // gossip starts one round of heartbeat exchanges with a few hosts. It runs on the
 // loop.
--- a/control/node_test.go
+++ b/control/node_test.go
@@ -29,13 +29,13 @@
 		f := startFleetInMemory(t, 40, 40, 2)
 		defer f.close()
 		f.publish(t, 40, 0)
-		waitFor(t, "readers are chosen", func() bool { return f.readers() == 6 })
+		waitFor(t, "6 readers are selected", func() bool { return f.readers() == 6 })
 		before, _ := f.platform.Calls()
 		f.publish(t, 40, 1)
 		after, peak := f.platform.Calls()
 		// Each reader may read the head, watch again and read the one part.
 		assert.Assert(t, after-before <= 6*4, "%d calls for one revision", after-before)
-		assert.Assert(t, peak <= 400, "%d calls in one second", peak)
+		assert.Assert(t, peak <= 400, "peak of %d calls in one second", peak)
 	})
 }
 
@@ -60,7 +60,7 @@
 	f.platform.SetAtLimit(0)
 	f.platform.SetDown(true)
 	before, _ := f.platform.Calls()
-	waitFor(t, "calls go on while it is down", func() bool {
+	waitFor(t, "calls continue while the platform is down", func() bool {
 		now, _ := f.platform.Calls()
 		return now > before+5
 	})
@@ -99,8 +99,8 @@
 	defer f.close()
 	f.publish(t, 3, 0)
 	n := f.nodes[0]
-	waitFor(t, "awake", func() bool { return n.Awake(time.Now()) })
-	assert.Assert(t, !n.Awake(time.Now().Add(n.cfg.PauseThreshold+tickInterval)), "no tick for too long")
+	waitFor(t, "the process is awake", func() bool { return n.Awake(time.Now()) })
+	assert.Assert(t, !n.Awake(time.Now().Add(n.cfg.PauseThreshold+tickInterval)), "awake without a tick for longer than the pause threshold")
 	pauses := n.count.pauses.Count()
 	_ = n.loop.Call(func() {
 		n.confirmedAt = time.Time{}
@@ -109,7 +109,7 @@
 		assert.Check(t, !n.snapshot.Load().Awake)
 	})
 	assert.Equal(t, n.count.pauses.Count(), pauses+1)
-	waitFor(t, "caught up", func() bool { return n.Awake(time.Now()) })
+	waitFor(t, "the process has caught up", func() bool { return n.Awake(time.Now()) })
 }
 
 // A process that skipped revisions must treat its history of earlier homes as
--- a/control/platform.go
+++ b/control/platform.go
@@ -204,7 +204,7 @@
 		return
 	}
 	n.awake = true
-	n.log.Info("Caught up.")
+	n.log.Info("Caught up after a pause.")
 	n.publish(clock.Now())
 }
 
@@ -242,7 +242,7 @@
 	}
 	if err != nil {
 		n.count.platformFailures.Inc(1)
-		n.log.WithError(err).Debug("Host list not read.")
+		n.log.WithError(err).Debug("Cannot read the host list.")
 		return
 	}
 	n.applyHosts(raw)
@@ -252,7 +252,7 @@
 func (n *Node) applyHosts(raw []byte) {
 	l, err := hostlist.Parse(raw)
 	if err != nil {
-		n.log.WithError(err).Warn("Host list refused.")
+		n.log.WithError(err).Warn("Host list rejected.")
 		return
 	}
 	n.loop.Post(func() {
