--- a/agent/requests.go
+++ b/agent/requests.go
@@ -110,9 +110,9 @@
 }
 
 // host describes this agent for a decision.
-func (r *requests) host(service string) intake.Host {
+func (r *requests) host(service string) intake.HostState {
 	s := r.node.Snapshot()
-	h := intake.Host{Incarnation: r.cfg.Control.Incarnation, Awake: r.node.Awake(clock.Now()), Ready: r.serves().ready}
+	h := intake.HostState{Incarnation: r.cfg.Control.Incarnation, Awake: r.node.Awake(clock.Now()), Ready: r.serves().ready}
 	var current []string
 	if f := s.Fleet(); f != nil {
 		h.HasIntent = true
@@ -144,7 +144,7 @@
 }
 
 // admit decides on an attempt by what the host says of itself.
-func (r *requests) admit(h intake.Host, d *peer.Dispatch, fenced bool) begun {
+func (r *requests) admit(h intake.HostState, d *peer.Dispatch, fenced bool) begun {
 	now := clock.Now()
 	w := &work{id: attemptID(d.Attempt), dispatch: d, answer: newAnswer(), verdict: make(chan intake.Refusal, 1),
 		deadline: now.Add(time.Duration(d.TimeoutMs) * time.Millisecond)}
--- a/agent/suspension_test.go
+++ b/agent/suspension_test.go
@@ -39,7 +39,7 @@
 		machine := clocktest.New(t)
 		r := newRequests(Config{}, nil, nil, &sync.WaitGroup{})
 		r.intake.Configure(clock.Now(), admission.Limits{Concurrency: 1, Queue: 10}, []admission.TeamLimits{{Name: "blue"}})
-		host := intake.Host{HasIntent: true, Awake: true, Ready: true, Service: "s"}
+		host := intake.HostState{HasIntent: true, Awake: true, Ready: true, Service: "s"}
 		arrive := func(try uint16) begun {
 			return r.admit(host, &peer.Dispatch{Attempt: peer.Attempt{Try: try}, Service: "s", Team: "blue", TimeoutMs: timeout.Milliseconds()}, false)
 		}
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -16,8 +16,8 @@
 // MinRetryAfter is told to callers when no better time is known.
 const MinRetryAfter = time.Second
 
-// Host is what the rest of the agent says about itself at the moment.
-type Host struct {
+// HostState is what the rest of the agent says about itself at the moment.
+type HostState struct {
 	Incarnation uint64
 	Awake       bool   // not paused since it last looked around
 	HasIntent   bool   // a fleet file is in force
@@ -100,7 +100,7 @@
 
 // Arrive decides on an attempt. fenced is true once the earlier homes of its
 // key have been asked and have fenced it.
-func (k *Intake) Arrive(now time.Time, h Host, a Attempt, fenced bool) (Decision, Effects) {
+func (k *Intake) Arrive(now time.Time, h HostState, a Attempt, fenced bool) (Decision, Effects) {
 	switch k.table.Begin(a.ID) {
 	case idempotency.Never:
 	case idempotency.Fenced:
@@ -129,7 +129,7 @@
 }
 
 // precheck refuses what does not depend on records.
-func precheck(h Host, a Attempt) outcome.Reason {
+func precheck(h HostState, a Attempt) outcome.Reason {
 	switch {
 	case a.Incarnation != h.Incarnation:
 		return outcome.Fenced
@@ -149,7 +149,7 @@
 }
 
 // arriveKeyed returns Run if the key is new here and elsewhere.
-func (k *Intake) arriveKeyed(now time.Time, h Host, a Attempt, fenced bool) Decision {
+func (k *Intake) arriveKeyed(now time.Time, h HostState, a Attempt, fenced bool) Decision {
 	d := k.table.BeginKey(now, a.keyID(), a.Print, h.Past)
 	switch {
 	case d.Verdict == idempotency.KeyReplay:
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -239,13 +239,13 @@
 	w.apply(a, eff)
 }
 
-func (w *world) hostOf(a *agentSim) intake.Host {
+func (w *world) hostOf(a *agentSim) intake.HostState {
 	p := idempotency.Past{Self: a.name, KnownSince: a.view.knownSince, HeadAge: w.now.Sub(a.view.proof),
 		Current: w.revisions[a.view.revision]}
 	for _, x := range a.view.past {
 		p.Hosts = append(p.Hosts, w.revisions[x.revision])
 	}
-	return intake.Host{Incarnation: a.inc, Awake: true, HasIntent: true, Service: service, Ready: true, Past: p}
+	return intake.HostState{Incarnation: a.inc, Awake: true, HasIntent: true, Service: service, Ready: true, Past: p}
 }
 
 func (w *world) resolveAsk(s *sub, c *conn, id idempotency.AttemptID, att intake.Attempt, homes []string, reachable bool) {
