--- a/agent/requests.go
+++ b/agent/requests.go
@@ -167,7 +167,7 @@
 
 func attemptOf(d *peer.Dispatch, deadline time.Time) intake.Attempt {
 	return intake.Attempt{ID: attemptID(d.Attempt), Incarnation: d.Incarnation, Service: d.Service, Team: d.Team,
-		Key: d.Key, Print: d.Print, Urgency: int(d.Urgency), Deadline: deadline}
+		Key: d.Key, Fingerprint: d.Print, Urgency: int(d.Urgency), Deadline: deadline}
 }
 
 // heldAnswer returns the answer of a finished attempt, or turns the decision
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -33,7 +33,7 @@
 	Service     string
 	Team        string
 	Key         string // "" if none
-	Print       idempotency.Print
+	Fingerprint       idempotency.Print
 	Urgency     int
 	Deadline    time.Time
 }
@@ -150,7 +150,7 @@
 
 // arriveKeyed returns Run if the key is new here and elsewhere.
 func (k *Intake) arriveKeyed(now time.Time, h HostState, a Attempt, fenced bool) Decision {
-	d := k.table.BeginKey(now, a.keyID(), a.Print, h.Past)
+	d := k.table.BeginKey(now, a.keyID(), a.Fingerprint, h.Past)
 	switch {
 	case d.Verdict == idempotency.KeyReplay:
 		// The attempt itself runs nothing; should its connection break, the
@@ -168,7 +168,7 @@
 
 func (k *Intake) admit(now time.Time, a Attempt) (Decision, Effects) {
 	if a.Key != "" {
-		k.table.StartKey(now, a.keyID(), a.Print, a.ID)
+		k.table.StartKey(now, a.keyID(), a.Fingerprint, a.ID)
 	}
 	k.next++
 	k.numbers[a.ID], k.ids[k.next] = k.next, a.ID
