--- a/agent/run.go
+++ b/agent/run.go
@@ -40,7 +40,7 @@
 	if a.requests.loop.Call(func() { b = a.requests.begin(d, false) }) != nil {
 		return stopped
 	}
-	if b.Action != intake.Ask {
+	if b.Action != intake.FenceHomes {
 		return b
 	}
 	fenced := a.fenceEarlierHomes(ctx, d, b.Homes)
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -52,7 +52,7 @@
 	Wait                 // it waits for its turn
 	Refuse               // refuse it with Reason
 	Replay               // send the answer of attempt Source
-	Ask                  // fence the key at Homes, then call Arrive again
+	FenceHomes                  // fence the key at Homes, then call Arrive again
 )
 
 // Decision is an action with its details.
@@ -161,7 +161,7 @@
 		return k.refuse(now, a, d.Reason, MinRetryAfter)
 	case d.Verdict == idempotency.KeyAsk && !fenced:
 		k.table.Forget(a.ID)
-		return Decision{Action: Ask, Homes: d.Ask}
+		return Decision{Action: FenceHomes, Homes: d.Ask}
 	}
 	return Decision{Action: Run}
 }
--- a/submission/replay_test.go
+++ b/submission/replay_test.go
@@ -179,7 +179,7 @@
 	h := intake.HostState{Incarnation: a.inc, Awake: true, HasIntent: true, Service: service, Ready: true,
 		Past: idempotency.Past{Self: a.self, Current: a.current, Hosts: a.past, HeadAge: a.headAge, KnownSince: p.now.Add(-a.known)}}
 	d, _ := a.k.Arrive(p.now, h, att, fenced)
-	if d.Action != intake.Ask {
+	if d.Action != intake.FenceHomes {
 		return d
 	}
 	for _, home := range d.Homes {
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -233,7 +233,7 @@
 		w.refuse(s, c, id, d.Reason)
 	case intake.Replay:
 		w.replay(s, c, id, content(s.name()))
-	case intake.Ask:
+	case intake.FenceHomes:
 		a.asks = append(a.asks, func(reachable bool) { w.resolveAsk(s, c, id, att, d.Homes, reachable) })
 	}
 	w.apply(a, eff)
