--- a/agent/run.go
+++ b/agent/run.go
@@ -48,7 +48,7 @@
 		if fenced {
 			b = a.requests.begin(d, true)
 		} else {
-			b.Decision = a.requests.intake.PutAside(clock.Now(), attemptOf(d, time.Time{}))
+			b.Decision = a.requests.intake.FencingFailed(clock.Now(), attemptOf(d, time.Time{}))
 		}
 	}) != nil {
 		return stopped
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -205,9 +205,9 @@
 	delete(k.numbers, id)
 }
 
-// PutAside ends an attempt that was put aside to ask earlier homes, if they
+// FencingFailed ends an attempt that was put aside to ask earlier homes, if they
 // could not be asked or knew the key.
-func (k *Intake) PutAside(now time.Time, a Attempt) Decision {
+func (k *Intake) FencingFailed(now time.Time, a Attempt) Decision {
 	if s := k.table.Begin(a.ID); s != idempotency.Never {
 		return Decision{Action: Refuse, Reason: outcome.KeyHomeMoved}
 	}
--- a/submission/replay_test.go
+++ b/submission/replay_test.go
@@ -185,7 +185,7 @@
 	for _, home := range d.Homes {
 		o := p.agents[home]
 		if o == nil || o.k.FenceKey(p.now, idempotency.KeyID{Service: service, Team: simTeam, Key: r.key}) {
-			return a.k.PutAside(p.now, att)
+			return a.k.FencingFailed(p.now, att)
 		}
 	}
 	return p.arrive(r, a, true)
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -253,7 +253,7 @@
 	for _, h := range homes {
 		o := w.agents[h]
 		if !reachable || o.dead || o.paused || o.k.FenceKey(w.now, key) {
-			d := c.agent.k.PutAside(w.now, att)
+			d := c.agent.k.FencingFailed(w.now, att)
 			w.refuse(s, c, id, d.Reason)
 			return
 		}
