--- a/agent/requests.go
+++ b/agent/requests.go
@@ -228,7 +228,7 @@
 			break
 		}
 		r.heldSize -= w.heldSize
-		r.intake.Drop(w.id)
+		r.intake.AnswerDiscarded(w.id)
 		delete(r.works, w.id)
 	}
 	return held[n:]
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -243,8 +243,8 @@
 	return k.apply(now, k.queue.Done(now, n, took))
 }
 
-// Drop notes that the held answer of an attempt was discarded.
-func (k *Intake) Drop(id idempotency.AttemptID) { k.table.Drop(id) }
+// AnswerDiscarded notes that the held answer of an attempt was discarded.
+func (k *Intake) AnswerDiscarded(id idempotency.AttemptID) { k.table.Drop(id) }
 
 // Fence reports the state of an attempt; one never seen is refused from now on.
 func (k *Intake) Fence(now time.Time, id idempotency.AttemptID) (idempotency.State, outcome.Reason) {
