--- a/agent/requests.go
+++ b/agent/requests.go
@@ -121,11 +121,11 @@
 			current = svc.HostNames()
 		}
 	}
-	h.Past = idempotency.Past{Self: r.cfg.Control.Host, KnownSince: s.KnownSince, HeadAge: clock.Since(s.ConfirmedAt),
+	h.HomeHistory = idempotency.Past{Self: r.cfg.Control.Host, KnownSince: s.KnownSince, HeadAge: clock.Since(s.ConfirmedAt),
 		Current: current}
 	for _, x := range s.PastHosts {
 		if x.Service == service {
-			h.Past.Hosts = append(h.Past.Hosts, x.Hosts)
+			h.HomeHistory.Hosts = append(h.HomeHistory.Hosts, x.Hosts)
 		}
 	}
 	return h
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -23,7 +23,7 @@
 	HasIntent   bool   // a fleet file is in force
 	Service     string // of the target, "" if none
 	Ready       bool   // the target serves
-	Past        idempotency.Past
+	HomeHistory        idempotency.Past
 }
 
 // Attempt is one dispatch that has arrived.
@@ -150,7 +150,7 @@
 
 // arriveKeyed returns Run if the key is new here and elsewhere.
 func (k *Intake) arriveKeyed(now time.Time, h HostState, a Attempt, fenced bool) Decision {
-	d := k.table.BeginKey(now, a.keyID(), a.Fingerprint, h.Past)
+	d := k.table.BeginKey(now, a.keyID(), a.Fingerprint, h.HomeHistory)
 	switch {
 	case d.Verdict == idempotency.KeyReplay:
 		// The attempt itself runs nothing; should its connection break, the
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -245,7 +245,7 @@
 	for _, x := range a.view.past {
 		p.Hosts = append(p.Hosts, w.revisions[x.revision])
 	}
-	return intake.HostState{Incarnation: a.inc, Awake: true, HasIntent: true, Service: service, Ready: true, Past: p}
+	return intake.HostState{Incarnation: a.inc, Awake: true, HasIntent: true, Service: service, Ready: true, HomeHistory: p}
 }
 
 func (w *world) resolveAsk(s *sub, c *conn, id idempotency.AttemptID, att intake.Attempt, homes []string, reachable bool) {
