--- a/intake/intake.go
+++ b/intake/intake.go
@@ -1,8 +1,8 @@
 // Package intake decides what an agent does with an attempt to run a request:
-// run it now, let it wait, refuse it, or send the answer of an earlier run. It
-// joins the records of package idempotency with the queue of package
-// admission. It is pure: clock readings and the state of the host are passed
-// in.
+// run it now, queue it, refuse it, or replay the answer of an earlier run. It
+// combines the records of package idempotency with the queue of package
+// admission. It does no I/O and reads no clock: times and the state of the host
+// are passed in.
 package intake
 
 import (
@@ -13,27 +13,28 @@
 	"github.com/springgate/springgate/outcome"
 )
 
-// MinRetryAfter is told to callers when no better time is known.
+// MinRetryAfter is the time after which callers may retry if no better estimate
+// is known.
 const MinRetryAfter = time.Second
 
-// HostState is what the rest of the agent says about itself at the moment.
+// HostState is the current state of the host and its agent.
 type HostState struct {
 	Incarnation uint64
-	Awake       bool   // not paused since it last looked around
+	Awake       bool   // not recovering from a pause of the process
 	HasIntent   bool   // a fleet file is in force
 	Service     string // of the target, "" if none
-	Ready       bool   // the target serves
-	HomeHistory        idempotency.Past
+	Ready       bool   // the target accepts requests
+	HomeHistory idempotency.Past
 }
 
-// Attempt is one dispatch that has arrived.
+// Attempt is one dispatch received by the agent.
 type Attempt struct {
 	ID          idempotency.AttemptID
-	Incarnation uint64 // the agent incarnation that the entry means
+	Incarnation uint64 // the agent incarnation that the entry addressed
 	Service     string
 	Team        string
 	Key         string // "" if none
-	Fingerprint       idempotency.Print
+	Fingerprint idempotency.Print
 	Urgency     int
 	Deadline    time.Time
 }
@@ -45,14 +46,14 @@
 // Action is what to do with an attempt.
 type Action uint8
 
-// Actions.
+// Actions on an attempt.
 const (
-	Ignore Action = iota // a doubled frame: the first one is being served
-	Run                  // run it now
-	Wait                 // it waits for its turn
-	Refuse               // refuse it with Reason
-	Replay               // send the answer of attempt Source
-	FenceHomes                  // fence the key at Homes, then call Arrive again
+	Ignore     Action = iota // duplicate frame: the first one is handled already
+	Run                      // run it now
+	Wait                     // it is queued
+	Refuse                   // refuse it with Reason
+	Replay                   // send the retained answer of attempt Source
+	FenceHomes               // fence the key at Homes, then call Arrive again, or FencingFailed
 )
 
 // Decision is an action with its details.
@@ -64,42 +65,43 @@
 	Homes      []string
 }
 
-// Refusal ends an attempt that was waiting.
+// Refusal is a refused attempt that was queued.
 type Refusal struct {
 	ID         idempotency.AttemptID
 	Reason     outcome.Reason
 	RetryAfter time.Duration
 }
 
-// Effects lists what a call changed for attempts that were waiting.
+// Effects lists the queued attempts that a call started or refused.
 type Effects struct {
 	Started []idempotency.AttemptID
 	Refused []Refusal
 }
 
-// Intake is the memory of one agent incarnation. It is owned by one goroutine.
+// Intake holds the attempts and keys of one agent incarnation. It is not safe for
+// concurrent use.
 type Intake struct {
-	table   *idempotency.Table
-	queue   *admission.Queue
-	numbers map[idempotency.AttemptID]uint64
-	ids     map[uint64]idempotency.AttemptID
-	next    uint64
-	leaving bool
+	table       *idempotency.Table
+	queue       *admission.Queue
+	queueIDs    map[idempotency.AttemptID]uint64
+	attemptIDs  map[uint64]idempotency.AttemptID
+	lastQueueID uint64
+	leaving     bool
 }
 
-// New returns an intake of a process that started at start.
+// New returns an Intake for a process that started at start.
 func New(cfg idempotency.Config, start time.Time) *Intake {
 	return &Intake{table: idempotency.NewTable(cfg, start), queue: admission.New(admission.Limits{Concurrency: 1}),
-		numbers: map[idempotency.AttemptID]uint64{}, ids: map[uint64]idempotency.AttemptID{}}
+		queueIDs: map[idempotency.AttemptID]uint64{}, attemptIDs: map[uint64]idempotency.AttemptID{}}
 }
 
-// Configure sets the limits in force.
+// Configure sets the limits of the target and of the teams.
 func (k *Intake) Configure(now time.Time, l admission.Limits, teams []admission.TeamLimits) Effects {
 	return k.apply(now, k.queue.Configure(now, l, teams))
 }
 
-// Arrive decides on an attempt. fenced is true once the earlier homes of its
-// key have been asked and have fenced it.
+// Arrive decides on an attempt. fenced is true once all earlier homes of its key
+// have fenced it.
 func (k *Intake) Arrive(now time.Time, h HostState, a Attempt, fenced bool) (Decision, Effects) {
 	switch k.table.Begin(a.ID) {
 	case idempotency.Never:
@@ -110,12 +112,12 @@
 	}
 	if reason := precheck(h, a); reason != "" {
 		if a.Key != "" {
-			reason = outcome.HomeUnreachable // the key may have run before
+			reason = outcome.HomeUnreachable // the key may have run here or at an earlier home
 		}
 		return k.refuse(now, a, reason, MinRetryAfter), Effects{}
 	}
 	if a.Key != "" {
-		if d := k.arriveKeyed(now, h, a, fenced); d.Action != Run {
+		if d := k.checkKey(now, h, a, fenced); d.Action != Run {
 			return d, Effects{}
 		}
 	}
@@ -128,7 +130,8 @@
 	return k.admit(now, a)
 }
 
-// precheck refuses what does not depend on records.
+// precheck returns the reason to refuse an attempt that follows from the state of
+// the host alone, or "".
 func precheck(h HostState, a Attempt) outcome.Reason {
 	switch {
 	case a.Incarnation != h.Incarnation:
@@ -143,18 +146,19 @@
 	return ""
 }
 
-func (k *Intake) refuse(now time.Time, a Attempt, reason outcome.Reason, after time.Duration) Decision {
+func (k *Intake) refuse(now time.Time, a Attempt, reason outcome.Reason, retryAfter time.Duration) Decision {
 	k.table.Refuse(now, a.ID, reason)
-	return Decision{Action: Refuse, Reason: reason, RetryAfter: after}
+	return Decision{Action: Refuse, Reason: reason, RetryAfter: retryAfter}
 }
 
-// arriveKeyed returns Run if the key is new here and elsewhere.
-func (k *Intake) arriveKeyed(now time.Time, h HostState, a Attempt, fenced bool) Decision {
+// checkKey decides on an attempt with a key. It returns Run if the key has run
+// neither here nor at an earlier home.
+func (k *Intake) checkKey(now time.Time, h HostState, a Attempt, fenced bool) Decision {
 	d := k.table.BeginKey(now, a.keyID(), a.Fingerprint, h.HomeHistory)
 	switch {
 	case d.Verdict == idempotency.KeyReplay:
-		// The attempt itself runs nothing; should its connection break, the
-		// caller is told to ask again.
+		// This attempt does not run. It is recorded as refused, so that the
+		// caller is told to retry if the connection breaks.
 		k.table.Refuse(now, a.ID, outcome.KeyRunning)
 		return Decision{Action: Replay, Source: d.Replay}
 	case d.Verdict == idempotency.KeyRefuse:
@@ -170,14 +174,14 @@
 	if a.Key != "" {
 		k.table.StartKey(now, a.keyID(), a.Fingerprint, a.ID)
 	}
-	k.next++
-	k.numbers[a.ID], k.ids[k.next] = k.next, a.ID
-	v, eff := k.queue.Offer(now, admission.Request{ID: k.next, Team: a.Team, Urgency: a.Urgency,
+	k.lastQueueID++
+	k.queueIDs[a.ID], k.attemptIDs[k.lastQueueID] = k.lastQueueID, a.ID
+	v, eff := k.queue.Offer(now, admission.Request{ID: k.lastQueueID, Team: a.Team, Urgency: a.Urgency,
 		Retry: a.ID.Try > 1, Deadline: a.Deadline})
 	effects := k.apply(now, eff)
 	switch {
 	case v.Refused != "":
-		k.forget(a.ID)
+		k.removeQueueID(a.ID)
 		return k.refuse(now, a, v.Refused, v.RetryAfter), effects
 	case v.Start:
 		return Decision{Action: Run}, effects
@@ -185,28 +189,28 @@
 	return Decision{Action: Wait}, effects
 }
 
-// apply records what the queue decided about waiting attempts.
+// apply records the queue's decisions on queued attempts and returns them.
 func (k *Intake) apply(now time.Time, e admission.Effects) Effects {
 	var out Effects
 	for _, n := range e.Started {
-		out.Started = append(out.Started, k.ids[n])
+		out.Started = append(out.Started, k.attemptIDs[n])
 	}
 	for _, r := range e.Refused {
-		id := k.ids[r.ID]
-		k.forget(id)
+		id := k.attemptIDs[r.ID]
+		k.removeQueueID(id)
 		k.table.Refuse(now, id, r.Reason)
 		out.Refused = append(out.Refused, Refusal{id, r.Reason, r.RetryAfter})
 	}
 	return out
 }
 
-func (k *Intake) forget(id idempotency.AttemptID) {
-	delete(k.ids, k.numbers[id])
-	delete(k.numbers, id)
+func (k *Intake) removeQueueID(id idempotency.AttemptID) {
+	delete(k.attemptIDs, k.queueIDs[id])
+	delete(k.queueIDs, id)
 }
 
-// FencingFailed ends an attempt that was put aside to ask earlier homes, if they
-// could not be asked or knew the key.
+// FencingFailed refuses an attempt for which Arrive returned FenceHomes, because
+// an earlier home could not be reached or knows the key.
 func (k *Intake) FencingFailed(now time.Time, a Attempt) Decision {
 	if s := k.table.Begin(a.ID); s != idempotency.Never {
 		return Decision{Action: Refuse, Reason: outcome.KeyHomeMoved}
@@ -214,60 +218,62 @@
 	return k.refuse(now, a, outcome.KeyHomeMoved, MinRetryAfter)
 }
 
-// Cancel refuses an attempt that still waits. It reports whether it did.
+// Cancel refuses an attempt if it is still queued, and reports whether it was.
 func (k *Intake) Cancel(now time.Time, id idempotency.AttemptID) bool {
-	if !k.queue.Cancel(k.numbers[id]) {
+	if !k.queue.Cancel(k.queueIDs[id]) {
 		return false
 	}
-	k.forget(id)
+	k.removeQueueID(id)
 	k.table.Refuse(now, id, outcome.CallerLeft)
 	return true
 }
 
-// NotRun ends an attempt that was to run but never reached the target.
+// NotRun ends an attempt that was started but never reached the target.
 func (k *Intake) NotRun(now time.Time, id idempotency.AttemptID, reason outcome.Reason) Effects {
 	k.table.Refuse(now, id, reason)
 	return k.release(now, id, 0)
 }
 
-// Finished ends an attempt that ran for took. held is true if its whole
-// answer can be sent again.
-func (k *Intake) Finished(now time.Time, id idempotency.AttemptID, held bool, took time.Duration) Effects {
-	k.table.Finish(now, id, held)
+// Finished ends an attempt that ran for took. retained is true if its complete
+// answer can be replayed.
+func (k *Intake) Finished(now time.Time, id idempotency.AttemptID, retained bool, took time.Duration) Effects {
+	k.table.Finish(now, id, retained)
 	return k.release(now, id, took)
 }
 
 func (k *Intake) release(now time.Time, id idempotency.AttemptID, took time.Duration) Effects {
-	n := k.numbers[id]
-	k.forget(id)
+	n := k.queueIDs[id]
+	k.removeQueueID(id)
 	return k.apply(now, k.queue.Done(now, n, took))
 }
 
-// AnswerDiscarded notes that the held answer of an attempt was discarded.
+// AnswerDiscarded records that the retained answer of an attempt was discarded.
 func (k *Intake) AnswerDiscarded(id idempotency.AttemptID) { k.table.Drop(id) }
 
-// Fence reports the state of an attempt; one never seen is refused from now on.
+// Fence returns the state of an attempt. An attempt that was not received yet will
+// be refused if it arrives later.
 func (k *Intake) Fence(now time.Time, id idempotency.AttemptID) (idempotency.State, outcome.Reason) {
 	return k.table.Fence(now, id)
 }
 
-// FenceKey is asked by a later home of a key. It reports whether the key is
-// known here; if not, it can no longer start here.
+// FenceKey is called on behalf of a later home of a key. It reports whether the
+// key may have run here; if not, the key can no longer start here.
 func (k *Intake) FenceKey(now time.Time, id idempotency.KeyID) bool { return k.table.FenceKey(now, id) }
 
-// Leave refuses all that waits, and all that comes.
+// Leave refuses all queued attempts and, from now on, all that would have to run.
 func (k *Intake) Leave(now time.Time) Effects {
 	k.leaving = true
 	return k.apply(now, k.queue.RefuseAll(outcome.Leaving))
 }
 
-// Tick forgets old records and refuses what can no longer meet its deadline.
+// Tick removes expired records and refuses queued attempts that can no longer meet
+// their deadline.
 func (k *Intake) Tick(now time.Time) Effects {
 	k.table.Expire(now)
 	return k.apply(now, k.queue.Tick(now))
 }
 
-// Load is what a status message says about the queue.
+// Load is the load of the target as reported in status messages.
 type Load struct {
 	Running, Queued int
 	Service         time.Duration // smoothed service time
@@ -278,5 +284,5 @@
 	return Load{k.queue.Running(), k.queue.Queued(), k.queue.ServiceTime()}
 }
 
-// Records returns how many attempts and keys are remembered.
+// Records returns the number of attempts and keys on record.
 func (k *Intake) Records() (attempts, keys int) { return k.table.Len() }
