--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -15,12 +15,12 @@
 	Key     string
 }
 
-// Print identifies the content of a request, so that a key used for another
+// Fingerprint identifies the content of a request, so that a key used for another
 // request is found out.
-type Print [32]byte
+type Fingerprint [32]byte
 
 type keyRecord struct {
-	print   Print
+	print   Fingerprint
 	attempt AttemptID
 	state   State // Accepted, Finished, Failed, or Fenced
 	at      time.Time
@@ -90,7 +90,7 @@
 
 // BeginKey decides on a keyed request that arrives with a new attempt.
 // Nothing is recorded until StartKey.
-func (t *Table) BeginKey(now time.Time, k KeyID, p Print, past Past) KeyDecision {
+func (t *Table) BeginKey(now time.Time, k KeyID, p Fingerprint, past Past) KeyDecision {
 	if r := t.keys[k]; r != nil {
 		return t.known(r, p)
 	}
@@ -113,7 +113,7 @@
 	return KeyDecision{Verdict: KeyRun}
 }
 
-func (t *Table) known(r *keyRecord, p Print) KeyDecision {
+func (t *Table) known(r *keyRecord, p Fingerprint) KeyDecision {
 	if r.state == Fenced {
 		return KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyHomeMoved}
 	}
@@ -154,7 +154,7 @@
 
 // StartKey records that the attempt runs for the key. It reports false if a
 // record has appeared since BeginKey; the caller then decides again.
-func (t *Table) StartKey(now time.Time, k KeyID, p Print, id AttemptID) bool {
+func (t *Table) StartKey(now time.Time, k KeyID, p Fingerprint, id AttemptID) bool {
 	if t.keys[k] != nil {
 		return false
 	}
--- a/idempotency/key_test.go
+++ b/idempotency/key_test.go
@@ -29,7 +29,7 @@
 	table := NewTable(cfg, now.Add(-time.Hour))
 	decide := func(issued, known time.Duration) KeyDecision {
 		past := Past{Self: "a", Current: []string{"a"}, KnownSince: now.Add(-known)}
-		return table.BeginKey(now, KeyID{Service: "s", Team: "blue", Key: issuedAt(date.Add(-issued))}, Print{}, past)
+		return table.BeginKey(now, KeyID{Service: "s", Team: "blue", Key: issuedAt(date.Add(-issued))}, Fingerprint{}, past)
 	}
 	assert.Equal(t, decide(10*time.Second, 72*time.Second).Verdict, KeyRun)
 	assert.DeepEqual(t, decide(10*time.Second, 70*time.Second), KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyTooOld})
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -34,7 +34,7 @@
 	Service     string
 	Team        string
 	Key         string // "" if none
-	Fingerprint idempotency.Print
+	Fingerprint idempotency.Fingerprint
 	Urgency     int
 	Deadline    time.Time
 }
