--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -50,7 +50,7 @@
 // Verdicts on a keyed request.
 const (
 	KeyRun    KeyVerdict = iota + 1 // it is new: run it
-	KeyAsk                          // ask the earlier homes, then decide
+	KeyFenceHomes                          // ask the earlier homes, then decide
 	KeyReplay                       // send the held answer of the attempt
 	KeyRefuse                       // refuse with the reason
 )
@@ -108,7 +108,7 @@
 		return KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyTableFull}
 	}
 	if ask := earlierHomes(k, past); len(ask) > 0 {
-		return KeyDecision{Verdict: KeyAsk, Ask: ask}
+		return KeyDecision{Verdict: KeyFenceHomes, Ask: ask}
 	}
 	return KeyDecision{Verdict: KeyRun}
 }
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -163,7 +163,7 @@
 		return Decision{Action: Replay, Source: d.Replay}
 	case d.Verdict == idempotency.KeyRefuse:
 		return k.refuse(now, a, d.Reason, MinRetryAfter)
-	case d.Verdict == idempotency.KeyAsk && !fenced:
+	case d.Verdict == idempotency.KeyFenceHomes && !fenced:
 		k.table.Forget(a.ID)
 		return Decision{Action: FenceHomes, Homes: d.Ask}
 	}
