--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -60,7 +60,7 @@
 	Verdict KeyVerdict
 	Reason  outcome.Reason
 	Replay  AttemptID
-	Ask     []string // earlier homes
+	Homes     []string // earlier homes
 }
 
 // Past is what a home knows about the time before it.
@@ -108,7 +108,7 @@
 		return KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyTableFull}
 	}
 	if ask := earlierHomes(k, past); len(ask) > 0 {
-		return KeyDecision{Verdict: KeyFenceHomes, Ask: ask}
+		return KeyDecision{Verdict: KeyFenceHomes, Homes: ask}
 	}
 	return KeyDecision{Verdict: KeyRun}
 }
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -165,7 +165,7 @@
 		return k.refuse(now, a, d.Reason, MinRetryAfter)
 	case d.Verdict == idempotency.KeyFenceHomes && !fenced:
 		k.table.Forget(a.ID)
-		return Decision{Action: FenceHomes, Homes: d.Ask}
+		return Decision{Action: FenceHomes, Homes: d.Homes}
 	}
 	return Decision{Action: Run}
 }
