--- a/idempotency/attempt.go
+++ b/idempotency/attempt.go
@@ -22,7 +22,7 @@
 
 // States of an attempt.
 const (
-	Never    State = iota // not seen
+	Unseen    State = iota // not seen
 	Fenced                // refused in advance
 	Refused               // refused; it never ran
 	Accepted              // waits or runs
@@ -102,7 +102,7 @@
 		return a.state
 	}
 	t.attempts[id] = &attempt{state: Accepted}
-	return Never
+	return Unseen
 }
 
 // Forget removes an accepted attempt as if it had not arrived, so that Begin
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -104,7 +104,7 @@
 // have fenced it.
 func (k *Intake) Arrive(now time.Time, h HostState, a Attempt, fenced bool) (Decision, Effects) {
 	switch k.table.Begin(a.ID) {
-	case idempotency.Never:
+	case idempotency.Unseen:
 	case idempotency.Fenced:
 		return Decision{Action: Refuse, Reason: outcome.Fenced}, Effects{}
 	default:
@@ -212,7 +212,7 @@
 // FencingFailed refuses an attempt for which Arrive returned FenceHomes, because
 // an earlier home could not be reached or knows the key.
 func (k *Intake) FencingFailed(now time.Time, a Attempt) Decision {
-	if s := k.table.Begin(a.ID); s != idempotency.Never {
+	if s := k.table.Begin(a.ID); s != idempotency.Unseen {
 		return Decision{Action: Refuse, Reason: outcome.KeyHomeMoved}
 	}
 	return k.refuse(now, a, outcome.KeyHomeMoved, MinRetryAfter)
