--- a/idempotency/attempt.go
+++ b/idempotency/attempt.go
@@ -138,8 +138,8 @@
 	t.endKey(id, a.key, s)
 }
 
-// Drop notes that the held answer of a finished attempt was discarded.
-func (t *Table) Drop(id AttemptID) {
+// AnswerDiscarded notes that the held answer of a finished attempt was discarded.
+func (t *Table) AnswerDiscarded(id AttemptID) {
 	if a := t.attempts[id]; a != nil && a.state == Finished {
 		a.state = Failed
 		t.endKey(id, a.key, Failed)
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -248,7 +248,7 @@
 }
 
 // AnswerDiscarded records that the retained answer of an attempt was discarded.
-func (k *Intake) AnswerDiscarded(id idempotency.AttemptID) { k.table.Drop(id) }
+func (k *Intake) AnswerDiscarded(id idempotency.AttemptID) { k.table.AnswerDiscarded(id) }
 
 // Fence returns the state of an attempt. An attempt that was not received yet will
 // be refused if it arrives later.
