--- a/agent/requests.go
+++ b/agent/requests.go
@@ -121,7 +121,7 @@
 			current = svc.HostNames()
 		}
 	}
-	h.HomeHistory = idempotency.Past{Self: r.cfg.Control.Host, KnownSince: s.KnownSince, HeadAge: clock.Since(s.ConfirmedAt),
+	h.HomeHistory = idempotency.HomeHistory{Self: r.cfg.Control.Host, KnownSince: s.KnownSince, HeadAge: clock.Since(s.ConfirmedAt),
 		Current: current}
 	for _, x := range s.PastHosts {
 		if x.Service == service {
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -63,8 +63,8 @@
 	Homes     []string // earlier homes
 }
 
-// Past is what a home knows about the time before it.
-type Past struct {
+// HomeHistory is what a home knows about the time before it.
+type HomeHistory struct {
 	// Self is this host.
 	Self string
 	// KnownSince is the time from which the revisions in force are known to
@@ -90,7 +90,7 @@
 
 // BeginKey decides on a keyed request that arrives with a new attempt.
 // Nothing is recorded until StartKey.
-func (t *Table) BeginKey(now time.Time, k KeyID, p Fingerprint, past Past) KeyDecision {
+func (t *Table) BeginKey(now time.Time, k KeyID, p Fingerprint, past HomeHistory) KeyDecision {
 	if r := t.keys[k]; r != nil {
 		return t.known(r, p)
 	}
@@ -134,13 +134,13 @@
 // It must also know all homes that the key can have had: an earlier home may
 // have run it while its proof of the revision was up to a window old, so the
 // revisions must be known from a window before the key.
-func (t *Table) canKnow(now, issued time.Time, past Past) bool {
+func (t *Table) canKnow(now, issued time.Time, past HomeHistory) bool {
 	issued = issued.Add(-t.cfg.ClockSkew)
 	return !issued.Before(t.start) && !issued.Before(now.Add(-t.cfg.KeyWindow)) &&
 		!past.KnownSince.After(issued.Add(-t.cfg.KeyWindow))
 }
 
-func earlierHomes(k KeyID, past Past) []string {
+func earlierHomes(k KeyID, past HomeHistory) []string {
 	var out []string
 	seen := map[string]bool{past.Self: true}
 	for _, hosts := range past.Hosts {
--- a/intake/intake.go
+++ b/intake/intake.go
@@ -24,7 +24,7 @@
 	HasIntent   bool   // a fleet file is in force
 	Service     string // of the target, "" if none
 	Ready       bool   // the target accepts requests
-	HomeHistory idempotency.Past
+	HomeHistory idempotency.HomeHistory
 }
 
 // Attempt is one dispatch received by the agent.
