--- a/agent/finish_test.go
+++ b/agent/finish_test.go
@@ -58,7 +58,7 @@
 	t.Helper()
 	now := clock.Now()
 	h := intake.HostState{HasIntent: true, Awake: true, Ready: true, Service: "s", HomeHistory: idempotency.HomeHistory{Self: "h",
-		KnownSince: now.Add(-time.Hour), Current: []string{"h"}}}
+		KnownSince: now.Add(-time.Hour), CurrentHosts: []string{"h"}}}
 	d := &peer.Dispatch{Attempt: peer.Attempt{Try: try}, Service: "s", Team: "blue", Method: http.MethodPost, URI: "/x",
 		Key: key, TimeoutMs: time.Minute.Milliseconds()}
 	var b begun
--- a/agent/requests.go
+++ b/agent/requests.go
@@ -122,7 +122,7 @@
 		}
 	}
 	h.HomeHistory = idempotency.HomeHistory{Self: r.cfg.Control.Host, KnownSince: s.KnownSince, HeadAge: clock.Since(s.ConfirmedAt),
-		Current: current}
+		CurrentHosts: current}
 	for _, x := range s.PastHosts {
 		if x.Service == service {
 			h.HomeHistory.Hosts = append(h.HomeHistory.Hosts, x.Hosts)
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -73,8 +73,8 @@
 	// HeadAge is the age of the newest proof that the revision in force is
 	// the published one.
 	HeadAge time.Duration
-	// Current are the service's hosts under the revision in force here.
-	Current []string
+	// CurrentHosts are the service's hosts under the revision in force here.
+	CurrentHosts []string
 	// Hosts are the service's hosts under each earlier revision in the window.
 	Hosts [][]string
 }
@@ -101,7 +101,7 @@
 	if !t.canKnow(now, issued, past) {
 		return KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyTooOld}
 	}
-	if past.HeadAge > t.cfg.KeyWindow || Home(k, past.Current) != past.Self {
+	if past.HeadAge > t.cfg.KeyWindow || Home(k, past.CurrentHosts) != past.Self {
 		return KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyHomeMoved}
 	}
 	if len(t.keys) >= t.cfg.MaxKeys {
--- a/idempotency/key_test.go
+++ b/idempotency/key_test.go
@@ -28,7 +28,7 @@
 	cfg := Config{KeyWindow: time.Minute, ClockSkew: time.Second, AtDate: func(d time.Time) time.Time { return d.Add(apart) }}
 	table := NewTable(cfg, now.Add(-time.Hour))
 	decide := func(issued, known time.Duration) KeyDecision {
-		past := HomeHistory{Self: "a", Current: []string{"a"}, KnownSince: now.Add(-known)}
+		past := HomeHistory{Self: "a", CurrentHosts: []string{"a"}, KnownSince: now.Add(-known)}
 		return table.BeginKey(now, KeyID{Service: "s", Team: "blue", Key: issuedAt(date.Add(-issued))}, Fingerprint{}, past)
 	}
 	assert.Equal(t, decide(10*time.Second, 72*time.Second).Verdict, KeyRun)
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -241,7 +241,7 @@
 
 func (w *world) hostOf(a *agentSim) intake.HostState {
 	p := idempotency.HomeHistory{Self: a.name, KnownSince: a.view.knownSince, HeadAge: w.now.Sub(a.view.proof),
-		Current: w.revisions[a.view.revision]}
+		CurrentHosts: w.revisions[a.view.revision]}
 	for _, x := range a.view.past {
 		p.Hosts = append(p.Hosts, w.revisions[x.revision])
 	}
