--- a/agent/requests.go
+++ b/agent/requests.go
@@ -125,7 +125,7 @@
 		CurrentHosts: current}
 	for _, x := range s.PastHosts {
 		if x.Service == service {
-			h.HomeHistory.Hosts = append(h.HomeHistory.Hosts, x.Hosts)
+			h.HomeHistory.EarlierHosts = append(h.HomeHistory.EarlierHosts, x.Hosts)
 		}
 	}
 	return h
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -75,8 +75,8 @@
 	HeadAge time.Duration
 	// CurrentHosts are the service's hosts under the revision in force here.
 	CurrentHosts []string
-	// Hosts are the service's hosts under each earlier revision in the window.
-	Hosts [][]string
+	// EarlierHosts are the service's hosts under each earlier revision in the window.
+	EarlierHosts [][]string
 }
 
 // issued returns when a key was made, by the table's clock.
@@ -143,7 +143,7 @@
 func earlierHomes(k KeyID, past HomeHistory) []string {
 	var out []string
 	seen := map[string]bool{past.Self: true}
-	for _, hosts := range past.Hosts {
+	for _, hosts := range past.EarlierHosts {
 		if h := Home(k, hosts); h != "" && !seen[h] {
 			seen[h] = true
 			out = append(out, h)
--- a/submission/replay_test.go
+++ b/submission/replay_test.go
@@ -177,7 +177,7 @@
 	att := intake.Attempt{ID: r.attempt(), Incarnation: r.inc, Service: service, Team: simTeam, Key: r.key,
 		Urgency: 3, Deadline: p.now.Add(time.Hour)}
 	h := intake.HostState{Incarnation: a.inc, Awake: true, HasIntent: true, Service: service, Ready: true,
-		HomeHistory: idempotency.HomeHistory{Self: a.self, CurrentHosts: a.current, Hosts: a.past, HeadAge: a.headAge, KnownSince: p.now.Add(-a.known)}}
+		HomeHistory: idempotency.HomeHistory{Self: a.self, CurrentHosts: a.current, EarlierHosts: a.past, HeadAge: a.headAge, KnownSince: p.now.Add(-a.known)}}
 	d, _ := a.k.Arrive(p.now, h, att, fenced)
 	if d.Action != intake.FenceHomes {
 		return d
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -243,7 +243,7 @@
 	p := idempotency.HomeHistory{Self: a.name, KnownSince: a.view.knownSince, HeadAge: w.now.Sub(a.view.proof),
 		CurrentHosts: w.revisions[a.view.revision]}
 	for _, x := range a.view.past {
-		p.Hosts = append(p.Hosts, w.revisions[x.revision])
+		p.EarlierHosts = append(p.EarlierHosts, w.revisions[x.revision])
 	}
 	return intake.HostState{Incarnation: a.inc, Awake: true, HasIntent: true, Service: service, Ready: true, HomeHistory: p}
 }
