--- a/idempotency/attempt.go
+++ b/idempotency/attempt.go
@@ -1,7 +1,7 @@
-// Package idempotency holds what an agent knows about the requests it was
-// asked to run: by attempt, so that a broken connection can be resolved, and
-// by idempotency key, so that a request runs at most once. It is pure: clock
-// readings are passed in.
+// Package idempotency records the requests that an agent was asked to run: by
+// attempt, so that the outcome can be determined after a connection broke, and by
+// idempotency key, so that a request runs at most once. It does no I/O and reads
+// no clock: times are passed in.
 package idempotency
 
 import (
@@ -17,34 +17,37 @@
 	Try uint16
 }
 
-// State is what is known of an attempt.
+// State is the state of an attempt.
 type State uint8
 
 // States of an attempt.
 const (
-	Unseen    State = iota // not seen
-	Fenced                // refused in advance
+	Unseen   State = iota // not received
+	Fenced                // refused before it was received
 	Refused               // refused; it never ran
-	Accepted              // waits or runs
-	Finished              // the answer is whole and held
+	Accepted              // queued or running
+	Finished              // ran, and its complete answer is retained
 	Failed                // ran, and its answer is not available
 )
 
 // Config holds the time limits of the records.
 type Config struct {
-	// AttemptTTL is how long an attempt is remembered after it ended. It must
-	// exceed the longest time a frame can be delayed. Default 5 min.
+	// AttemptTTL is how long an attempt is kept on record after it ended. It
+	// must exceed the longest delay of a frame. Default 5 min.
 	AttemptTTL time.Duration
-	// KeyWindow is how long a key is remembered, and how far back a home must
-	// know who the homes were. A longer window catches later resubmissions
-	// and makes a new process refuse keys for longer. Default 10 min.
+	// KeyWindow is how long a key is kept on record, and how far back a home
+	// must know the earlier homes. A longer window detects resubmissions that
+	// come later, but makes a new process refuse keys for longer. Default
+	// 10 min.
 	KeyWindow time.Duration
-	// ClockSkew is how far the clocks of two hosts may differ. Default 2 s.
+	// ClockSkew is the largest difference between the clocks of two hosts that
+	// is tolerated. Default 2 s.
 	ClockSkew time.Duration
-	// MaxKeys bounds the key records. Default 100,000.
+	// MaxKeys is the maximum number of key records. Default 100,000.
 	MaxKeys int
-	// AtDate returns the reading of the clock at a date: keys bear dates, and all else is
-	// measured by the clock. Default: its readings are dates.
+	// AtDate converts a date (time of day) to a time of the agent's clock. Keys
+	// carry dates, and all other times are readings of that clock. By default
+	// the two are the same.
 	AtDate func(date time.Time) time.Time
 }
 
@@ -60,7 +63,7 @@
 	return c
 }
 
-// History is how long earlier revisions must be remembered, so that every home
+// History returns how long replaced revisions must be retained so that every home
 // that may have run a key within its window is known.
 func (c Config) History() time.Duration {
 	c = c.ApplyDefaults()
@@ -69,34 +72,35 @@
 
 type attempt struct {
 	state  State
-	reason outcome.Reason // of Refused
+	reason outcome.Reason // if Refused or Fenced
 	key    KeyID          // zero if none
-	ended  time.Time      // zero while accepted
+	ended  time.Time      // zero while Accepted
 }
 
-// Table is the memory of one agent incarnation. It is owned by one goroutine.
+// Table holds the records of one agent incarnation. It is not safe for concurrent
+// use.
 type Table struct {
-	cfg      Config
-	start    time.Time
-	attempts map[AttemptID]*attempt
-	keys     map[KeyID]*keyRecord
-	order    []ended // attempts that ended, oldest first
-	keyOrder []KeyID // keys, oldest first
+	cfg           Config
+	start         time.Time
+	attempts      map[AttemptID]*attempt
+	keys          map[KeyID]*keyRecord
+	endedAttempts []endedAttempt // attempts that ended, oldest first
+	keyOrder      []KeyID        // keys, oldest first
 }
 
-type ended struct {
+type endedAttempt struct {
 	id AttemptID
 	at time.Time
 }
 
-// NewTable returns an empty table of a process that started at start.
+// NewTable returns an empty table for a process that started at start.
 func NewTable(cfg Config, start time.Time) *Table {
 	return &Table{cfg: cfg.ApplyDefaults(), start: start,
 		attempts: map[AttemptID]*attempt{}, keys: map[KeyID]*keyRecord{}}
 }
 
-// Begin registers an attempt that arrived. It returns Never if the attempt is
-// new and now accepted, else the state in which it was found.
+// Begin records an attempt that arrived. It returns Unseen if the attempt is new,
+// which makes it Accepted, and its recorded state otherwise.
 func (t *Table) Begin(id AttemptID) State {
 	if a := t.attempts[id]; a != nil {
 		return a.state
@@ -105,8 +109,8 @@
 	return Unseen
 }
 
-// Forget removes an accepted attempt as if it had not arrived, so that Begin
-// can be called again after other homes were asked.
+// Forget removes an accepted attempt as if it had not arrived, so that Begin can
+// be called again once its key has been fenced at the earlier homes.
 func (t *Table) Forget(id AttemptID) {
 	if a := t.attempts[id]; a != nil && a.state == Accepted {
 		delete(t.attempts, id)
@@ -118,10 +122,10 @@
 	t.end(now, id, Refused, reason)
 }
 
-// Finish ends an accepted attempt that ran. held is true if the whole answer
-// is available for a replay.
-func (t *Table) Finish(now time.Time, id AttemptID, held bool) {
-	if held {
+// Finish ends an accepted attempt that ran. retained is true if its complete
+// answer is available for a replay.
+func (t *Table) Finish(now time.Time, id AttemptID, retained bool) {
+	if retained {
 		t.end(now, id, Finished, "")
 		return
 	}
@@ -134,11 +138,12 @@
 		return
 	}
 	a.state, a.reason, a.ended = s, reason, now
-	t.order = append(t.order, ended{id, now})
+	t.endedAttempts = append(t.endedAttempts, endedAttempt{id, now})
 	t.endKey(id, a.key, s)
 }
 
-// AnswerDiscarded notes that the held answer of a finished attempt was discarded.
+// AnswerDiscarded records that the retained answer of a finished attempt was
+// discarded.
 func (t *Table) AnswerDiscarded(id AttemptID) {
 	if a := t.attempts[id]; a != nil && a.state == Finished {
 		a.state = Failed
@@ -146,27 +151,27 @@
 	}
 }
 
-// Fence reports the state of an attempt and, if it was never seen, makes sure
-// that it is refused should it arrive later.
+// Fence returns the state of an attempt. An attempt that was not received yet is
+// recorded as Fenced, so that it is refused if it arrives later.
 func (t *Table) Fence(now time.Time, id AttemptID) (State, outcome.Reason) {
 	a := t.attempts[id]
 	if a == nil {
 		t.attempts[id] = &attempt{state: Fenced, reason: outcome.Fenced, ended: now}
-		t.order = append(t.order, ended{id, now})
+		t.endedAttempts = append(t.endedAttempts, endedAttempt{id, now})
 		return Fenced, outcome.Fenced
 	}
 	return a.state, a.reason
 }
 
-// Expire forgets attempts and keys that are older than their limits.
+// Expire removes the records of attempts and keys that are older than their limits.
 func (t *Table) Expire(now time.Time) {
 	n := 0
-	for ; n < len(t.order) && now.Sub(t.order[n].at) > t.cfg.AttemptTTL; n++ {
-		delete(t.attempts, t.order[n].id)
+	for ; n < len(t.endedAttempts) && now.Sub(t.endedAttempts[n].at) > t.cfg.AttemptTTL; n++ {
+		delete(t.attempts, t.endedAttempts[n].id)
 	}
-	t.order = t.order[n:]
+	t.endedAttempts = t.endedAttempts[n:]
 	t.expireKeys(now)
 }
 
-// Len returns how many attempts and keys are remembered.
+// Len returns the number of attempts and keys on record.
 func (t *Table) Len() (attempts, keys int) { return len(t.attempts), len(t.keys) }
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -8,33 +8,34 @@
 	"github.com/springgate/springgate/outcome"
 )
 
-// KeyID is an idempotency key in its scope.
+// KeyID is an idempotency key with its scope: keys of different services or teams
+// are distinct.
 type KeyID struct {
 	Service string
 	Team    string
 	Key     string
 }
 
-// Fingerprint identifies the content of a request, so that a key used for another
-// request is found out.
+// Fingerprint identifies the content of a request, so that reuse of a key for
+// another request is detected.
 type Fingerprint [32]byte
 
 type keyRecord struct {
-	print   Fingerprint
-	attempt AttemptID
-	state   State // Accepted, Finished, Failed, or Fenced
-	at      time.Time
+	fingerprint Fingerprint
+	attempt     AttemptID
+	state       State // Accepted, Finished, Failed, or Fenced
+	at          time.Time
 }
 
 // HomeKey is the rendezvous key that names the home of an idempotency key.
 func HomeKey(k KeyID) string { return k.Service + "\x00" + k.Team + "\x00" + k.Key }
 
-// Home returns the host that keeps the record of k among the hosts that the
-// fleet file in force gives the service.
+// Home returns the home of k, the one of hosts that keeps its record. hosts are the
+// hosts of the service under a revision of the fleet file.
 func Home(k KeyID, hosts []string) string { return membership.First(HomeKey(k), hosts) }
 
-// IssuedAt returns when a key was made, if it is a UUID of version 7, which
-// carries its time (RFC 9562).
+// IssuedAt returns when a key was generated, if it is a UUID of version 7, which
+// contains a timestamp (RFC 9562).
 func IssuedAt(key string) (time.Time, bool) {
 	u, err := uuid.Parse(key)
 	if err != nil || u.Version() != 7 {
@@ -44,15 +45,15 @@
 	return time.UnixMilli(ms), true
 }
 
-// KeyVerdict says what to do with a keyed request.
+// KeyVerdict is what to do with a request that has a key.
 type KeyVerdict uint8
 
-// Verdicts on a keyed request.
+// Verdicts on a request with a key.
 const (
-	KeyRun    KeyVerdict = iota + 1 // it is new: run it
-	KeyFenceHomes                          // ask the earlier homes, then decide
-	KeyReplay                       // send the held answer of the attempt
-	KeyRefuse                       // refuse with the reason
+	KeyRun        KeyVerdict = iota + 1 // the key is new: run the request
+	KeyFenceHomes                       // fence the key at its earlier homes first
+	KeyReplay                           // send the retained answer of the attempt
+	KeyRefuse                           // refuse the request with Reason
 )
 
 // KeyDecision is a verdict with its details.
@@ -60,17 +61,18 @@
 	Verdict KeyVerdict
 	Reason  outcome.Reason
 	Replay  AttemptID
-	Homes     []string // earlier homes
+	Homes   []string // earlier homes of the key
 }
 
-// HomeHistory is what a home knows about the time before it.
+// HomeHistory is what a host knows of the hosts that may be or have been homes of a
+// service's keys.
 type HomeHistory struct {
-	// Self is this host.
+	// Self is the name of this host.
 	Self string
-	// KnownSince is the time from which the revisions in force are known to
-	// this process, by itself or from peers.
+	// KnownSince is the time from which this process knows all revisions that
+	// were in force, either itself or from peers.
 	KnownSince time.Time
-	// HeadAge is the age of the newest proof that the revision in force is
+	// HeadAge is the age of the last confirmation that the revision in force is
 	// the published one.
 	HeadAge time.Duration
 	// CurrentHosts are the service's hosts under the revision in force here.
@@ -79,7 +81,7 @@
 	EarlierHosts [][]string
 }
 
-// issued returns when a key was made, by the table's clock.
+// issued returns when a key was generated, as a time of the table's clock.
 func (t *Table) issued(k KeyID) (time.Time, bool) {
 	date, ok := IssuedAt(k.Key)
 	if !ok {
@@ -88,36 +90,36 @@
 	return t.cfg.AtDate(date), true
 }
 
-// BeginKey decides on a keyed request that arrives with a new attempt.
-// Nothing is recorded until StartKey.
-func (t *Table) BeginKey(now time.Time, k KeyID, p Fingerprint, past HomeHistory) KeyDecision {
+// BeginKey decides on a request with a key that arrives with a new attempt. It
+// records nothing; StartKey does.
+func (t *Table) BeginKey(now time.Time, k KeyID, p Fingerprint, history HomeHistory) KeyDecision {
 	if r := t.keys[k]; r != nil {
-		return t.known(r, p)
+		return t.decideRecorded(r, p)
 	}
 	issued, ok := t.issued(k)
 	if !ok || issued.After(now.Add(t.cfg.ClockSkew)) {
 		return KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyInvalid}
 	}
-	if !t.canKnow(now, issued, past) {
+	if !t.recordsCover(now, issued, history) {
 		return KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyTooOld}
 	}
-	if past.HeadAge > t.cfg.KeyWindow || Home(k, past.CurrentHosts) != past.Self {
+	if history.HeadAge > t.cfg.KeyWindow || Home(k, history.CurrentHosts) != history.Self {
 		return KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyHomeMoved}
 	}
 	if len(t.keys) >= t.cfg.MaxKeys {
 		return KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyTableFull}
 	}
-	if ask := earlierHomes(k, past); len(ask) > 0 {
-		return KeyDecision{Verdict: KeyFenceHomes, Homes: ask}
+	if homes := earlierHomes(k, history); len(homes) > 0 {
+		return KeyDecision{Verdict: KeyFenceHomes, Homes: homes}
 	}
 	return KeyDecision{Verdict: KeyRun}
 }
 
-func (t *Table) known(r *keyRecord, p Fingerprint) KeyDecision {
+func (t *Table) decideRecorded(r *keyRecord, p Fingerprint) KeyDecision {
 	if r.state == Fenced {
 		return KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyHomeMoved}
 	}
-	if r.print != p {
+	if r.fingerprint != p {
 		return KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyMismatch}
 	}
 	switch r.state {
@@ -129,21 +131,22 @@
 	return KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyAnswerGone}
 }
 
-// canKnow reports whether this process would know if the key had run before.
-// It must be older than the key and its records must reach back to the key.
-// It must also know all homes that the key can have had: an earlier home may
-// have run it while its proof of the revision was up to a window old, so the
-// revisions must be known from a window before the key.
-func (t *Table) canKnow(now, issued time.Time, past HomeHistory) bool {
+// recordsCover reports whether this process can determine if the key has run
+// before. The process must have started before the key was generated, and the key
+// must not be older than the window for which keys are kept on record. The process
+// must also know all homes that the key can have had: an earlier home may have run
+// it while its last confirmation of the revision was up to a window old, so the
+// revisions must be known from a window before the key was generated.
+func (t *Table) recordsCover(now, issued time.Time, history HomeHistory) bool {
 	issued = issued.Add(-t.cfg.ClockSkew)
 	return !issued.Before(t.start) && !issued.Before(now.Add(-t.cfg.KeyWindow)) &&
-		!past.KnownSince.After(issued.Add(-t.cfg.KeyWindow))
+		!history.KnownSince.After(issued.Add(-t.cfg.KeyWindow))
 }
 
-func earlierHomes(k KeyID, past HomeHistory) []string {
+func earlierHomes(k KeyID, history HomeHistory) []string {
 	var out []string
-	seen := map[string]bool{past.Self: true}
-	for _, hosts := range past.EarlierHosts {
+	seen := map[string]bool{history.Self: true}
+	for _, hosts := range history.EarlierHosts {
 		if h := Home(k, hosts); h != "" && !seen[h] {
 			seen[h] = true
 			out = append(out, h)
@@ -152,13 +155,13 @@
 	return out
 }
 
-// StartKey records that the attempt runs for the key. It reports false if a
-// record has appeared since BeginKey; the caller then decides again.
+// StartKey records that the attempt runs for the key. It returns false if a record
+// of the key was added since BeginKey; the caller must then call BeginKey again.
 func (t *Table) StartKey(now time.Time, k KeyID, p Fingerprint, id AttemptID) bool {
 	if t.keys[k] != nil {
 		return false
 	}
-	t.addKey(k, &keyRecord{print: p, attempt: id, state: Accepted, at: now})
+	t.addKey(k, &keyRecord{fingerprint: p, attempt: id, state: Accepted, at: now})
 	if a := t.attempts[id]; a != nil {
 		a.key = k
 	}
@@ -170,8 +173,8 @@
 	t.keyOrder = append(t.keyOrder, k)
 }
 
-// endKey follows the attempt that runs for a key. An attempt that was refused
-// never ran, so the key is free again.
+// endKey updates the key's record when its attempt ends. An attempt that was
+// refused never ran, so the key may be used again.
 func (t *Table) endKey(id AttemptID, k KeyID, s State) {
 	r := t.keys[k]
 	if r == nil || r.attempt != id {
@@ -184,8 +187,8 @@
 	r.state = s
 }
 
-// FenceKey is asked by a later home. It reports whether the key ran or runs
-// here; if not, it can no longer start here.
+// FenceKey is called on behalf of a later home of the key. It reports whether the
+// key may have run here or is running; if not, it can no longer start here.
 func (t *Table) FenceKey(now time.Time, k KeyID) (known bool) {
 	if r := t.keys[k]; r != nil {
 		return r.state != Fenced
@@ -198,7 +201,8 @@
 	return false
 }
 
-// expireKeys forgets the oldest keys. A key that still runs is kept.
+// expireKeys removes the oldest key records, except those whose attempt is still
+// queued or running.
 func (t *Table) expireKeys(now time.Time) {
 	kept := t.keyOrder[:0]
 	for i, k := range t.keyOrder {
--- a/idempotency/key_test.go
+++ b/idempotency/key_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// issuedAt returns a key of a date.
+// issuedAt returns a key that was generated at date.
 func issuedAt(date time.Time) string {
 	u := uuid.Must(uuid.NewV7())
 	ms := date.UnixMilli()
@@ -19,17 +19,18 @@
 	return u.String()
 }
 
-// The dates of keys are held against the clock of the table, which has gone apart from the
-// time of day: a key of a time of which the homes are not known may have run elsewhere.
-func TestDatesOfKeysAreReadByTheClock(t *testing.T) {
-	const apart = time.Minute // the clock is ahead of the time of day
+// The date in a key must be converted to the clock of the table, which may differ
+// from the time of day. Otherwise a key from a time for which the homes are unknown
+// is accepted, although it may have run elsewhere.
+func TestKeyDatesAreConvertedToTableClock(t *testing.T) {
+	const offset = time.Minute // the clock is ahead of the time of day
 	date := time.Date(2020, 1, 2, 3, 4, 5, 0, time.UTC)
-	now := date.Add(apart)
-	cfg := Config{KeyWindow: time.Minute, ClockSkew: time.Second, AtDate: func(d time.Time) time.Time { return d.Add(apart) }}
+	now := date.Add(offset)
+	cfg := Config{KeyWindow: time.Minute, ClockSkew: time.Second, AtDate: func(d time.Time) time.Time { return d.Add(offset) }}
 	table := NewTable(cfg, now.Add(-time.Hour))
-	decide := func(issued, known time.Duration) KeyDecision {
-		past := HomeHistory{Self: "a", CurrentHosts: []string{"a"}, KnownSince: now.Add(-known)}
-		return table.BeginKey(now, KeyID{Service: "s", Team: "blue", Key: issuedAt(date.Add(-issued))}, Fingerprint{}, past)
+	decide := func(age, knownFor time.Duration) KeyDecision {
+		history := HomeHistory{Self: "a", CurrentHosts: []string{"a"}, KnownSince: now.Add(-knownFor)}
+		return table.BeginKey(now, KeyID{Service: "s", Team: "blue", Key: issuedAt(date.Add(-age))}, Fingerprint{}, history)
 	}
 	assert.Equal(t, decide(10*time.Second, 72*time.Second).Verdict, KeyRun)
 	assert.DeepEqual(t, decide(10*time.Second, 70*time.Second), KeyDecision{Verdict: KeyRefuse, Reason: outcome.KeyTooOld})
