--- a/intent/fold.go
+++ b/intent/fold.go
@@ -98,7 +98,8 @@
 // within the retention period, oldest first.
 func (t *Tracker) History() []Accepted { return slices.Clone(t.history) }
 
-// OfferHead processes a published head.
+// OfferHead adds a published head as a candidate, unless it is stale, already in
+// force or rejected, and returns the verdict on it.
 func (t *Tracker) OfferHead(now time.Time, h Head) (HeadVerdict, error) {
 	ref := h.Ref()
 	switch {
