--- a/control/history.go
+++ b/control/history.go
@@ -80,8 +80,8 @@
 	return append(out[:len(out):len(out)], n.localPastHosts()...)
 }
 
-// localPastHosts returns, for each revision that this process has had in force,
-// the host lists of services that the next revision changed.
+// localPastHosts returns, for each retained revision that this process had in
+// force, the host lists of services that the next revision changed or removed.
 func (n *Node) localPastHosts() []PastHosts {
 	var out []PastHosts
 	revisions := n.tracker.History()
--- a/control/node.go
+++ b/control/node.go
@@ -155,8 +155,8 @@
 	n.readHosts()
 }
 
-// tick detects pauses, expires old state, publishes a snapshot and starts
-// whatever is due. It runs on the loop.
+// tick detects pauses, expires old state, publishes a snapshot, and starts the
+// heartbeats and reads that are due. It runs on the loop.
 func (n *Node) tick(now time.Time) {
 	if !n.lastTick.IsZero() && now.Sub(n.lastTick) > n.cfg.PauseThreshold {
 		n.count.pauses.Inc(1)
