--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -27,11 +27,11 @@
 	at          time.Time
 }
 
-// HomeKey is the rendezvous key that names the home of an idempotency key.
+// HomeKey returns the key for rendezvous hashing that determines the home of k.
 func HomeKey(k KeyID) string { return k.Service + "\x00" + k.Team + "\x00" + k.Key }
 
-// Home returns the home of k, the one of hosts that keeps its record. hosts are the
-// hosts of the service under a revision of the fleet file.
+// Home returns the home of k: the host that keeps its record, chosen by rendezvous
+// hashing among hosts, the hosts of the service under a revision of the fleet file.
 func Home(k KeyID, hosts []string) string { return membership.First(HomeKey(k), hosts) }
 
 // IssuedAt returns when a key was generated, if it is a UUID of version 7, which
