--- a/agent/config.go
+++ b/agent/config.go
@@ -63,6 +63,6 @@
 	c.HaveInterval = cmp.Or(c.HaveInterval, 200*time.Millisecond)
 	c.Idempotency.AtDate = clock.AtDate
 	c.Idempotency = c.Idempotency.ApplyDefaults()
-	c.Control.History = c.Idempotency.History()
+	c.Control.HistoryRetention = c.Idempotency.History()
 	return c
 }
--- a/agent/requests.go
+++ b/agent/requests.go
@@ -110,9 +110,9 @@
 }
 
 // hostState returns the state of this host that decisions depend on.
-func (r *requests) hostState(service string) intake.Host {
+func (r *requests) hostState(service string) intake.HostState {
 	s := r.node.Snapshot()
-	h := intake.Host{Incarnation: r.cfg.Control.Incarnation, Awake: r.node.Awake(clock.Now()), Ready: r.targetReadiness().ready}
+	h := intake.HostState{Incarnation: r.cfg.Control.Incarnation, Awake: r.node.Awake(clock.Now()), Ready: r.targetReadiness().ready}
 	var current []string
 	if f := s.Fleet(); f != nil {
 		h.HasIntent = true
@@ -121,11 +121,11 @@
 			current = svc.HostNames()
 		}
 	}
-	h.Past = idempotency.Past{Self: r.cfg.Control.Host, KnownSince: s.KnownSince, HeadAge: clock.Since(s.Proof),
-		Current: current}
-	for _, x := range s.Past {
+	h.HomeHistory = idempotency.HomeHistory{Self: r.cfg.Control.Host, KnownSince: s.KnownSince, HeadAge: clock.Since(s.ConfirmedAt),
+		CurrentHosts: current}
+	for _, x := range s.PastHosts {
 		if x.Service == service {
-			h.Past.Hosts = append(h.Past.Hosts, x.Hosts)
+			h.HomeHistory.EarlierHosts = append(h.HomeHistory.EarlierHosts, x.Hosts)
 		}
 	}
 	return h
@@ -145,7 +145,7 @@
 }
 
 // admit decides on an attempt for a given state of the host.
-func (r *requests) admit(h intake.Host, d *peer.Dispatch, fenced bool) beginResult {
+func (r *requests) admit(h intake.HostState, d *peer.Dispatch, fenced bool) beginResult {
 	now := clock.Now()
 	att := &attempt{id: attemptID(d.Attempt), dispatch: d, answer: newAnswer(), admissionResult: make(chan intake.Refusal, 1),
 		deadline: now.Add(time.Duration(d.TimeoutMs) * time.Millisecond)}
@@ -168,7 +168,7 @@
 
 func attemptOf(d *peer.Dispatch, deadline time.Time) intake.Attempt {
 	return intake.Attempt{ID: attemptID(d.Attempt), Incarnation: d.Incarnation, Service: d.Service, Team: d.Team,
-		Key: d.Key, Print: d.Print, Urgency: int(d.Urgency), Deadline: deadline}
+		Key: d.Key, Fingerprint: d.Print, Urgency: int(d.Urgency), Deadline: deadline}
 }
 
 // heldAnswer returns the answer of a finished attempt. If it is no longer held, it turns
@@ -229,7 +229,7 @@
 			break
 		}
 		r.heldBytes -= att.heldBytes
-		r.intake.Drop(att.id)
+		r.intake.AnswerDiscarded(att.id)
 		delete(r.attempts, att.id)
 	}
 	return held[n:]
--- a/agent/run.go
+++ b/agent/run.go
@@ -40,7 +40,7 @@
 	if a.requests.loop.Call(func() { b = a.requests.begin(d, false) }) != nil {
 		return stopped
 	}
-	if b.Action != intake.Ask {
+	if b.Action != intake.FenceHomes {
 		return b
 	}
 	fenced := a.fenceEarlierHomes(ctx, d, b.Homes)
@@ -48,7 +48,7 @@
 		if fenced {
 			b = a.requests.begin(d, true)
 		} else {
-			b.Decision = a.requests.intake.PutAside(clock.Now(), attemptOf(d, time.Time{}))
+			b.Decision = a.requests.intake.FencingFailed(clock.Now(), attemptOf(d, time.Time{}))
 		}
 	}) != nil {
 		return stopped
--- a/submission/replay_test.go
+++ b/submission/replay_test.go
@@ -177,16 +177,16 @@
 func (p *replayer) arrive(r *traceRequest, a *traceAgent, fenced bool) intake.Decision {
 	att := intake.Attempt{ID: r.attempt(), Incarnation: r.incarnation, Service: service, Team: simTeam, Key: r.key,
 		Urgency: 3, Deadline: p.now.Add(time.Hour)}
-	h := intake.Host{Incarnation: a.incarnation, Awake: true, HasIntent: true, Service: service, Ready: true,
-		Past: idempotency.Past{Self: a.name, Current: a.current, Hosts: a.past, HeadAge: a.headAge, KnownSince: p.now.Add(-a.knownFor)}}
+	h := intake.HostState{Incarnation: a.incarnation, Awake: true, HasIntent: true, Service: service, Ready: true,
+		HomeHistory: idempotency.HomeHistory{Self: a.name, CurrentHosts: a.current, EarlierHosts: a.past, HeadAge: a.headAge, KnownSince: p.now.Add(-a.knownFor)}}
 	d, _ := a.intake.Arrive(p.now, h, att, fenced)
-	if d.Action != intake.Ask {
+	if d.Action != intake.FenceHomes {
 		return d
 	}
 	for _, home := range d.Homes {
 		o := p.agents[home]
 		if o == nil || o.intake.FenceKey(p.now, idempotency.KeyID{Service: service, Team: simTeam, Key: r.key}) {
-			return a.intake.PutAside(p.now, att)
+			return a.intake.FencingFailed(p.now, att)
 		}
 	}
 	return p.arrive(r, a, true)
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -233,19 +233,19 @@
 		w.refuse(s, c, id, d.Reason)
 	case intake.Replay:
 		w.replay(s, c, id, answerContent(s.answerID()))
-	case intake.Ask:
+	case intake.FenceHomes:
 		a.keyFences = append(a.keyFences, func(reachable bool) { w.resolveKeyFence(s, c, id, att, d.Homes, reachable) })
 	}
 	w.apply(a, eff)
 }
 
-func (w *world) hostState(a *agentSim) intake.Host {
-	p := idempotency.Past{Self: a.name, KnownSince: a.view.knownSince, HeadAge: w.now.Sub(a.view.headConfirmed),
-		Current: w.revisions[a.view.revision]}
+func (w *world) hostState(a *agentSim) intake.HostState {
+	p := idempotency.HomeHistory{Self: a.name, KnownSince: a.view.knownSince, HeadAge: w.now.Sub(a.view.headConfirmed),
+		CurrentHosts: w.revisions[a.view.revision]}
 	for _, x := range a.view.past {
-		p.Hosts = append(p.Hosts, w.revisions[x.revision])
+		p.EarlierHosts = append(p.EarlierHosts, w.revisions[x.revision])
 	}
-	return intake.Host{Incarnation: a.incarnation, Awake: true, HasIntent: true, Service: service, Ready: true, Past: p}
+	return intake.HostState{Incarnation: a.incarnation, Awake: true, HasIntent: true, Service: service, Ready: true, HomeHistory: p}
 }
 
 func (w *world) resolveKeyFence(s *sub, c *conn, id idempotency.AttemptID, att intake.Attempt, homes []string, reachable bool) {
@@ -253,7 +253,7 @@
 	for _, h := range homes {
 		o := w.agents[h]
 		if !reachable || o.dead || o.paused || o.intake.FenceKey(w.now, key) {
-			d := c.agent.intake.PutAside(w.now, att)
+			d := c.agent.intake.FencingFailed(w.now, att)
 			w.refuse(s, c, id, d.Reason)
 			return
 		}
