--- a/entry/bench_test.go
+++ b/entry/bench_test.go
@@ -10,12 +10,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// BenchmarkPath compares a small call through entry and agent with the same
-// call straight to the stand-in, one at a time and on all processors.
+// BenchmarkPath compares a small request through entry and agent with the same
+// request sent directly to the stand-in, sequentially and in parallel.
 func BenchmarkPath(b *testing.B) {
 	f := newFleet(b, 0, 1)
 	f.publish(0)
-	f.ready("plain")
+	f.waitReady("plain")
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}
 	for name, url := range map[string]string{
 		"straight": f.hosts["p0"].url + "/x",
@@ -33,9 +33,9 @@
 		b.Run(name+"/one", func(b *testing.B) {
 			h := hdrhistogram.New(1, int64(time.Minute), 3)
 			for b.Loop() {
-				began := time.Now()
+				start := time.Now()
 				assert.NilError(b, get())
-				_ = h.RecordValue(int64(time.Since(began)))
+				_ = h.RecordValue(int64(time.Since(start)))
 			}
 			b.ReportMetric(float64(h.ValueAtPercentile(50))/1000, "p50-µs")
 			b.ReportMetric(float64(h.ValueAtPercentile(99))/1000, "p99-µs")
--- a/entry/body.go
+++ b/entry/body.go
@@ -13,25 +13,25 @@
 	"github.com/springgate/springgate/target"
 )
 
-// Sizes of a request body.
+// Sizes of request bodies in bytes.
 const (
-	// heldBody is how much of a body is held so that it can be sent again. A
-	// longer body is streamed and sent once.
-	heldBody  = 256 << 10
-	bodyPiece = 16 << 10
+	// maxBufferedBody is how much of a body is buffered. A shorter body can
+	// be sent again on a retry; any other is streamed and sent only once.
+	maxBufferedBody = 256 << 10
+	bodyFrameSize   = 16 << 10
 )
 
 // requestBody is the body of a caller's request.
 type requestBody struct {
-	held   []byte
-	rest   io.Reader // what follows held; nil if held is all
-	length int64     // -1 if not known
+	buffered []byte
+	rest     io.Reader // remainder of a streamed body; nil if fully buffered
+	length   int64     // Content-Length; -1 if unknown
 }
 
-// errBodyTooLarge means that the body is over the entry's limit.
+// errBodyTooLarge is returned for a body larger than Config.MaxBody.
 var errBodyTooLarge = errors.New("entry: body too large")
 
-// readBody reads what is to be held of a body.
+// readBody buffers the beginning of the request body, up to maxBufferedBody bytes.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) (*requestBody, error) {
 	if r.Body == nil || r.Body == http.NoBody || r.ContentLength == 0 {
 		return &requestBody{}, nil
@@ -40,12 +40,12 @@
 		return nil, errBodyTooLarge
 	}
 	src := http.MaxBytesReader(w, r.Body, limit)
-	held, err := io.ReadAll(io.LimitReader(src, heldBody))
+	buffered, err := io.ReadAll(io.LimitReader(src, maxBufferedBody))
 	if err != nil {
 		return nil, bodyError(err)
 	}
-	b := &requestBody{held: held, length: r.ContentLength}
-	if len(held) == heldBody {
+	b := &requestBody{buffered: buffered, length: r.ContentLength}
+	if len(buffered) == maxBufferedBody {
 		b.rest = src
 	}
 	return b, nil
@@ -59,25 +59,26 @@
 	return errors.Wrap(err, "entry: read body")
 }
 
-func (b *requestBody) present() bool  { return len(b.held) > 0 }
+func (b *requestBody) present() bool  { return len(b.buffered) > 0 }
 func (b *requestBody) streamed() bool { return b.rest != nil }
 
-// print identifies the request for its idempotency key.
-func (b *requestBody) print(r *http.Request, uri string) [32]byte {
+// fingerprint returns a hash of method, URI and buffered body. It detects an
+// idempotency key that is reused for a different request.
+func (b *requestBody) fingerprint(r *http.Request, uri string) [32]byte {
 	h := sha256.New()
 	_, _ = io.WriteString(h, r.Method+" "+uri+"\n")
-	_, _ = h.Write(b.held)
+	_, _ = h.Write(b.buffered)
 	return [32]byte(h.Sum(nil))
 }
 
-// send sends the body as frames. A failure to read it ends the stream and is
-// reported on failed.
+// send sends the body in peer.Body frames. If reading the body fails, it
+// reports the reason on failed and closes the stream.
 func (b *requestBody) send(ctx context.Context, s *peer.Stream, failed chan<- outcome.Reason) {
-	var src io.Reader = bytes.NewReader(b.held)
+	var src io.Reader = bytes.NewReader(b.buffered)
 	if b.rest != nil {
 		src = io.MultiReader(src, b.rest)
 	}
-	buf := make([]byte, bodyPiece)
+	buf := make([]byte, bodyFrameSize)
 	for seq := uint32(0); ; seq++ {
 		n, err := io.ReadFull(src, buf)
 		last := errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF)
@@ -99,7 +100,7 @@
 	return outcome.CallerLeft
 }
 
-// forwardedHeader returns the end-to-end fields of a request.
+// forwardedHeader returns the end-to-end header fields of a request.
 func forwardedHeader(r *http.Request) []peer.HeaderField {
 	fields := target.EndToEnd(r.Header)
 	out := make([]peer.HeaderField, len(fields))
--- a/entry/capacity_test.go
+++ b/entry/capacity_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// BenchmarkCapacityTargets measures what a fleet of one entry and a number of
-// agents costs a process when no request runs: status messages, heartbeats,
-// and the memory of the connections.
+// BenchmarkCapacityTargets measures the idle cost per process of a fleet with
+// one entry and a number of agents: status messages, heartbeats and the memory
+// of the connections.
 func BenchmarkCapacityTargets(b *testing.B) {
 	for _, n := range []int{3, 12, 48} {
 		b.Run(fmt.Sprintf("targets=%d", n), func(b *testing.B) {
 			for range b.N {
 				f := newFleet(b, 0, n)
 				f.publish(0)
-				f.ready("plain")
+				f.waitReady("plain")
 				time.Sleep(2 * time.Second)
-				in, cpu, began := f.trafficIn(), cpuTime(), time.Now()
+				in, cpu, start := f.trafficIn(), cpuTime(), time.Now()
 				time.Sleep(4 * time.Second)
-				span := time.Since(began).Seconds()
+				span := time.Since(start).Seconds()
 				b.ReportMetric(float64(f.trafficIn()-in)/span, "entry-status-B/s")
 				b.ReportMetric(100*(cpuTime()-cpu).Seconds()/span/float64(n+1), "cpu-%/process")
 				runtime.GC()
@@ -33,7 +33,7 @@
 	}
 }
 
-// trafficIn is how many bytes of traffic connections the entry has received.
+// trafficIn returns how many bytes the entry has received on traffic connections.
 func (f *testFleet) trafficIn() int64 {
 	g, ok := f.entry.Metrics().Get("control.traffic_bytes_in").(interface{ Value() int64 })
 	if !ok {
--- a/entry/config.go
+++ b/entry/config.go
@@ -1,6 +1,7 @@
-// Package entry is the process of `springgate serve`, the mode in which requests go through
-// agents: it takes callers' requests, chooses a target host for each and speaks to that
-// host's agent. Package gateway is the entry of the other mode.
+// Package entry implements the process of `springgate serve`, the mode in which requests
+// reach targets through agents. It accepts requests from callers, selects a target host
+// for each one and forwards it to the agent of that host. Package gateway implements the
+// entry of the other mode, `springgate gateway`.
 package entry
 
 import (
@@ -14,22 +15,23 @@
 // Config holds the settings of an Entry.
 type Config struct {
 	Control control.Config
-	// Listen is the address for callers.
+	// Listen is the address on which requests from callers are accepted.
 	Listen string
-	// Subset is how many targets of a service the entry keeps connections
-	// to. More evens out the load and costs connections and status messages.
-	// Default 64.
+	// Subset is the number of targets per service that the entry keeps
+	// connections to. A larger subset balances the load more evenly but
+	// costs more connections and status messages. Default 64.
 	Subset int
-	// Notice is how long a leaving entry goes on serving after /readyz has
-	// begun to fail, so that the balancer notices. Default 5 s.
+	// Notice is how long an entry that shuts down keeps accepting requests
+	// after /readyz has started to fail, so that the load balancer can take
+	// it out of rotation first. Default 5 s.
 	Notice time.Duration
-	// DrainTimeout bounds how long a leaving entry then waits for requests in
-	// flight. Default 10 min.
+	// DrainTimeout bounds the subsequent wait for requests in flight.
+	// Default 10 min.
 	DrainTimeout time.Duration
-	// MaxBody bounds a request body in bytes. Default 64 MiB.
+	// MaxBody is the maximum size of a request body in bytes. Default 64 MiB.
 	MaxBody int64
-	// MaxInflight bounds the requests in flight at this entry, and so its
-	// memory. Default 20,000.
+	// MaxInflight is the maximum number of requests in flight at this entry,
+	// which also bounds its memory use. Default 20,000.
 	MaxInflight int
 
 	Routing routing.Config
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -30,7 +30,8 @@
 	"github.com/springgate/springgate/telemetry"
 )
 
-// Histogram sizes: an exponentially decaying sample as go-metrics suggests.
+// Parameters of the exponentially decaying samples behind the histograms, as
+// recommended by go-metrics.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
@@ -52,7 +53,7 @@
 		inflight: metrics.NewRegisteredGauge("requests.inflight", r)}
 }
 
-// Entry is the process that callers talk to.
+// Entry accepts requests from callers and forwards them to agents.
 type Entry struct {
 	cfg      Config
 	log      *logrus.Entry
@@ -69,11 +70,11 @@
 	inflight atomic.Int64
 	leaving  atomic.Bool
 
-	mu      sync.Mutex
-	budgets map[string]*routing.Budget
+	mu           sync.Mutex
+	retryBudgets map[string]*routing.Budget
 }
 
-// New opens the listeners of an entry. Run does the rest.
+// New returns an entry with open listeners. Run starts serving.
 func New(cfg Config, service *configservice.Client, hosts *hostlist.Client, log logrus.FieldLogger) (*Entry, error) {
 	cfg = cfg.applyDefaults()
 	if cfg.Control.Incarnation == 0 {
@@ -82,15 +83,15 @@
 	cfg.Control.Role = membership.Entry
 	log = log.WithFields(logrus.Fields{"host": cfg.Control.Host, "failure_domain": cfg.Control.Domain})
 	e := &Entry{log: telemetry.Part(log, "entry"), access: telemetry.Part(log, "access"),
-		metrics: metrics.NewRegistry(), budgets: map[string]*routing.Budget{}}
+		metrics: metrics.NewRegistry(), retryBudgets: map[string]*routing.Budget{}}
 	e.reasons = telemetry.NewReasons(e.metrics)
 	e.count = newCounters(e.metrics)
 	self := peer.Hello{Host: cfg.Control.Host, Incarnation: cfg.Control.Incarnation,
 		Role: string(membership.Entry), Domain: cfg.Control.Domain}
 	meter := &peer.Meter{}
-	ready := make(chan struct{})
+	initialized := make(chan struct{})
 	handler := func(ctx context.Context, s *peer.Stream, m peer.Message) {
-		<-ready
+		<-initialized
 		e.handle(ctx, s, m)
 	}
 	var err error
@@ -110,20 +111,21 @@
 	if e.http, err = e.newServer(); err != nil {
 		return nil, err
 	}
-	close(ready)
+	close(initialized)
 	return e, nil
 }
 
-// Addr returns the address of the peer listener.
+// Addr returns the address on which other processes of the fleet connect.
 func (e *Entry) Addr() string { return e.cfg.Control.Addr }
 
-// CallerAddr returns the address for callers.
+// CallerAddr returns the address on which requests from callers are accepted.
 func (e *Entry) CallerAddr() string { return e.listener.Addr().String() }
 
 // Metrics returns the entry's metrics.
 func (e *Entry) Metrics() metrics.Registry { return e.metrics }
 
-// Run serves until ctx is done. It does not drain; Drain does.
+// Run serves until ctx is done, then closes all connections without draining.
+// Call Drain first for a graceful shutdown.
 func (e *Entry) Run(ctx context.Context) {
 	e.log.WithField("addr", e.CallerAddr()).Info("Entry started.")
 	var wg sync.WaitGroup
@@ -138,8 +140,8 @@
 	wg.Wait()
 }
 
-// Drain fails /readyz, goes on serving for the notice time, then takes no new
-// connections and waits for the requests in flight.
+// Drain makes /readyz fail and keeps serving for Config.Notice. It then stops
+// accepting connections and waits for the requests in flight.
 func (e *Entry) Drain(ctx context.Context) {
 	if e.leaving.Swap(true) {
 		return
@@ -157,7 +159,7 @@
 	e.log.Info("Drained.")
 }
 
-// Ready reports whether the balancer should send callers here.
+// Ready reports whether the load balancer should send requests to this entry.
 func (e *Entry) Ready() bool {
 	return !e.leaving.Load() && e.node.Snapshot().Fleet() != nil && e.node.Awake(clock.Now())
 }
@@ -171,21 +173,21 @@
 	}
 }
 
-func (e *Entry) budget(service string) *routing.Budget {
+func (e *Entry) retryBudget(service string) *routing.Budget {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	b := e.budgets[service]
+	b := e.retryBudgets[service]
 	if b == nil {
 		b = routing.NewBudget(e.cfg.Budget)
-		e.budgets[service] = b
+		e.retryBudgets[service] = b
 	}
 	return b
 }
 
-// defaultTeam is used for calls that name no team.
+// defaultTeam is the team of requests that do not name one.
 const defaultTeam = "default"
 
-// serveCall answers one caller's request.
+// serveCall handles one request from a caller.
 func (e *Entry) serveCall(w http.ResponseWriter, r *http.Request) {
 	x := &exchange{entry: e, w: w, r: r, arrived: clock.Now(), id: uuid.New()}
 	e.count.inflight.Update(e.inflight.Add(1))
@@ -194,7 +196,7 @@
 		x.finish(submission.Action{Outcome: outcome.NotRun, Reason: reason, RetryAfter: retryAfterOf(reason)}, detail)
 		return
 	}
-	ctx, cancel := clock.WithDeadline(r.Context(), x.until.Add(verdictGrace))
+	ctx, cancel := clock.WithDeadline(r.Context(), x.deadline.Add(resultGrace))
 	defer cancel()
 	x.finish(x.run(ctx), "")
 }
@@ -206,7 +208,8 @@
 	return 0
 }
 
-// prepare checks a request before anything is sent.
+// prepare validates a request before it is sent to any host. It returns the
+// reason for a rejection and a detail for the caller, or "".
 func (x *exchange) prepare() (outcome.Reason, string) {
 	var err error
 	if x.req, err = caller.Parse(x.r); err != nil {
@@ -229,7 +232,7 @@
 	if x.req.Timeout > 0 {
 		timeout = min(timeout, x.req.Timeout)
 	}
-	x.until = x.arrived.Add(timeout)
+	x.deadline = x.arrived.Add(timeout)
 	x.body, err = readBody(x.w, x.r, x.entry.cfg.MaxBody)
 	switch {
 	case errors.Is(err, errBodyTooLarge):
@@ -239,7 +242,7 @@
 	case x.req.Key != "" && x.body.streamed():
 		return outcome.BodyTooLarge, "a request with an idempotency key must fit in 256 KiB"
 	}
-	x.print = x.body.print(x.r, x.req.URI)
+	x.fingerprint = x.body.fingerprint(x.r, x.req.URI)
 	return "", ""
 }
 
@@ -255,12 +258,12 @@
 
 func (x *exchange) requestID() string { return hex.EncodeToString(x.id[:]) }
 
-// finish tells the caller the outcome, counts it and writes the access log.
+// finish reports the outcome to the caller, counts it and writes the access log.
 func (x *exchange) finish(act submission.Action, detail string) {
 	x.record(act)
 	switch {
 	case act.Abort:
-		panic(http.ErrAbortHandler) // the caller must not take the part for the whole
+		panic(http.ErrAbortHandler) // a truncated response must not look complete to the caller
 	case act.Outcome == outcome.Completed:
 		x.w.Header().Set(http.TrailerPrefix+caller.HeaderOutcome, string(act.Outcome))
 	case act.Reason == outcome.CallerLeft:
@@ -275,9 +278,9 @@
 	switch act.Outcome {
 	case outcome.Completed:
 		c.completed.Inc(1)
-		c.firstByte.Update(x.first.Milliseconds())
+		c.firstByte.Update(x.firstByte.Milliseconds())
 		c.duration.Update(clock.Since(x.arrived).Milliseconds())
-		x.entry.budget(x.svc.Name).Success()
+		x.entry.retryBudget(x.svc.Name).Success()
 	case outcome.NotRun:
 		c.notRun.Inc(1)
 	default:
@@ -293,6 +296,6 @@
 	}
 	x.entry.access.WithFields(logrus.Fields{"request_id": x.requestID(), "service": x.req.Service, "team": x.req.Team,
 		"target_host": x.host.Host, "method": x.r.Method, "outcome": act.Outcome, "reason": act.Reason,
-		"status": x.status, "tries": tries, "bytes": x.written, "first_ms": x.first.Milliseconds(),
+		"status": x.status, "tries": tries, "bytes": x.written, "first_ms": x.firstByte.Milliseconds(),
 		"took_ms": clock.Since(x.arrived).Milliseconds(), "revision": x.entry.node.Snapshot().Revision()}).Info("Request ended.")
 }
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -19,60 +19,62 @@
 	"github.com/springgate/springgate/submission"
 )
 
-// Times of an exchange.
 const (
-	// verdictGrace is how long after the deadline the agent's own verdict is
-	// awaited: only it can prove that a request did not run.
-	verdictGrace = 250 * time.Millisecond
-	// fenceTimeout bounds one question about an attempt.
+	// resultGrace is how long after the deadline the entry waits for the
+	// agent to report the result, since only the agent can prove that a
+	// request did not run.
+	resultGrace = 250 * time.Millisecond
+	// fenceTimeout bounds one fence call.
 	fenceTimeout = time.Second
-	// fenceBase is the wait before the second question; it doubles.
-	fenceBase = 100 * time.Millisecond
+	// fenceBackoff is the back-off before the second fence call; it doubles for
+	// each further one.
+	fenceBackoff = 100 * time.Millisecond
 )
 
-// exchange carries one request from the caller to its outcome. The decisions
-// are made by submission; exchange does the I/O that it asks for.
+// exchange processes one request from arrival to outcome. Package submission
+// makes the decisions; exchange performs the I/O for the actions it returns.
 type exchange struct {
-	entry   *Entry
-	w       http.ResponseWriter
-	r       *http.Request
-	id      [16]byte
-	req     caller.Request
-	svc     *intent.Service
-	body    *requestBody
-	print   [32]byte
-	arrived time.Time
-	until   time.Time // the caller's deadline
+	entry       *Entry
+	w           http.ResponseWriter
+	r           *http.Request
+	id          [16]byte
+	req         caller.Request
+	svc         *intent.Service
+	body        *requestBody
+	fingerprint [32]byte
+	arrived     time.Time
+	deadline    time.Time // the caller's deadline
 
-	machine  *submission.Machine
-	host     membership.Member   // of the current attempt
-	endpoint *routing.Endpoint   // nil for a home outside the subset
-	candInc  uint64              // incarnation of the current attempt
-	tried    []string            // hosts that have been tried
-	stream   *peer.Stream        // of the current attempt
-	bodyErr  chan outcome.Reason // an error while the body was sent
-	message  peer.Message        // to be forwarded
-	retries  int
-	first    time.Duration // time to the first byte of the answer
-	written  int64
-	status   int
-	fences   int
+	machine     *submission.Machine
+	host        membership.Member   // of the current attempt
+	endpoint    *routing.Endpoint   // nil for the home host of an idempotency key
+	incarnation uint64              // incarnation of that host's agent
+	tried       []string            // hosts that were sent an attempt
+	stream      *peer.Stream        // of the current attempt
+	bodyErr     chan outcome.Reason // failure to read the request body
+	lastMessage peer.Message        // last message received, to be forwarded
+	retries     int
+	firstByte   time.Duration // time to the first byte of the response
+	written     int64
+	status      int
+	fences      int
 }
 
-// run drives the submission to its end.
+// run executes the actions of the submission until it finishes.
 func (x *exchange) run(ctx context.Context) submission.Action {
 	m, act := submission.New(submission.Request{Repeatable: x.req.Repeatable,
 		Keyed: x.req.Key != "", MaxTries: x.maxTries()})
 	x.machine = m
 	defer x.release(false)
 	for act.Kind != submission.Finish {
-		act = x.do(ctx, act)
+		act = x.perform(ctx, act)
 	}
 	x.release(act.Outcome == outcome.Completed)
 	return act
 }
 
-// maxTries is one for a body too large to be held for another try.
+// maxTries returns 1 for a streamed body, which cannot be sent again, and 0
+// for the default limit otherwise.
 func (x *exchange) maxTries() int {
 	if x.body.streamed() {
 		return 1
@@ -80,7 +82,7 @@
 	return 0
 }
 
-func (x *exchange) do(ctx context.Context, act submission.Action) submission.Action {
+func (x *exchange) perform(ctx context.Context, act submission.Action) submission.Action {
 	switch act.Kind {
 	case submission.Choose:
 		return x.choose(ctx)
@@ -91,7 +93,7 @@
 	case submission.Resume:
 		return x.resume(ctx, act.Offset)
 	case submission.Wait:
-		return x.wait(ctx, act.Reason)
+		return x.backOff(ctx, act.Reason)
 	case submission.Forward:
 		if err := x.forward(); err != nil {
 			return x.machine.Abandon(outcome.CallerLeft)
@@ -100,9 +102,9 @@
 	return x.next(ctx)
 }
 
-// choose picks the host of the next attempt.
+// choose selects the host for the next attempt.
 func (x *exchange) choose(ctx context.Context) submission.Action {
-	if act, over := x.over(ctx); over {
+	if act, ended := x.ended(ctx); ended {
 		return act
 	}
 	now := clock.Now()
@@ -127,16 +129,17 @@
 	return x.machine.Chosen()
 }
 
-// pick prefers the engine of the conversation, if the service asks for it.
+// pick selects a candidate. For a service with prefix affinity it prefers the
+// host that the prefix of the request body maps to.
 func (x *exchange) pick(now time.Time, t *routing.Table) *routing.Candidate {
-	n := min(x.svc.AffinityBytes, len(x.body.held))
+	n := min(x.svc.AffinityBytes, len(x.body.buffered))
 	if n == 0 {
 		return t.Pick(now, x.entry.rng(), x.tried)
 	}
-	return t.PickPrefix(now, x.entry.rng(), string(x.body.held[:n]), x.tried)
+	return t.PickPrefix(now, x.entry.rng(), string(x.body.buffered[:n]), x.tried)
 }
 
-// chooseHome picks the one host that keeps the record of the key.
+// chooseHome selects the host that keeps the record of the idempotency key.
 func (x *exchange) chooseHome(member func(string) (membership.Member, bool)) submission.Action {
 	k := idempotency.KeyID{Service: x.svc.Name, Team: x.req.Team, Key: x.req.Key}
 	m, ok := member(idempotency.Home(k, x.svc.HostNames()))
@@ -152,13 +155,13 @@
 	x.release(false)
 	c, err := x.entry.pool.Get(ctx, x.host.Addr, peer.Traffic)
 	if err != nil {
-		x.settle(false)
+		x.recordResult(false)
 		return x.machine.NotSent(outcome.ConnectFailed)
 	}
 	if x.endpoint != nil {
 		x.endpoint.Started()
 	}
-	x.candInc = c.Remote().Incarnation
+	x.incarnation = c.Remote().Incarnation
 	x.stream, err = c.Open(ctx, x.dispatchMessage())
 	if err != nil {
 		return x.machine.Lost()
@@ -171,21 +174,22 @@
 }
 
 func (x *exchange) dispatchMessage() *peer.Dispatch {
-	return &peer.Dispatch{Attempt: x.attempt(), Incarnation: x.candInc, Revision: x.entry.node.Snapshot().Revision(),
+	return &peer.Dispatch{Attempt: x.attempt(), Incarnation: x.incarnation, Revision: x.entry.node.Snapshot().Revision(),
 		Service: x.svc.Name, Team: x.req.Team, Method: x.r.Method, URI: x.req.URI, Header: forwardedHeader(x.r),
-		Key: x.req.Key, Print: x.print, Repeatable: x.req.Repeatable, Urgency: uint8(x.req.Urgency),
-		TimeoutMs: clock.Until(x.until).Milliseconds(), HasBody: x.body.present(), BodyLength: x.body.length}
+		Key: x.req.Key, Print: x.fingerprint, Repeatable: x.req.Repeatable, Urgency: uint8(x.req.Urgency),
+		TimeoutMs: clock.Until(x.deadline).Milliseconds(), HasBody: x.body.present(), BodyLength: x.body.length}
 }
 
 func (x *exchange) attempt() peer.Attempt { return peer.Attempt{ID: x.id, Try: x.machine.Try()} }
 
-// next waits for the next message of the stream and gives it to the machine.
+// next receives the next message from the stream and passes it to the state
+// machine.
 func (x *exchange) next(ctx context.Context) submission.Action {
 	m, err := x.stream.Recv(ctx)
 	if err != nil {
-		return x.broken(ctx)
+		return x.streamFailed(ctx)
 	}
-	x.message = m
+	x.lastMessage = m
 	switch m := m.(type) {
 	case *peer.Head:
 		return x.machine.Head(x.tryOf(m.Attempt))
@@ -199,8 +203,8 @@
 	return submission.Action{}
 }
 
-// tryOf returns the try number of a frame, or 0, which no attempt has, for a
-// frame of another submission.
+// tryOf returns the try number of a frame. For a frame of another submission
+// it returns 0, which is not a valid try number.
 func (x *exchange) tryOf(a peer.Attempt) uint16 {
 	if a.ID != x.id {
 		return 0
@@ -208,22 +212,24 @@
 	return a.Try
 }
 
-// broken tells a broken connection from a caller that left, a body that could
-// not be read, and the deadline.
-func (x *exchange) broken(ctx context.Context) submission.Action {
+// streamFailed handles an error of the stream. It distinguishes a failure to
+// read the request body, a disconnected caller and an expired deadline from a
+// lost connection.
+func (x *exchange) streamFailed(ctx context.Context) submission.Action {
 	select {
 	case reason := <-x.bodyErr:
 		return x.machine.Abandon(reason)
 	default:
 	}
-	if act, over := x.over(ctx); over {
+	if act, ended := x.ended(ctx); ended {
 		return act
 	}
 	return x.machine.Lost()
 }
 
-// over reports that the caller left or that the deadline has passed.
-func (x *exchange) over(ctx context.Context) (submission.Action, bool) {
+// ended reports whether the caller has disconnected or the deadline has passed,
+// with the resulting action.
+func (x *exchange) ended(ctx context.Context) (submission.Action, bool) {
 	switch {
 	case x.r.Context().Err() != nil:
 		return x.machine.Abandon(outcome.CallerLeft), true
@@ -233,14 +239,15 @@
 	return submission.Action{}, false
 }
 
-// fence asks the agent what became of the current attempt.
+// fence asks the agent for the state of the current attempt and prevents it
+// from running if it has not started yet.
 func (x *exchange) fence(ctx context.Context) submission.Action {
 	x.release(false)
 	if x.fences > 0 {
-		loop.Sleep(ctx, fenceBase<<min(x.fences-1, 4))
+		loop.Sleep(ctx, fenceBackoff<<min(x.fences-1, 4))
 	}
 	x.fences++
-	if act, over := x.over(ctx); over {
+	if act, ended := x.ended(ctx); ended {
 		return act
 	}
 	ctx, cancel := clock.WithTimeout(ctx, fenceTimeout)
@@ -249,12 +256,12 @@
 	if err != nil {
 		return x.machine.FenceFailed()
 	}
-	if c.Remote().Incarnation != x.candInc {
+	if c.Remote().Incarnation != x.incarnation {
 		return x.machine.FenceResult(x.machine.Try(), submission.FenceGone, "")
 	}
-	m, err := c.Call(ctx, &peer.Fence{Attempt: x.attempt(), Incarnation: x.candInc})
+	m, err := c.Call(ctx, &peer.Fence{Attempt: x.attempt(), Incarnation: x.incarnation})
 	if err != nil {
-		c.Close() // it may be stalled
+		c.Close() // the connection may be stalled
 		return x.machine.FenceFailed()
 	}
 	reply, ok := m.(*peer.FenceReply)
@@ -277,7 +284,7 @@
 	return submission.FenceGone
 }
 
-// resume asks for the rest of the answer on a new stream.
+// resume requests the response from offset on a new stream.
 func (x *exchange) resume(ctx context.Context, offset int64) submission.Action {
 	c, err := x.entry.pool.Get(ctx, x.host.Addr, peer.Traffic)
 	if err != nil {
@@ -294,27 +301,28 @@
 	return x.next(ctx)
 }
 
-// wait backs off before another try, if the retry budget allows one.
-func (x *exchange) wait(ctx context.Context, reason outcome.Reason) submission.Action {
+// backOff waits before the next attempt if the retry budget allows one.
+func (x *exchange) backOff(ctx context.Context, reason outcome.Reason) submission.Action {
 	x.release(false)
-	if !x.entry.budget(x.svc.Name).Spend(clock.Now()) {
+	if !x.entry.retryBudget(x.svc.Name).Spend(clock.Now()) {
 		x.entry.reasons.Refused(outcome.RetryBudget)
 		return x.machine.Waited(false)
 	}
 	x.retries++
 	x.entry.reasons.Retried(reason)
 	loop.Sleep(ctx, routing.Backoff(x.retries, x.entry.rng()))
-	if act, over := x.over(ctx); over {
+	if act, ended := x.ended(ctx); ended {
 		return act
 	}
 	return x.machine.Waited(true)
 }
 
-// forward passes the head or a piece of the answer on to the caller.
+// forward writes the last message, the head or data of the response, to the
+// caller.
 func (x *exchange) forward() error {
-	switch m := x.message.(type) {
+	switch m := x.lastMessage.(type) {
 	case *peer.Head:
-		x.first = clock.Since(x.arrived)
+		x.firstByte = clock.Since(x.arrived)
 		x.status = m.Status
 		x.writeHead(m)
 		return nil
@@ -347,23 +355,24 @@
 	x.w.WriteHeader(m.Status)
 }
 
-// release gives up the current stream and settles the host's counters.
+// release closes the current stream and updates the counters of its host. The
+// attempt counts as successful if ok is set or a response head was received.
 func (x *exchange) release(ok bool) {
 	if x.stream == nil {
 		return
 	}
 	x.stream.Close()
 	x.stream = nil
-	x.settle(ok || x.status != 0)
+	x.recordResult(ok || x.status != 0)
 }
 
-func (x *exchange) settle(ok bool) {
+func (x *exchange) recordResult(ok bool) {
 	if x.endpoint != nil && x.endpoint.Finished(ok, x.entry.cfg.Routing.EjectAfter) {
-		x.entry.targets.failed()
+		x.entry.targets.scheduleRebuild()
 	}
 }
 
-// rng returns a source of random numbers for one goroutine at a time.
+// rng returns a random number generator for use by a single goroutine.
 func (e *Entry) rng() *rand.Rand { return rand.New(globalSource{}) }
 
 // globalSource draws from the runtime's generator, which is safe for
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -32,12 +32,12 @@
 )
 
 const (
-	loopback  = "127.0.0.1:0"
-	keyWindow = 4 * time.Second
-	patience  = 20 * time.Second
+	loopback    = "127.0.0.1:0"
+	keyWindow   = 4 * time.Second
+	pollTimeout = 20 * time.Second
 )
 
-// testHost is one agent with its target.
+// testHost is an agent with its target.
 type testHost struct {
 	name   string
 	url    string
@@ -47,20 +47,21 @@
 	stop   context.CancelFunc
 }
 
-// testFleet is a whole fleet on loopback: stand-ins, agents and one entry.
+// testFleet is a complete fleet on the loopback interface: stand-ins for the
+// platform and the targets, agents, and one entry.
 type testFleet struct {
-	t        testing.TB
-	log      *logrus.Logger
-	platform *standin.Platform
-	origin   *standin.Source
-	store    *standin.Source // nil if there is none
-	runs     *standin.Runs
-	hosts    map[string]*testHost
-	names    []string
-	entry    *entry.Entry
-	versions map[digest.Digest]*spread.Manifest
-	ids      []digest.Digest
-	affinity int // bytes of a body that name a conversation
+	t          testing.TB
+	log        *logrus.Logger
+	platform   *standin.Platform
+	origin     *standin.Source
+	store      *standin.Source // nil if the fleet has no weight store
+	runs       *standin.Runs
+	hosts      map[string]*testHost
+	names      []string
+	entry      *entry.Entry
+	versions   map[digest.Digest]*spread.Manifest
+	versionIDs []digest.Digest
+	affinity   int // length of the body prefix used for affinity, in bytes
 }
 
 func newFleet(t testing.TB, engines, plains int) *testFleet {
@@ -77,7 +78,7 @@
 		id, m, err := f.origin.Add("v", 1<<12, standin.Content(1<<17, uint64(i)))
 		assert.NilError(t, err)
 		f.versions[id] = m
-		f.ids = append(f.ids, id)
+		f.versionIDs = append(f.versionIDs, id)
 	}
 	for i := range engines {
 		f.addEngine(fmt.Sprintf("e%d", i))
@@ -87,7 +88,7 @@
 		assert.NilError(t, err)
 		f.addHost(&testHost{name: fmt.Sprintf("p%d", i), url: p.URL(), plain: p})
 	}
-	f.entry, err = entry.New(entry.Config{Control: f.control("entry"), Listen: loopback, Notice: time.Millisecond},
+	f.entry, err = entry.New(entry.Config{Control: f.controlConfig("entry"), Listen: loopback, Notice: time.Millisecond},
 		configservice.New(f.platform.URL()), hostlist.New(f.platform.URL()), f.log)
 	assert.NilError(t, err)
 	go f.entry.Run(t.Context())
@@ -109,12 +110,12 @@
 	f.startAgent(h)
 }
 
-func (f *testFleet) control(name string) control.Config {
+func (f *testFleet) controlConfig(name string) control.Config {
 	return control.Config{Host: name, Domain: "d", Addr: loopback, Heartbeat: 100 * time.Millisecond}
 }
 
 func (f *testFleet) startAgent(h *testHost) {
-	cfg := agent.Config{Control: f.control(h.name), TargetURL: h.url, LoadTimeout: 200 * time.Millisecond,
+	cfg := agent.Config{Control: f.controlConfig(h.name), TargetURL: h.url, LoadTimeout: 200 * time.Millisecond,
 		Idempotency: idempotency.Config{KeyWindow: keyWindow, ClockSkew: time.Millisecond}}
 	a, err := agent.New(cfg, configservice.New(f.platform.URL()), hostlist.New(f.platform.URL()), f.log)
 	assert.NilError(f.t, err)
@@ -131,7 +132,7 @@
 	f.platform.SetHosts(list)
 }
 
-// publish makes version v of the model the one in force.
+// publish publishes a fleet file with version v of the model.
 func (f *testFleet) publish(v int) uint64 {
 	var b strings.Builder
 	sources := fmt.Sprintf("{name: o, kind: origin, url: %q}", f.origin.URL())
@@ -151,25 +152,25 @@
 		}
 		fmt.Fprintf(&b, "  - {name: %s, kind: %s, hosts: [{domain: d, names: [%s]}], limits: {timeout: 30s}", kind, kind, strings.Join(names, ","))
 		if kind == "engine" {
-			fmt.Fprintf(&b, ", fenced: true, affinity_bytes: %d, model: {name: m, manifest: %q}", f.affinity, f.ids[v])
+			fmt.Fprintf(&b, ", fenced: true, affinity_bytes: %d, model: {name: m, manifest: %q}", f.affinity, f.versionIDs[v])
 		}
 		b.WriteString("}\n")
 	}
 	return f.platform.Publish([]byte(b.String()))
 }
 
-func (f *testFleet) until(what string, ok func() bool) {
+func (f *testFleet) waitFor(what string, ok func() bool) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
 		if ok() {
 			return poll.Success()
 		}
 		return poll.Continue("%s", what)
-	}, poll.WithTimeout(patience), poll.WithDelay(5*time.Millisecond))
+	}, poll.WithTimeout(pollTimeout), poll.WithDelay(5*time.Millisecond))
 }
 
-func (f *testFleet) serves(v int) func() bool {
-	want := target.Loadout{Model: f.ids[v], Role: "mixed"}.ID()
+func (f *testFleet) allServe(v int) func() bool {
+	want := target.Loadout{Model: f.versionIDs[v], Role: "mixed"}.ID()
 	return func() bool {
 		for _, h := range f.hosts {
 			if h.engine != nil && h.engine.Loadout() != want {
@@ -180,8 +181,8 @@
 	}
 }
 
-// answer is what a caller got.
-type answer struct {
+// response is the response to a call, or the error of the call.
+type response struct {
 	status  int
 	header  http.Header
 	body    string
@@ -189,38 +190,38 @@
 	problem caller.Problem
 }
 
-func (f *testFleet) call(service, name string, header ...string) answer {
+func (f *testFleet) call(service, callID string, header ...string) response {
 	r, err := http.NewRequestWithContext(f.t.Context(), http.MethodPost, "http://"+f.entry.CallerAddr()+"/"+service+"/x?tokens=5", strings.NewReader("body"))
 	assert.NilError(f.t, err)
-	r.Header.Set(standin.CallHeader, name)
+	r.Header.Set(standin.CallHeader, callID)
 	for i := 0; i < len(header); i += 2 {
 		r.Header.Set(header[i], header[i+1])
 	}
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer resp.Body.Close()
 	b, err := io.ReadAll(resp.Body)
-	a := answer{status: resp.StatusCode, header: resp.Header, body: string(b), err: err}
+	a := response{status: resp.StatusCode, header: resp.Header, body: string(b), err: err}
 	if resp.Header.Get("Content-Type") == caller.ProblemType {
 		_ = json.Unmarshal(b, &a.problem)
 	}
 	return a
 }
 
-func (f *testFleet) ready(service string) {
-	f.until(service+" answers", func() bool { return f.call(service, "").status == http.StatusOK })
+func (f *testFleet) waitReady(service string) {
+	f.waitFor(service+" answers", func() bool { return f.call(service, "").status == http.StatusOK })
 }
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-func TestWholePathAndNewVersion(t *testing.T) {
+func TestRequestPathAndVersionUpdate(t *testing.T) {
 	f := newFleet(t, 2, 1)
 	f.publish(0)
-	f.until("version 0", f.serves(0))
-	f.ready("engine")
-	f.ready("plain")
+	f.waitFor("version 0", f.allServe(0))
+	f.waitReady("engine")
+	f.waitReady("plain")
 	a := f.call("plain", "c1")
 	assert.NilError(t, a.err)
 	assert.Equal(t, a.body, "c1 POST /x?tokens=5 body")
@@ -228,7 +229,7 @@
 	assert.NilError(t, a.err)
 	assert.Equal(t, strings.Count(a.body, "data: c2 "), 5)
 	f.publish(1)
-	f.until("version 1", f.serves(1))
+	f.waitFor("version 1", f.allServe(1))
 	for _, h := range f.hosts {
 		if h.engine != nil {
 			assert.Equal(t, h.engine.Mixed(), int64(0))
@@ -236,13 +237,13 @@
 	}
 }
 
-func TestRefusalsNameTheirReason(t *testing.T) {
+func TestRejectionsStateReason(t *testing.T) {
 	f := newFleet(t, 0, 1)
 	a := f.call("plain", "c")
 	assert.Equal(t, a.problem.Reason, outcome.NoIntent)
 	assert.Equal(t, a.header.Get("Retry-After"), "1")
 	f.publish(0)
-	f.ready("plain")
+	f.waitReady("plain")
 	for header, want := range map[string]outcome.Reason{caller.HeaderTeam: outcome.NoTeam, caller.HeaderRepeatable: outcome.BadRequest} {
 		a = f.call("plain", "c", header, "nonsense")
 		assert.Equal(t, a.problem.Reason, want)
@@ -253,12 +254,12 @@
 	assert.Equal(t, f.runs.Count("c"), 0)
 }
 
-func TestKeyRunsOnceAndIsReplayed(t *testing.T) {
+func TestIdempotencyKeyRunsOnceAndIsReplayed(t *testing.T) {
 	f := newFleet(t, 0, 2)
 	f.publish(0)
-	f.ready("plain")
+	f.waitReady("plain")
 	var key string
-	f.until("a key may run", func() bool { // its homes must be known for a window
+	f.waitFor("a key may run", func() bool { // once the agents know its home hosts for a full key window
 		key = newKey()
 		return f.call("plain", key, caller.HeaderKey, key, caller.HeaderRepeatable, "no").status == http.StatusOK
 	})
@@ -267,51 +268,53 @@
 	assert.Equal(t, a.body, key+" POST /x?tokens=5 body")
 	assert.Equal(t, f.runs.Count(key), 1)
 
-	// The agent that knows is replaced: the key is older than the new one.
+	// The agent that holds the record of the key is restarted. The new process
+	// must reject the key, because the key is older than the process.
 	h := f.hosts[a.header.Get(caller.HeaderHost)]
 	h.stop()
 	f.startAgent(h)
 	f.publishHosts()
-	f.until("the new agent decides", func() bool {
+	f.waitFor("the new agent decides", func() bool {
 		return f.call("plain", key, caller.HeaderKey, key, caller.HeaderRepeatable, "no").problem.Reason == outcome.KeyTooOld
 	})
 	assert.Equal(t, f.runs.Count(key), 1)
 }
 
-func TestCutAnswerNeverLooksWhole(t *testing.T) {
+func TestTruncatedResponseIsReported(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	f.publish(0)
-	f.until("version 0", f.serves(0))
-	f.ready("engine")
+	f.waitFor("version 0", f.allServe(0))
+	f.waitReady("engine")
 	f.hosts["e0"].engine.Faults.Truncate.Store(true)
 	a := f.call("engine", "cut")
 	assert.Assert(t, a.err != nil, "the caller must see that the answer is cut")
 }
 
-func TestKilledAgentIsNotSilent(t *testing.T) {
+func TestAgentFailureAbortsResponse(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	f.publish(0)
-	f.until("version 0", f.serves(0))
-	f.ready("engine")
+	f.waitFor("version 0", f.allServe(0))
+	f.waitReady("engine")
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+f.entry.CallerAddr()+"/engine/x?tokens=100000", nil)
 	assert.NilError(t, err)
 	resp, err := http.DefaultClient.Do(r)
 	assert.NilError(t, err)
 	defer resp.Body.Close()
-	sc := bufio.NewScanner(resp.Body)
-	assert.Assert(t, sc.Scan())
+	scanner := bufio.NewScanner(resp.Body)
+	assert.Assert(t, scanner.Scan())
 	f.hosts["e0"].stop()
-	for sc.Scan() {
+	for scanner.Scan() {
 	}
-	assert.Assert(t, sc.Err() != nil, "the caller must see that the answer is cut")
+	assert.Assert(t, scanner.Err() != nil, "the caller must see that the answer is cut")
 }
 
-// A stream that runs when its agent and its entry are told to leave ends whole.
-func TestDrainCutsNothing(t *testing.T) {
+// A stream that is in flight when its agent and its entry start to drain must
+// complete.
+func TestDrainCompletesStreams(t *testing.T) {
 	f := newFleet(t, 2, 0)
 	f.publish(0)
-	f.until("version 0", f.serves(0))
-	f.ready("engine")
+	f.waitFor("version 0", f.allServe(0))
+	f.waitReady("engine")
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+f.entry.CallerAddr()+"/engine/x?tokens=400", nil)
 	assert.NilError(t, err)
 	r.Header.Set(standin.CallHeader, "long")
@@ -334,12 +337,12 @@
 	assert.Assert(t, !f.entry.Ready())
 }
 
-func TestLeavingHostGetsNoNewWork(t *testing.T) {
+func TestLeavingHostReceivesNoNewRequests(t *testing.T) {
 	f := newFleet(t, 0, 2)
 	f.publish(0)
-	f.ready("plain")
+	f.waitReady("plain")
 	f.hosts["p0"].agent.Leave()
-	f.until("work goes elsewhere", func() bool {
+	f.waitFor("work goes elsewhere", func() bool {
 		return f.call("plain", "c").header.Get(caller.HeaderHost) == "p1"
 	})
 	for range 20 {
@@ -349,11 +352,11 @@
 	}
 }
 
-func TestCallerLeavingCancelsTheRun(t *testing.T) {
+func TestCallerDisconnectCancelsRequest(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	f.publish(0)
-	f.until("version 0", f.serves(0))
-	f.ready("engine")
+	f.waitFor("version 0", f.allServe(0))
+	f.waitReady("engine")
 	ctx, cancel := context.WithCancel(t.Context())
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+f.entry.CallerAddr()+"/engine/x?tokens=100000", nil)
 	assert.NilError(t, err)
@@ -362,39 +365,39 @@
 	defer resp.Body.Close()
 	assert.Equal(t, f.hosts["e0"].engine.Running(), int64(1))
 	cancel()
-	f.until("the engine stops", func() bool { return f.hosts["e0"].engine.Running() == 0 })
+	f.waitFor("the engine stops", func() bool { return f.hosts["e0"].engine.Running() == 0 })
 }
 
-// The origin sends corrupt chunks, the engine refuses orders, and an agent is
-// restarted with empty memory, all at once; the version still arrives whole.
-func TestVersionArrivesThroughFaults(t *testing.T) {
+// A version must load completely although the origin sends corrupt chunks, an
+// engine refuses load orders, and another agent and its engine restart.
+func TestVersionLoadsDespiteFaults(t *testing.T) {
 	f := newFleet(t, 3, 0)
 	f.origin.Faults.Corrupt.Store(10)
 	f.hosts["e1"].engine.Faults.RefuseLoad.Store(true)
 	f.publish(0)
-	f.until("the others load", func() bool { return f.hosts["e0"].engine.Loadout() != "" && f.hosts["e2"].engine.Loadout() != "" })
+	f.waitFor("the others load", func() bool { return f.hosts["e0"].engine.Loadout() != "" && f.hosts["e2"].engine.Loadout() != "" })
 	assert.Equal(t, f.hosts["e1"].engine.Loadout(), "")
 	f.hosts["e0"].stop()
 	f.hosts["e0"].engine.Restart()
 	f.startAgent(f.hosts["e0"])
 	f.publishHosts()
 	f.hosts["e1"].engine.Faults.RefuseLoad.Store(false)
-	f.until("all load", f.serves(0))
+	f.waitFor("all load", f.allServe(0))
 	f.publish(1)
-	f.until("version 1", f.serves(1))
+	f.waitFor("version 1", f.allServe(1))
 	for _, h := range f.hosts {
 		assert.Equal(t, h.engine.Mixed(), int64(0))
 	}
 }
 
-// Requests of one conversation go to one engine.
-func TestConversationStaysWithItsEngine(t *testing.T) {
+// Requests with the same body prefix must be routed to the same engine.
+func TestPrefixAffinity(t *testing.T) {
 	f := newFleet(t, 3, 0)
 	f.affinity = 4
 	f.publish(0)
-	f.until("version 0", f.serves(0))
-	f.ready("engine")
-	f.until("one host answers all", func() bool { // once the entry knows all three
+	f.waitFor("version 0", f.allServe(0))
+	f.waitReady("engine")
+	f.waitFor("one host answers all", func() bool { // holds once all three hosts are in the routing table
 		hosts := map[string]bool{}
 		for range 10 {
 			hosts[f.call("engine", "c").header.Get(caller.HeaderHost)] = true
@@ -403,8 +406,9 @@
 	})
 }
 
-// A store that corrupts all it sends, an origin that truncates for a while,
-// and an engine that accepts an order and goes on with the old version.
+// A version must load although the store corrupts every chunk, the origin
+// temporarily truncates its responses, and an engine accepts a load order but
+// keeps serving the old version.
 func TestVersionArrivesPastBadSources(t *testing.T) {
 	f := newFleet(t, 2, 0)
 	var err error
@@ -417,55 +421,57 @@
 	f.store.Faults.Corrupt.Store(1)
 	f.origin.Faults.Truncate.Store(true)
 	f.publish(0)
-	f.until("the origin is asked", func() bool { return f.origin.Requests() > 3 })
+	f.waitFor("the origin is asked", func() bool { return f.origin.Requests() > 3 })
 	assert.Equal(t, f.hosts["e0"].engine.Loadout(), "")
 	f.origin.Faults.Truncate.Store(false)
-	f.until("version 0", f.serves(0))
-	old := f.hosts["e1"].engine
-	old.Faults.KeepOld.Store(true)
-	orders := old.Orders()
+	f.waitFor("version 0", f.allServe(0))
+	stuck := f.hosts["e1"].engine
+	stuck.Faults.KeepOld.Store(true)
+	orders := stuck.Orders()
 	f.publish(1)
-	f.until("the engine is told again", func() bool { return old.Orders() >= orders+2 })
-	f.until("the other goes on", func() bool { return f.hosts["e0"].engine.Loadout() != old.Loadout() })
-	f.until("the old version is still served", func() bool { return f.call("engine", "c").status == http.StatusOK })
-	old.Faults.KeepOld.Store(false)
-	f.until("version 1", f.serves(1))
+	f.waitFor("the engine is told again", func() bool { return stuck.Orders() >= orders+2 })
+	f.waitFor("the other goes on", func() bool { return f.hosts["e0"].engine.Loadout() != stuck.Loadout() })
+	f.waitFor("the old version is still served", func() bool { return f.call("engine", "c").status == http.StatusOK })
+	stuck.Faults.KeepOld.Store(false)
+	f.waitFor("version 1", f.allServe(1))
 	for _, h := range f.hosts {
 		assert.Equal(t, h.engine.Mixed(), int64(0))
 	}
 }
 
-// While the platform is down, shows an older head, or an invalid file is
-// published, the last accepted revision stays in force, also in a process
-// that starts meanwhile.
-func TestIntentStaysInForce(t *testing.T) {
+// The last accepted revision must stay in force while the platform is down or
+// serves an older head, and after an invalid file is published. This includes
+// processes that start in the meantime.
+func TestAcceptedRevisionStaysInForce(t *testing.T) {
 	f := newFleet(t, 0, 2)
 	revision := f.publish(0)
-	f.ready("plain")
-	at := func(h *testHost) int64 {
+	f.waitReady("plain")
+	revisionOf := func(h *testHost) int64 {
 		g, ok := h.agent.Metrics().Get("control.revision").(interface{ Value() int64 })
 		assert.Assert(t, ok)
 		return g.Value()
 	}
-	all := func(want uint64) func() bool {
-		return func() bool { return at(f.hosts["p0"]) == int64(want) && at(f.hosts["p1"]) == int64(want) }
+	bothAt := func(want uint64) func() bool {
+		return func() bool {
+			return revisionOf(f.hosts["p0"]) == int64(want) && revisionOf(f.hosts["p1"]) == int64(want)
+		}
 	}
-	f.until("in force", all(revision))
+	f.waitFor("in force", bothAt(revision))
 	f.platform.Publish([]byte("format: 1\nfleet: broken\n"))
 	f.hosts["p0"].stop()
 	f.startAgent(f.hosts["p0"])
 	f.publishHosts()
-	f.until("the new process hears it from a peer", all(revision))
+	f.waitFor("the new process hears it from a peer", bothAt(revision))
 	f.platform.SetStale(true)
 	last := f.publish(0)
-	assert.Assert(t, all(revision)())
+	assert.Assert(t, bothAt(revision)())
 	f.platform.SetStale(false)
-	f.until("the newest is in force", all(last))
+	f.waitFor("the newest is in force", bothAt(last))
 	f.platform.SetDown(true)
 	f.hosts["p1"].stop()
-	f.startAgent(f.hosts["p1"]) // nobody can learn its address
+	f.startAgent(f.hosts["p1"]) // the host list cannot be updated, so no process learns the new address
 	answeredInRow := 0
-	f.until("the other host answers", func() bool { // a call to the process that was stopped may be cut
+	f.waitFor("the other host answers", func() bool { // requests to the stopped process may fail at first
 		a := f.call("plain", "c")
 		assert.Assert(t, a.problem.Reason != outcome.NoIntent)
 		if a.status != http.StatusOK || a.header.Get(caller.HeaderHost) != "p0" {
--- a/entry/overload_test.go
+++ b/entry/overload_test.go
@@ -18,17 +18,18 @@
 	"gotest.tools/v3/assert"
 )
 
-// Shape of the overload.
+// Parameters of the overload benchmark.
 const (
-	overTeams    = 10
-	overHosts    = 2
-	overSlots    = 8
-	overLatency  = 20 * time.Millisecond
-	overDuration = 5 * time.Second
+	overloadTeams    = 10
+	overloadHosts    = 2
+	overloadSlots    = 8
+	overloadLatency  = 20 * time.Millisecond
+	overloadDuration = 5 * time.Second
 )
 
-// BenchmarkOverload offers once and twice what the targets can carry. Team t0
-// offers half of all, nine small teams share the rest.
+// BenchmarkOverload offers a load of one and two times the capacity of the
+// targets. Team t0 sends half of the requests, and nine small teams share the
+// rest.
 func BenchmarkOverload(b *testing.B) {
 	for _, factor := range []int{1, 2} {
 		b.Run(fmt.Sprintf("offered=%dx", factor), func(b *testing.B) {
@@ -41,23 +42,23 @@
 
 func overloadOnce(b *testing.B, factor int) {
 	f := newFleet(b, 0, 0)
-	for i := range overHosts {
-		p, err := standin.NewPlain(loopback, standin.PlainConfig{Latency: overLatency}, f.runs)
+	for i := range overloadHosts {
+		p, err := standin.NewPlain(loopback, standin.PlainConfig{Latency: overloadLatency}, f.runs)
 		assert.NilError(b, err)
 		f.addHost(&testHost{name: fmt.Sprintf("p%d", i), url: p.URL(), plain: p})
 	}
 	f.publishHosts()
-	f.platform.Publish(overFile(f.names))
-	f.until("the service answers", func() bool { return f.call("plain", "", caller.HeaderTeam, "t0").status == http.StatusOK })
-	capacity := float64(overHosts*overSlots) / overLatency.Seconds()
+	f.platform.Publish(overloadFleetFile(f.names))
+	f.waitFor("the service answers", func() bool { return f.call("plain", "", caller.HeaderTeam, "t0").status == http.StatusOK })
+	capacity := float64(overloadHosts*overloadSlots) / overloadLatency.Seconds()
 	var done, refused, other atomic.Int64
-	byTeam := make([]atomic.Int64, overTeams)
+	byTeam := make([]atomic.Int64, overloadTeams)
 	var mu sync.Mutex
 	refusals := hdrhistogram.New(1, int64(time.Minute), 3)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 2048}}
 	send := func(team int) {
-		began := time.Now()
-		reason, ok := overCall(client, f, team)
+		start := time.Now()
+		reason, ok := overloadCall(client, f, team)
 		switch {
 		case ok:
 			done.Add(1)
@@ -65,33 +66,33 @@
 		case outcome.Lookup(reason).Outcome == outcome.NotRun:
 			refused.Add(1)
 			mu.Lock()
-			_ = refusals.RecordValue(int64(time.Since(began)))
+			_ = refusals.RecordValue(int64(time.Since(start)))
 			mu.Unlock()
 		default:
 			other.Add(1)
 		}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), overDuration)
+	ctx, cancel := context.WithTimeout(context.Background(), overloadDuration)
 	defer cancel()
 	var wg sync.WaitGroup
 	tick := time.NewTicker(time.Millisecond)
 	defer tick.Stop()
-	began, sent := time.Now(), 0
+	start, sent := time.Now(), 0
 	for ctx.Err() == nil {
 		<-tick.C
-		for due := int(time.Since(began).Seconds() * capacity * float64(factor)); sent < due; sent++ {
+		for due := int(time.Since(start).Seconds() * capacity * float64(factor)); sent < due; sent++ {
 			team := 0
 			if sent%2 == 1 {
-				team = 1 + sent/2%(overTeams-1)
+				team = 1 + sent/2%(overloadTeams-1)
 			}
 			wg.Go(func() { send(team) })
 		}
 	}
-	span := time.Since(began).Seconds()
+	span := time.Since(start).Seconds()
 	wg.Wait()
 	worst := 1e9
-	for i := 1; i < overTeams; i++ {
-		worst = min(worst, float64(byTeam[i].Load())/(capacity*span/overTeams))
+	for i := 1; i < overloadTeams; i++ {
+		worst = min(worst, float64(byTeam[i].Load())/(capacity*span/overloadTeams))
 	}
 	b.ReportMetric(float64(done.Load())/(capacity*span), "goodput/capacity")
 	b.ReportMetric(float64(refusals.ValueAtPercentile(99))/1e6, "refused-p99-ms")
@@ -100,7 +101,7 @@
 	b.ReportMetric(worst, "worst-small-team/fair-share")
 }
 
-func overCall(client *http.Client, f *testFleet, team int) (outcome.Reason, bool) {
+func overloadCall(client *http.Client, f *testFleet, team int) (outcome.Reason, bool) {
 	r, err := http.NewRequest(http.MethodPost, "http://"+f.entry.CallerAddr()+"/plain/x", strings.NewReader("q"))
 	if err != nil {
 		return "", false
@@ -115,11 +116,11 @@
 	return outcome.Reason(resp.Header.Get(caller.HeaderReason)), resp.StatusCode == http.StatusOK
 }
 
-func overFile(hosts []string) []byte {
+func overloadFleetFile(hosts []string) []byte {
 	var teams []string
-	for i := range overTeams {
+	for i := range overloadTeams {
 		teams = append(teams, fmt.Sprintf("{name: t%d}", i))
 	}
 	return fmt.Appendf(nil, "format: 1\nfleet: over\nteams: [%s]\nservices:\n  - {name: plain, kind: plain, hosts: [{domain: d, names: [%s]}], limits: {concurrency: %d, queue: 32, timeout: 2s}}\n",
-		strings.Join(teams, ", "), strings.Join(hosts, ", "), overSlots)
+		strings.Join(teams, ", "), strings.Join(hosts, ", "), overloadSlots)
 }
--- a/entry/server.go
+++ b/entry/server.go
@@ -13,16 +13,18 @@
 	"github.com/zeromicro/go-zero/rest"
 )
 
-// Timeouts of the HTTP server. There is none on answers: a stream may be long.
+// Timeouts of the HTTP server. Responses have none, because a stream may take
+// arbitrarily long.
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
 )
 
-// newServer builds the HTTP server. go-zero's rest handles the routes; its
-// timeout, body limit, load shedding, breaker and connection limit stay off,
-// because they refuse without our counters. The listener is ours, because
-// rest closes its own as soon as SIGTERM arrives.
+// newServer returns the HTTP server. Routing uses go-zero's rest package with
+// its timeout, body limit, load shedding, circuit breaker and connection limit
+// disabled, because requests that they reject are missing from the entry's
+// metrics. The entry provides its own listener, because rest closes its
+// listener as soon as SIGTERM arrives.
 func (e *Entry) newServer() (*http.Server, error) {
 	server, err := rest.NewServer(rest.RestConf{}, rest.WithRouter(e.newRouter()))
 	if err != nil {
@@ -38,7 +40,7 @@
 		IdleTimeout: idleTimeout}, nil
 }
 
-// serveStatus answers with the state of all hosts that the entry knows.
+// serveStatus responds with the state of all known hosts.
 func (e *Entry) serveStatus(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := clock.WithTimeout(r.Context(), operator.CollectTimeout)
 	defer cancel()
@@ -57,34 +59,36 @@
 	operator.WriteStatus(w, operator.NewStatus(e.node.Status(), hosts, s))
 }
 
-// router sends the entry's own paths to their handlers and everything else, by
-// any method, to the services.
+// router passes requests for the operator endpoints to their handlers and all
+// others, with any method, to the services.
 type router struct {
-	own   map[string]http.Handler
-	calls http.HandlerFunc
+	routes   map[string]http.Handler
+	fallback http.HandlerFunc
 }
 
 func (e *Entry) newRouter() *router {
-	return &router{own: map[string]http.Handler{}, calls: e.serveCall}
+	return &router{routes: map[string]http.Handler{}, fallback: e.serveCall}
 }
 
 // Handle implements httpx.Router.
 func (r *router) Handle(method, path string, h http.Handler) error {
-	r.own[method+" "+path] = h
+	r.routes[method+" "+path] = h
 	return nil
 }
 
-// SetNotFoundHandler implements httpx.Router. Every path belongs to a service.
+// SetNotFoundHandler implements httpx.Router. It does nothing, because all
+// other paths belong to services.
 func (r *router) SetNotFoundHandler(http.Handler) {}
 
-// SetNotAllowedHandler implements httpx.Router. Every method is carried.
+// SetNotAllowedHandler implements httpx.Router. It does nothing, because all
+// methods are forwarded.
 func (r *router) SetNotAllowedHandler(http.Handler) {}
 
 // ServeHTTP implements http.Handler.
 func (r *router) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	if h := r.own[req.Method+" "+req.URL.Path]; h != nil {
+	if h := r.routes[req.Method+" "+req.URL.Path]; h != nil {
 		h.ServeHTTP(w, req)
 		return
 	}
-	r.calls(w, req)
+	r.fallback(w, req)
 }
--- a/entry/targets.go
+++ b/entry/targets.go
@@ -15,15 +15,14 @@
 	"github.com/springgate/springgate/routing"
 )
 
-// Times of the connections to targets.
 const (
-	rewatchDelay  = 200 * time.Millisecond
-	rebuildEvery  = 100 * time.Millisecond
-	statusTimeout = 3 * time.Second
+	reconnectDelay  = 200 * time.Millisecond
+	rebuildInterval = 100 * time.Millisecond
+	statusTimeout   = 3 * time.Second
 )
 
-// watched is one host whose agent this entry watches.
-type watched struct {
+// watchedHost is a host whose agent sends status messages to this entry.
+type watchedHost struct {
 	endpoint *routing.Endpoint
 	stop     context.CancelFunc
 	service  string
@@ -31,8 +30,9 @@
 	status   peer.Status
 }
 
-// targets keeps the connections to agents and publishes a routing table for
-// each service. Its state is owned by one goroutine; traffic reads the tables.
+// targets maintains the connections to agents and publishes a routing table
+// for each service. The event loop owns its state; request handling only reads
+// the published tables.
 type targets struct {
 	cfg  Config
 	node *control.Node
@@ -42,31 +42,31 @@
 
 	tables atomic.Pointer[map[string]*routing.Table]
 
-	// The fields below are owned by the loop.
+	// The loop owns the following fields.
 	ctx      context.Context
-	hosts    map[string]*watched
+	hosts    map[string]*watchedHost
 	ejectors map[string]*routing.Ejector
 	dirty    bool
 }
 
 func newTargets(cfg Config, node *control.Node, pool *peer.Pool, log *logrus.Entry) *targets {
 	t := &targets{cfg: cfg, node: node, pool: pool, log: log, loop: loop.New(),
-		hosts: map[string]*watched{}, ejectors: map[string]*routing.Ejector{}}
+		hosts: map[string]*watchedHost{}, ejectors: map[string]*routing.Ejector{}}
 	t.tables.Store(&map[string]*routing.Table{})
 	return t
 }
 
 func (t *targets) run(ctx context.Context) {
 	t.ctx = ctx
-	go t.loop.Every(ctx, rebuildEvery, t.rebuildIfDirty)
+	go t.loop.Every(ctx, rebuildInterval, t.rebuildIfDirty)
 	t.loop.Run(ctx)
 }
 
 // table returns the routing table of a service, or nil.
 func (t *targets) table(service string) *routing.Table { return (*t.tables.Load())[service] }
 
-// configure takes a new snapshot: it chooses the subset of each service and
-// starts or stops watching agents.
+// configure applies a new snapshot: it selects the subset of hosts for each
+// service and starts or stops watching agents accordingly. It runs on the loop.
 func (t *targets) configure(s *control.Snapshot) {
 	f := s.Fleet()
 	if f == nil {
@@ -74,10 +74,10 @@
 	}
 	wanted := map[string]string{}
 	self := routing.Node{Host: t.cfg.Control.Host, Domain: t.cfg.Control.Domain}
-	entries := nodesOf(s.Members, membership.Entry)
+	entries := nodesInRole(s.Members, membership.Entry)
 	for i := range f.Services {
 		svc := &f.Services[i]
-		for _, n := range routing.Subset(self, entries, listed(s, svc), svc.Name, t.cfg.Subset) {
+		for _, n := range routing.Subset(self, entries, listedHosts(s, svc), svc.Name, t.cfg.Subset) {
 			wanted[n.Host] = svc.Name
 		}
 	}
@@ -96,7 +96,7 @@
 	t.rebuild()
 }
 
-func nodesOf(members []membership.Member, role membership.Role) []routing.Node {
+func nodesInRole(members []membership.Member, role membership.Role) []routing.Node {
 	var out []routing.Node
 	for _, m := range members {
 		if m.Role == role && m.State != membership.Gone {
@@ -106,8 +106,8 @@
 	return out
 }
 
-// listed are the hosts of a service that the host list names.
-func listed(s *control.Snapshot, svc *intent.Service) []routing.Node {
+// listedHosts returns the hosts of a service that are in the host list and not gone.
+func listedHosts(s *control.Snapshot, svc *intent.Service) []routing.Node {
 	var out []routing.Node
 	for _, h := range svc.Hosts {
 		if m, ok := s.Member(h.Name); ok && m.State != membership.Gone {
@@ -119,19 +119,19 @@
 
 func (t *targets) watch(m membership.Member, service string) {
 	ctx, stop := context.WithCancel(t.ctx)
-	w := &watched{endpoint: &routing.Endpoint{Host: m.Host, Addr: m.Addr, Domain: m.Domain}, stop: stop, service: service}
+	w := &watchedHost{endpoint: &routing.Endpoint{Host: m.Host, Addr: m.Addr, Domain: m.Domain}, stop: stop, service: service}
 	t.hosts[m.Host] = w
 	go func() {
 		for ctx.Err() == nil {
 			t.watchOnce(ctx, w)
-			t.loop.Post(func() { t.lost(w) })
-			loop.Sleep(ctx, rewatchDelay)
+			t.loop.Post(func() { t.markNotReady(w) })
+			loop.Sleep(ctx, reconnectDelay)
 		}
 	}()
 }
 
-// watchOnce receives status messages until the connection breaks or stalls.
-func (t *targets) watchOnce(ctx context.Context, w *watched) {
+// watchOnce receives status messages until the connection fails or stalls.
+func (t *targets) watchOnce(ctx context.Context, w *watchedHost) {
 	c, err := t.pool.Get(ctx, w.endpoint.Addr, peer.Traffic)
 	if err != nil {
 		return
@@ -142,27 +142,27 @@
 	}
 	defer s.Close()
 	for {
-		m, err := receive(ctx, s)
+		m, err := receiveMessage(ctx, s)
 		if err != nil {
 			if ctx.Err() == nil {
-				c.Close() // a stalled connection helps nobody
+				c.Close() // it may be stalled; the next attempt dials a new one
 			}
 			return
 		}
 		if st, ok := m.(*peer.Status); ok {
-			t.loop.Post(func() { t.heard(w, st) })
+			t.loop.Post(func() { t.updateStatus(w, st) })
 		}
 	}
 }
 
-func receive(ctx context.Context, s *peer.Stream) (peer.Message, error) {
+func receiveMessage(ctx context.Context, s *peer.Stream) (peer.Message, error) {
 	ctx, cancel := clock.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	return s.Recv(ctx)
 }
 
-// heard takes a status message. It runs on the loop.
-func (t *targets) heard(w *watched, st *peer.Status) {
+// updateStatus records a status message. It runs on the loop.
+func (t *targets) updateStatus(w *watchedHost, st *peer.Status) {
 	now := clock.Now()
 	old := w.report
 	w.status = *st
@@ -179,8 +179,9 @@
 	t.dirty = true
 }
 
-// lost notes that a host's connection is gone. It runs on the loop.
-func (t *targets) lost(w *watched) {
+// markNotReady marks a host as not ready after its status stream has ended. It
+// runs on the loop.
+func (t *targets) markNotReady(w *watchedHost) {
 	if w.report.Ready {
 		w.report.Ready = false
 		t.rebuild()
@@ -193,7 +194,7 @@
 	}
 }
 
-// rebuild publishes new tables. It runs on the loop.
+// rebuild publishes new routing tables. It runs on the loop.
 func (t *targets) rebuild() {
 	t.dirty = false
 	now := clock.Now()
@@ -215,20 +216,21 @@
 }
 
 func (t *targets) withoutEjected(now time.Time, service string, cands []routing.Candidate, total int) []routing.Candidate {
-	j := t.ejectors[service]
-	if j == nil {
-		j = routing.NewEjector(t.cfg.Routing)
-		t.ejectors[service] = j
+	ejector := t.ejectors[service]
+	if ejector == nil {
+		ejector = routing.NewEjector(t.cfg.Routing)
+		t.ejectors[service] = ejector
 	}
 	kept := cands[:0]
 	for _, c := range cands {
-		j.Check(now, c.Endpoint, total)
-		if !j.Ejected(now, c.Endpoint.Host) {
+		ejector.Check(now, c.Endpoint, total)
+		if !ejector.Ejected(now, c.Endpoint.Host) {
 			kept = append(kept, c)
 		}
 	}
 	return kept
 }
 
-// failed makes the tables be rebuilt at once after repeated failures.
-func (t *targets) failed() { t.loop.Post(t.rebuild) }
+// scheduleRebuild schedules an immediate rebuild after repeated failures of a
+// host, so that the host can be ejected.
+func (t *targets) scheduleRebuild() { t.loop.Post(t.rebuild) }
--- a/entry/traps_test.go
+++ b/entry/traps_test.go
@@ -14,16 +14,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// go-zero kills its process 5.5 s after SIGTERM unless told otherwise. A
-// stream that is longer than that must end whole.
-func TestSignalHandlerOfTheLibraryCutsNothing(t *testing.T) {
+// By default go-zero ends its process 5.5 s after SIGTERM. A stream that takes
+// longer than that must still complete.
+func TestStreamSurvivesLibrarySignalHandler(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	f.publish(0)
-	f.until("version 0", f.serves(0))
-	f.ready("engine")
-	own := make(chan os.Signal, 1)
-	signal.Notify(own, syscall.SIGTERM)
-	defer signal.Stop(own)
+	f.waitFor("version 0", f.allServe(0))
+	f.waitReady("engine")
+	signals := make(chan os.Signal, 1)
+	signal.Notify(signals, syscall.SIGTERM)
+	defer signal.Stop(signals)
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+f.entry.CallerAddr()+"/engine/x?tokens=6500", nil)
 	assert.NilError(t, err)
 	r.Header.Set(standin.CallHeader, "long")
@@ -31,23 +31,23 @@
 	assert.NilError(t, err)
 	defer resp.Body.Close()
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGTERM))
-	<-own
+	<-signals
 	b, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, strings.Count(string(b), "data: long "), 6500)
 	assert.Equal(t, f.call("engine", "after").status, http.StatusOK, "the listener is still ours")
 	select {
-	case <-own: // to the programs a second signal means to end at once
+	case <-signals: // the programs exit immediately on a second signal
 		t.Fatal("the library has signalled its own process")
 	default:
 	}
 }
 
-// go-zero caps bodies at 1 MB and answers at 3 s by default.
-func TestLibraryLimitsAreOff(t *testing.T) {
+// By default go-zero limits request bodies to 1 MB and responses to 3 s.
+func TestLibraryLimitsAreDisabled(t *testing.T) {
 	f := newFleet(t, 0, 1)
 	f.publish(0)
-	f.ready("plain")
+	f.waitReady("plain")
 	body := bytes.Repeat([]byte("x"), 3<<20)
 	resp, err := http.Post("http://"+f.entry.CallerAddr()+"/plain/x", "text/plain", bytes.NewReader(body))
 	assert.NilError(t, err)
@@ -58,7 +58,7 @@
 	assert.Equal(t, bytes.Count(b, []byte("x")), len(body)+1, "body and path come back")
 }
 
-func TestOwnPaths(t *testing.T) {
+func TestOperatorEndpoints(t *testing.T) {
 	f := newFleet(t, 0, 1)
 	get := func(path string) (int, string) {
 		resp, err := http.Get("http://" + f.entry.CallerAddr() + path)
@@ -73,7 +73,7 @@
 	status, _ = get("/readyz")
 	assert.Equal(t, status, http.StatusServiceUnavailable, "no fleet file yet")
 	f.publish(0)
-	f.ready("plain")
+	f.waitReady("plain")
 	status, _ = get("/readyz")
 	assert.Equal(t, status, http.StatusOK)
 	_, text := get("/metrics")
