--- a/entry/body.go
+++ b/entry/body.go
@@ -56,7 +56,7 @@
 	if errors.As(err, &tooLarge) {
 		return errBodyTooLarge
 	}
-	return errors.Wrap(err, "entry: read body")
+	return errors.Wrap(err, "entry: read request body")
 }
 
 func (b *requestBody) present() bool  { return len(b.buffered) > 0 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -146,7 +146,7 @@
 	if e.leaving.Swap(true) {
 		return
 	}
-	e.log.WithField("notice", e.cfg.Notice.String()).Info("Leaving. Readiness is withdrawn.")
+	e.log.WithField("notice", e.cfg.Notice.String()).Info("Draining; the readiness check fails from now on.")
 	e.node.Leave()
 	e.http.SetKeepAlivesEnabled(false)
 	loop.Sleep(ctx, e.cfg.Notice)
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -330,7 +330,7 @@
 		n, err := x.w.Write(m.Data)
 		x.written += int64(n)
 		if err != nil {
-			return errors.Wrap(err, "entry: write answer")
+			return errors.Wrap(err, "entry: write response")
 		}
 	}
 	if f, ok := x.w.(http.Flusher); ok {
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -211,7 +211,7 @@
 }
 
 func (f *testFleet) waitReady(service string) {
-	f.waitFor(service+" answers", func() bool { return f.call(service, "").status == http.StatusOK })
+	f.waitFor(service+" responds with 200", func() bool { return f.call(service, "").status == http.StatusOK })
 }
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
@@ -259,7 +259,7 @@
 	f.publish(0)
 	f.waitReady("plain")
 	var key string
-	f.waitFor("a key may run", func() bool { // once the agents know its home hosts for a full key window
+	f.waitFor("an idempotency key is accepted", func() bool { // once the agents know its home hosts for a full key window
 		key = newKey()
 		return f.call("plain", key, caller.HeaderKey, key, caller.HeaderRepeatable, "no").status == http.StatusOK
 	})
@@ -274,7 +274,7 @@
 	h.stop()
 	f.startAgent(h)
 	f.publishHosts()
-	f.waitFor("the new agent decides", func() bool {
+	f.waitFor("the restarted agent rejects the key as too old", func() bool {
 		return f.call("plain", key, caller.HeaderKey, key, caller.HeaderRepeatable, "no").problem.Reason == outcome.KeyTooOld
 	})
 	assert.Equal(t, f.runs.Count(key), 1)
@@ -287,7 +287,7 @@
 	f.waitReady("engine")
 	f.hosts["e0"].engine.Faults.Truncate.Store(true)
 	a := f.call("engine", "cut")
-	assert.Assert(t, a.err != nil, "the caller must see that the answer is cut")
+	assert.Assert(t, a.err != nil, "the caller must receive an error for a truncated response")
 }
 
 func TestAgentFailureAbortsResponse(t *testing.T) {
@@ -305,7 +305,7 @@
 	f.hosts["e0"].stop()
 	for scanner.Scan() {
 	}
-	assert.Assert(t, scanner.Err() != nil, "the caller must see that the answer is cut")
+	assert.Assert(t, scanner.Err() != nil, "the caller must receive an error for a truncated response")
 }
 
 // A stream that is in flight when its agent and its entry start to drain must
@@ -342,7 +342,7 @@
 	f.publish(0)
 	f.waitReady("plain")
 	f.hosts["p0"].agent.Leave()
-	f.waitFor("work goes elsewhere", func() bool {
+	f.waitFor("requests are routed to the other host", func() bool {
 		return f.call("plain", "c").header.Get(caller.HeaderHost) == "p1"
 	})
 	for range 20 {
@@ -365,7 +365,7 @@
 	defer resp.Body.Close()
 	assert.Equal(t, f.hosts["e0"].engine.Running(), int64(1))
 	cancel()
-	f.waitFor("the engine stops", func() bool { return f.hosts["e0"].engine.Running() == 0 })
+	f.waitFor("the engine stops the request", func() bool { return f.hosts["e0"].engine.Running() == 0 })
 }
 
 // A version must load completely although the origin sends corrupt chunks, an
@@ -375,14 +375,14 @@
 	f.origin.Faults.Corrupt.Store(10)
 	f.hosts["e1"].engine.Faults.RefuseLoad.Store(true)
 	f.publish(0)
-	f.waitFor("the others load", func() bool { return f.hosts["e0"].engine.Loadout() != "" && f.hosts["e2"].engine.Loadout() != "" })
+	f.waitFor("the other engines load version 0", func() bool { return f.hosts["e0"].engine.Loadout() != "" && f.hosts["e2"].engine.Loadout() != "" })
 	assert.Equal(t, f.hosts["e1"].engine.Loadout(), "")
 	f.hosts["e0"].stop()
 	f.hosts["e0"].engine.Restart()
 	f.startAgent(f.hosts["e0"])
 	f.publishHosts()
 	f.hosts["e1"].engine.Faults.RefuseLoad.Store(false)
-	f.waitFor("all load", f.allServe(0))
+	f.waitFor("all engines load version 0", f.allServe(0))
 	f.publish(1)
 	f.waitFor("version 1", f.allServe(1))
 	for _, h := range f.hosts {
@@ -397,7 +397,7 @@
 	f.publish(0)
 	f.waitFor("version 0", f.allServe(0))
 	f.waitReady("engine")
-	f.waitFor("one host answers all", func() bool { // holds once all three hosts are in the routing table
+	f.waitFor("one host responds to all requests", func() bool { // holds once all three hosts are in the routing table
 		hosts := map[string]bool{}
 		for range 10 {
 			hosts[f.call("engine", "c").header.Get(caller.HeaderHost)] = true
@@ -421,7 +421,7 @@
 	f.store.Faults.Corrupt.Store(1)
 	f.origin.Faults.Truncate.Store(true)
 	f.publish(0)
-	f.waitFor("the origin is asked", func() bool { return f.origin.Requests() > 3 })
+	f.waitFor("chunks are requested from the origin", func() bool { return f.origin.Requests() > 3 })
 	assert.Equal(t, f.hosts["e0"].engine.Loadout(), "")
 	f.origin.Faults.Truncate.Store(false)
 	f.waitFor("version 0", f.allServe(0))
@@ -429,8 +429,8 @@
 	stuck.Faults.KeepOld.Store(true)
 	orders := stuck.Orders()
 	f.publish(1)
-	f.waitFor("the engine is told again", func() bool { return stuck.Orders() >= orders+2 })
-	f.waitFor("the other goes on", func() bool { return f.hosts["e0"].engine.Loadout() != stuck.Loadout() })
+	f.waitFor("the load order is repeated", func() bool { return stuck.Orders() >= orders+2 })
+	f.waitFor("the other engine loads the new version", func() bool { return f.hosts["e0"].engine.Loadout() != stuck.Loadout() })
 	f.waitFor("the old version is still served", func() bool { return f.call("engine", "c").status == http.StatusOK })
 	stuck.Faults.KeepOld.Store(false)
 	f.waitFor("version 1", f.allServe(1))
@@ -456,22 +456,22 @@
 			return revisionOf(f.hosts["p0"]) == int64(want) && revisionOf(f.hosts["p1"]) == int64(want)
 		}
 	}
-	f.waitFor("in force", bothAt(revision))
+	f.waitFor("the published revision is in force", bothAt(revision))
 	f.platform.Publish([]byte("format: 1\nfleet: broken\n"))
 	f.hosts["p0"].stop()
 	f.startAgent(f.hosts["p0"])
 	f.publishHosts()
-	f.waitFor("the new process hears it from a peer", bothAt(revision))
+	f.waitFor("the restarted agent receives the revision from a peer", bothAt(revision))
 	f.platform.SetStale(true)
 	last := f.publish(0)
 	assert.Assert(t, bothAt(revision)())
 	f.platform.SetStale(false)
-	f.waitFor("the newest is in force", bothAt(last))
+	f.waitFor("the newest revision is in force", bothAt(last))
 	f.platform.SetDown(true)
 	f.hosts["p1"].stop()
 	f.startAgent(f.hosts["p1"]) // the host list cannot be updated, so no process learns the new address
 	answeredInRow := 0
-	f.waitFor("the other host answers", func() bool { // requests to the stopped process may fail at first
+	f.waitFor("only the running host responds", func() bool { // requests to the stopped process may fail at first
 		a := f.call("plain", "c")
 		assert.Assert(t, a.problem.Reason != outcome.NoIntent)
 		if a.status != http.StatusOK || a.header.Get(caller.HeaderHost) != "p0" {
--- a/entry/overload_test.go
+++ b/entry/overload_test.go
@@ -49,7 +49,7 @@
 	}
 	f.publishHosts()
 	f.platform.Publish(overloadFleetFile(f.names))
-	f.waitFor("the service answers", func() bool { return f.call("plain", "", caller.HeaderTeam, "t0").status == http.StatusOK })
+	f.waitFor("the service responds with 200", func() bool { return f.call("plain", "", caller.HeaderTeam, "t0").status == http.StatusOK })
 	capacity := float64(overloadHosts*overloadSlots) / overloadLatency.Seconds()
 	var done, refused, other atomic.Int64
 	byTeam := make([]atomic.Int64, overloadTeams)
--- a/entry/traps_test.go
+++ b/entry/traps_test.go
@@ -35,10 +35,10 @@
 	b, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, strings.Count(string(b), "data: long "), 6500)
-	assert.Equal(t, f.call("engine", "after").status, http.StatusOK, "the listener is still ours")
+	assert.Equal(t, f.call("engine", "after").status, http.StatusOK, "the listener must still accept requests")
 	select {
 	case <-signals: // the programs exit immediately on a second signal
-		t.Fatal("the library has signalled its own process")
+		t.Fatal("the library sent a second SIGTERM to the process")
 	default:
 	}
 }
@@ -55,7 +55,7 @@
 	b, err := io.ReadAll(resp.Body)
 	assert.NilError(t, err)
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
-	assert.Equal(t, bytes.Count(b, []byte("x")), len(body)+1, "body and path come back")
+	assert.Equal(t, bytes.Count(b, []byte("x")), len(body)+1, "the response must contain the body and the path")
 }
 
 func TestOperatorEndpoints(t *testing.T) {
@@ -71,7 +71,7 @@
 	status, _ := get("/healthz")
 	assert.Equal(t, status, http.StatusOK)
 	status, _ = get("/readyz")
-	assert.Equal(t, status, http.StatusServiceUnavailable, "no fleet file yet")
+	assert.Equal(t, status, http.StatusServiceUnavailable, "no fleet file has been published")
 	f.publish(0)
 	f.waitReady("plain")
 	status, _ = get("/readyz")
