--- a/command/springgate.go
+++ b/command/springgate.go
@@ -138,7 +138,7 @@
 	o.add(set)
 	set.Address(&cfg.Listen, "listen", "address for callers", "127.0.0.1:8080", true)
 	set.Int(&cfg.Subset, "subset", "targets of a service that this entry keeps connections to", 64, 2, maxFleet)
-	set.Duration(&cfg.Notice, "notice", "how long to go on serving once /readyz fails", 5*time.Second, 0, time.Hour)
+	set.Duration(&cfg.ShutdownDelay, "notice", "how long to go on serving once /readyz fails", 5*time.Second, 0, time.Hour)
 	set.Duration(&cfg.DrainTimeout, "drain-timeout", "longest wait for requests in flight", 10*time.Minute, time.Second, maxWindow)
 	set.Bytes(&maxBody, "max-body", "largest request body", "64MiB", 1, 1<<40)
 	set.Int(&cfg.MaxInflight, "max-inflight", "most requests in flight", 20000, 1, 10000000)
--- a/entry/config.go
+++ b/entry/config.go
@@ -21,10 +21,10 @@
 	// connections to. A larger subset balances the load more evenly but
 	// costs more connections and status messages. Default 64.
 	Subset int
-	// Notice is how long an entry that shuts down keeps accepting requests
+	// ShutdownDelay is how long an entry that shuts down keeps accepting requests
 	// after /readyz has started to fail, so that the load balancer can take
 	// it out of rotation first. Default 5 s.
-	Notice time.Duration
+	ShutdownDelay time.Duration
 	// DrainTimeout bounds the subsequent wait for requests in flight.
 	// Default 10 min.
 	DrainTimeout time.Duration
@@ -40,7 +40,7 @@
 
 func (c Config) applyDefaults() Config {
 	c.Subset = cmp.Or(c.Subset, 64)
-	c.Notice = cmp.Or(c.Notice, 5*time.Second)
+	c.ShutdownDelay = cmp.Or(c.ShutdownDelay, 5*time.Second)
 	c.DrainTimeout = cmp.Or(c.DrainTimeout, 10*time.Minute)
 	c.MaxBody = cmp.Or(c.MaxBody, 64<<20)
 	c.MaxInflight = cmp.Or(c.MaxInflight, 20000)
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -146,10 +146,10 @@
 	if e.leaving.Swap(true) {
 		return
 	}
-	e.log.WithField("notice", e.cfg.Notice.String()).Info("Draining; the readiness check fails from now on.")
+	e.log.WithField("notice", e.cfg.ShutdownDelay.String()).Info("Draining; the readiness check fails from now on.")
 	e.node.Leave()
 	e.http.SetKeepAlivesEnabled(false)
-	loop.Sleep(ctx, e.cfg.Notice)
+	loop.Sleep(ctx, e.cfg.ShutdownDelay)
 	ctx, cancel := clock.WithTimeout(ctx, e.cfg.DrainTimeout)
 	defer cancel()
 	if err := e.http.Shutdown(ctx); err != nil {
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -88,7 +88,7 @@
 		assert.NilError(t, err)
 		f.addHost(&testHost{name: fmt.Sprintf("p%d", i), url: p.URL(), plain: p})
 	}
-	f.entry, err = entry.New(entry.Config{Control: f.controlConfig("entry"), Listen: loopback, Notice: time.Millisecond},
+	f.entry, err = entry.New(entry.Config{Control: f.controlConfig("entry"), Listen: loopback, ShutdownDelay: time.Millisecond},
 		configservice.New(f.platform.URL()), hostlist.New(f.platform.URL()), f.log)
 	assert.NilError(t, err)
 	go f.entry.Run(t.Context())
