--- a/entry/config.go
+++ b/entry/config.go
@@ -21,9 +21,9 @@
 	// connections to. A larger subset balances the load more evenly but
 	// costs more connections and status messages. Default 64.
 	Subset int
-	// ShutdownDelay is how long an entry that shuts down keeps accepting requests
-	// after /readyz has started to fail, so that the load balancer can take
-	// it out of rotation first. Default 5 s.
+	// ShutdownDelay is how long an entry that shuts down keeps accepting
+	// requests after /readyz has started to fail, so that the load balancer
+	// can take it out of rotation first. Default 5 s.
 	ShutdownDelay time.Duration
 	// DrainTimeout bounds the subsequent wait for requests in flight.
 	// Default 10 min.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -140,8 +140,8 @@
 	wg.Wait()
 }
 
-// Drain makes /readyz fail and keeps serving for Config.Notice. It then stops
-// accepting connections and waits for the requests in flight.
+// Drain makes /readyz fail and keeps serving for Config.ShutdownDelay. It then
+// stops accepting connections and waits for the requests in flight.
 func (e *Entry) Drain(ctx context.Context) {
 	if e.leaving.Swap(true) {
 		return
