--- a/targetconn/exchange.go
+++ b/targetconn/exchange.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of an exchange. After each of them the target may have run the
+// Errors of an exchange. After any of them the target may have executed the
 // request.
 var (
 	ErrSend    = errors.New("targetconn: request not sent in full")
@@ -20,40 +20,42 @@
 	ErrGarbled = errors.New("targetconn: not an answer to the request")
 )
 
-// maxStray is how many answers to other requests are skipped before the
-// connection is given up.
-const maxStray = 4
+// maxMismatched is the number of consecutive responses to other requests after
+// which the connection is closed.
+const maxMismatched = 4
 
-// inlineBody is the size up to which a body is sent before the answer is
-// read. A larger one is sent meanwhile, since the target may answer first.
-const inlineBody = 16 << 10
+// maxInlineBody is the largest body in bytes that is written before the
+// response is read. A larger body is written concurrently, because the target
+// may respond before it has read the body.
+const maxInlineBody = 16 << 10
 
-// Request is one request as it goes to a target.
+// Request is a request to a target.
 type Request struct {
 	Method string
-	URI    string // path and query as the caller sent them
+	URI    string // path and query, sent unchanged
 	Host   string
 	Header http.Header
 	Body   []byte
-	ID     string
+	ID     string // expected in the response
 }
 
-// Response is the answer of a target. Its body must be closed.
+// Response is the response of a target. Close must be called on it.
 type Response struct {
 	*http.Response
-	conn   *Conn
-	pool   *Pool
-	stop   func() bool
-	sent   chan error // result of a body that is sent meanwhile, or nil
-	whole  bool
-	closed bool
+	conn     *Conn
+	pool     *Pool
+	stop     func() bool
+	sent     chan error // result of a concurrent write of the body, or nil
+	complete bool
+	closed   bool
 }
 
-// IDOf returns the id that an answer carries.
+// IDOf returns the request ID in the header of a response, or "" if it has none.
 type IDOf func(http.Header) string
 
-// Do sends r to the target at addr and reads the head of the answer. Ending
-// ctx closes the connection, so that the target stops its work.
+// Do sends r to the target at addr and reads the header of the response.
+// Cancelling ctx closes the connection, also while the body is read, so that
+// the target stops processing the request.
 func (p *Pool) Do(ctx context.Context, addr string, r *Request, idOf IDOf) (*Response, error) {
 	c, err := p.get(ctx, addr)
 	if err != nil {
@@ -75,7 +77,7 @@
 	if err != nil {
 		return nil, errors.Wrap(ErrSend, err.Error())
 	}
-	for range maxStray {
+	for range maxMismatched {
 		hr, err := c.readHead(r.Method)
 		if err != nil {
 			return nil, err
@@ -105,8 +107,8 @@
 	}
 }
 
-// send writes the request. A long body is written meanwhile, and its result
-// comes over the channel.
+// send writes the request. If the body is larger than maxInlineBody, it is
+// written in the background and the result is sent on the returned channel.
 func (c *Conn) send(r *Request) (chan error, error) {
 	var b bytes.Buffer
 	b.WriteString(r.Method + " " + r.URI + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
@@ -117,7 +119,7 @@
 		b.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
 	b.WriteString("\r\n")
-	if len(r.Body) <= inlineBody {
+	if len(r.Body) <= maxInlineBody {
 		b.Write(r.Body)
 		_, err := c.nc.Write(b.Bytes())
 		return nil, err
@@ -133,24 +135,24 @@
 	return sent, nil
 }
 
-// Read reads the body and notes whether it ended whole.
+// Read reads the body and records whether it was read completely.
 func (r *Response) Read(b []byte) (int, error) {
 	n, err := r.Body.Read(b)
 	if err == io.EOF {
-		r.whole = true
+		r.complete = true
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept if the answer was read in
-// full and the target keeps it too.
+// Close ends the exchange. The connection is returned to the pool if the
+// response was read completely and the target keeps the connection open.
 func (r *Response) Close() {
 	if r.closed {
 		return
 	}
 	r.closed = true
-	live := r.stop()
-	if !live || !r.reusable() {
+	notCancelled := r.stop()
+	if !notCancelled || !r.reusable() {
 		r.conn.nc.Close()
 		return
 	}
@@ -158,7 +160,7 @@
 }
 
 func (r *Response) reusable() bool {
-	if !r.whole || r.Response.Close || r.ContentLength < 0 && len(r.TransferEncoding) == 0 {
+	if !r.complete || r.Response.Close || r.ContentLength < 0 && len(r.TransferEncoding) == 0 {
 		return false
 	}
 	if r.sent == nil {
@@ -168,11 +170,12 @@
 	case err := <-r.sent:
 		return err == nil
 	default:
-		return false // the body is still on its way
+		return false // the request body is still being written
 	}
 }
 
-// keepAlive returns the target's idle timeout, or zero if it names none.
+// keepAlive returns the idle timeout in the Keep-Alive header, or zero if there
+// is none.
 func keepAlive(h http.Header) time.Duration {
 	for _, f := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(f), "=")
--- a/targetconn/exchange_test.go
+++ b/targetconn/exchange_test.go
@@ -19,16 +19,16 @@
 
 const idHeader = "Test-Id"
 
-func idOf(h http.Header) string { return h.Get(idHeader) }
+func requestID(h http.Header) string { return h.Get(idHeader) }
 
-// server is a target whose connections are handled by a function.
+// server is a target that handles each connection with a function.
 type server struct {
 	addr  string
 	conns atomic.Int64
 	wg    sync.WaitGroup
 }
 
-// serve accepts connections until the test ends. n counts them from 1.
+// serve accepts connections until the test ends. n numbers them from 1.
 func serve(t *testing.T, handle func(n int64, nc net.Conn, br *bufio.Reader)) *server {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,7 +53,8 @@
 	return s
 }
 
-// readRequest reads one request and its body; it reports false at the end.
+// readRequest reads a request and its body. It returns false if the connection
+// has no further complete request.
 func readRequest(br *bufio.Reader) (*http.Request, []byte, bool) {
 	r, err := http.ReadRequest(br)
 	if err != nil {
@@ -63,7 +64,7 @@
 	return r, b, err == nil
 }
 
-func answer(id, body string, more ...string) string {
+func response(id, body string, more ...string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\n%s: %s\r\nContent-Length: %d\r\n%s\r\n%s", idHeader, id, len(body), strings.Join(more, ""), body)
 }
 
@@ -72,9 +73,9 @@
 		Header: http.Header{idHeader: {id}}}
 }
 
-// do returns the body of the answer.
+// do sends a request and returns the body of the response.
 func do(ctx context.Context, p *Pool, addr string, r *Request) (string, error) {
-	resp, err := p.Do(ctx, addr, r, idOf)
+	resp, err := p.Do(ctx, addr, r, requestID)
 	if err != nil {
 		return "", err
 	}
@@ -83,14 +84,14 @@
 	return string(b), err
 }
 
-func TestRequestArrivesAsItWas(t *testing.T) {
+func TestRequestIsSentUnchanged(t *testing.T) {
 	s := serve(t, func(_ int64, nc net.Conn, br *bufio.Reader) {
 		for {
 			r, body, ok := readRequest(br)
 			if !ok {
 				return
 			}
-			fmt.Fprint(nc, answer(idOf(r.Header), r.Method+" "+r.RequestURI+" "+r.Host+" "+string(body)))
+			fmt.Fprint(nc, response(requestID(r.Header), r.Method+" "+r.RequestURI+" "+r.Host+" "+string(body)))
 		}
 	})
 	p := NewPool(Config{})
@@ -103,17 +104,17 @@
 	assert.Equal(t, s.conns.Load(), int64(1), "the connection is kept")
 }
 
-// A second answer to the first request stands where that to the second is
-// expected.
-func TestExtraAnswerIsNotTakenForTheNext(t *testing.T) {
+// A duplicate response to the first request, sent before the response to the
+// second, must not be returned for the second request.
+func TestDuplicateResponseIsSkipped(t *testing.T) {
 	s := serve(t, func(_ int64, nc net.Conn, br *bufio.Reader) {
 		r, _, _ := readRequest(br)
-		fmt.Fprint(nc, answer(idOf(r.Header), "first"))
+		fmt.Fprint(nc, response(requestID(r.Header), "first"))
 		r, _, ok := readRequest(br)
 		if !ok {
 			return
 		}
-		fmt.Fprint(nc, answer("first", "late copy")+answer(idOf(r.Header), "second"))
+		fmt.Fprint(nc, response("first", "late copy")+response(requestID(r.Header), "second"))
 	})
 	p := NewPool(Config{})
 	_, err := do(t.Context(), p, s.addr, request("first"))
@@ -123,12 +124,12 @@
 	assert.Equal(t, got, "second")
 }
 
-// Bytes that arrive while a connection is idle end it.
-func TestConnectionWithStrayBytesIsNotUsedAgain(t *testing.T) {
+// A connection that received bytes while it was idle must not be reused.
+func TestConnectionWithUnexpectedBytesIsNotReused(t *testing.T) {
 	stray := make(chan struct{})
 	s := serve(t, func(n int64, nc net.Conn, br *bufio.Reader) {
 		r, _, _ := readRequest(br)
-		fmt.Fprint(nc, answer(idOf(r.Header), fmt.Sprint("connection ", n)))
+		fmt.Fprint(nc, response(requestID(r.Header), fmt.Sprint("connection ", n)))
 		if n == 1 {
 			fmt.Fprint(nc, "stray")
 			close(stray)
@@ -144,14 +145,14 @@
 	assert.Equal(t, got, "connection 2")
 }
 
-// A target that closes an idle connection just as it is used: the request may
-// have run, so it is not sent again here.
-func TestNothingIsSentTwice(t *testing.T) {
+// If the target closes an idle connection while a request is sent on it, the
+// request may have been executed and must not be retried.
+func TestRequestIsNotRetried(t *testing.T) {
 	var requests atomic.Int64
 	s := serve(t, func(_ int64, nc net.Conn, br *bufio.Reader) {
 		r, _, _ := readRequest(br)
 		requests.Add(1)
-		fmt.Fprint(nc, answer(idOf(r.Header), "ok"))
+		fmt.Fprint(nc, response(requestID(r.Header), "ok"))
 		if _, _, ok := readRequest(br); ok {
 			requests.Add(1)
 		}
@@ -165,14 +166,14 @@
 	assert.Equal(t, requests.Load(), int64(2))
 }
 
-func TestAnswersThatAreNotWhole(t *testing.T) {
+func TestIncompleteResponses(t *testing.T) {
 	for name, raw := range map[string]string{
 		"cut body":    "HTTP/1.1 200 OK\r\nTest-Id: a\r\nContent-Length: 100\r\n\r\nshort",
 		"cut chunk":   "HTTP/1.1 200 OK\r\nTest-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
 		"no http":     "garbage\r\n\r\n",
 		"cut head":    "HTTP/1.1 200 OK\r\nTest-",
 		"nothing":     "",
-		"other's":     answer("x", "1") + answer("y", "2") + answer("z", "3") + answer("x", "4"),
+		"other's":     response("x", "1") + response("y", "2") + response("z", "3") + response("x", "4"),
 		"cut other's": "HTTP/1.1 200 OK\r\nTest-Id: x\r\nContent-Length: 100\r\n\r\nshort",
 	} {
 		s := serve(t, func(_ int64, nc net.Conn, br *bufio.Reader) {
@@ -184,7 +185,7 @@
 	}
 }
 
-func TestDialFailureSaysThatNothingWasSent(t *testing.T) {
+func TestDialFailureReturnsErrDial(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	ln.Close()
@@ -192,21 +193,21 @@
 	assert.ErrorIs(t, err, ErrDial)
 }
 
-// A target may answer before it has read a long body. The connection is not
-// used again, since the rest of the body is still due on it.
-func TestEarlyAnswerToALongBody(t *testing.T) {
+// A target may respond before it has read a long body. The connection must not
+// be reused, because the rest of the body is still being written to it.
+func TestResponseBeforeBodyIsRead(t *testing.T) {
 	release := make(chan struct{})
 	s := serve(t, func(n int64, nc net.Conn, br *bufio.Reader) {
 		r, err := http.ReadRequest(br)
 		if err != nil {
 			return
 		}
-		fmt.Fprint(nc, answer(idOf(r.Header), fmt.Sprint("connection ", n)))
+		fmt.Fprint(nc, response(requestID(r.Header), fmt.Sprint("connection ", n)))
 		<-release
 	})
 	defer close(release)
 	long := request("a")
-	long.Body = bytes.Repeat([]byte("x"), 32<<20) // more than the sockets' buffers hold
+	long.Body = bytes.Repeat([]byte("x"), 32<<20) // exceeds the socket buffers
 	p := NewPool(Config{})
 	got, err := do(t.Context(), p, s.addr, long)
 	assert.NilError(t, err)
@@ -216,8 +217,9 @@
 	assert.Equal(t, got, "connection 2")
 }
 
-// Ending the context closes the connection, so that the target stops.
-func TestEndOfTheContextReachesTheTarget(t *testing.T) {
+// Cancelling the context must close the connection, so that the target stops
+// processing the request.
+func TestCancellationClosesConnection(t *testing.T) {
 	got, closed := make(chan struct{}), make(chan struct{})
 	s := serve(t, func(_ int64, _ net.Conn, br *bufio.Reader) {
 		_, _, _ = readRequest(br)
@@ -235,7 +237,7 @@
 	<-closed
 }
 
-func TestConnectionsThatAreNotKept(t *testing.T) {
+func TestConnectionCloseHeaderIsHonored(t *testing.T) {
 	for name, more := range map[string]string{"close": "Connection: close\r\n"} {
 		s := serve(t, func(_ int64, nc net.Conn, br *bufio.Reader) {
 			for {
@@ -243,7 +245,7 @@
 				if !ok {
 					return
 				}
-				fmt.Fprint(nc, answer(idOf(r.Header), "ok", more))
+				fmt.Fprint(nc, response(requestID(r.Header), "ok", more))
 			}
 		})
 		p := NewPool(Config{})
@@ -255,21 +257,21 @@
 	}
 }
 
-func TestKeepAliveTime(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	for value, want := range map[string]time.Duration{"timeout=5": 5 * time.Second, "max=3, timeout=2": 2 * time.Second,
 		"": 0, "timeout=x": 0, "timeout=-1": 0} {
 		assert.Equal(t, keepAlive(http.Header{"Keep-Alive": {value}}), want, value)
 	}
 }
 
-func TestSweepClosesWhatIsNotWanted(t *testing.T) {
+func TestSweepClosesUnwantedConnections(t *testing.T) {
 	s := serve(t, func(_ int64, nc net.Conn, br *bufio.Reader) {
 		for {
 			r, _, ok := readRequest(br)
 			if !ok {
 				return
 			}
-			fmt.Fprint(nc, answer(idOf(r.Header), "ok"))
+			fmt.Fprint(nc, response(requestID(r.Header), "ok"))
 		}
 	})
 	p := NewPool(Config{})
--- a/targetconn/pool.go
+++ b/targetconn/pool.go
@@ -1,8 +1,8 @@
-// Package targetconn exchanges HTTP/1.1 requests with targets over pooled
-// connections. Unlike net/http's client it never sends a request twice by
-// itself, tells for each failure whether the target may have run the request,
-// and pairs answers with requests by their id, because a faulty target may
-// send an extra answer where the next one is expected.
+// Package targetconn sends HTTP/1.1 requests to targets over pooled
+// connections. Unlike the client of net/http it never retries a request by
+// itself, reports for each failure whether the target may have executed the
+// request, and matches responses to requests by ID, because a faulty target may
+// send a duplicate response where the next response is expected.
 package targetconn
 
 import (
@@ -21,18 +21,18 @@
 
 // Config holds the limits of a Pool.
 type Config struct {
-	// DialTimeout bounds a connection attempt. Connecting takes one round
-	// trip of a few ms; a lost opening packet is sent again after 1 s, and
-	// another target is the better choice by then. Default 400 ms.
+	// DialTimeout bounds a connection attempt. Connecting takes a round trip
+	// of a few ms. A lost SYN is retransmitted only after 1 s; trying another
+	// target is faster than that. Default 400 ms.
 	DialTimeout time.Duration
-	// IdleTimeout is how long an idle connection is kept where the target
-	// names no time. Default 20 s.
+	// IdleTimeout is how long an idle connection is kept if the target does
+	// not announce its own timeout. Default 20 s.
 	IdleTimeout time.Duration
-	// IdleMargin is how much sooner than the target's own idle timeout a
-	// connection is closed here, so that a request does not meet the close.
-	// Default 500 ms.
+	// IdleMargin is how long before the idle timeout announced by the target
+	// a connection is closed, so that no request is sent while the target
+	// closes it. Default 500 ms.
 	IdleMargin time.Duration
-	// MaxIdle is how many idle connections are kept for one target. Default 16.
+	// MaxIdle is the maximum number of idle connections per target. Default 16.
 	MaxIdle int
 }
 
@@ -44,23 +44,23 @@
 	return c
 }
 
-// ErrDial is the cause of each failure before anything was sent.
+// ErrDial is returned if no connection could be established. Nothing was sent.
 var ErrDial = errors.New("targetconn: no connection")
 
-// readBuffer holds the head of an answer or a few events.
-const readBuffer = 4 << 10
+// readBufferSize in bytes is enough for a response header or a few events.
+const readBufferSize = 4 << 10
 
-// Conn is one connection to a target; it carries one request at a time.
+// Conn is a connection to a target. It carries one request at a time.
 type Conn struct {
 	nc      net.Conn
 	br      *bufio.Reader
 	addr    string
-	idleAt  time.Time // when it became idle
-	idleFor time.Duration
+	idleAt  time.Time     // when it was returned to the pool
+	idleFor time.Duration // how long it may be reused after idleAt
 	reused  bool
 }
 
-// Pool keeps idle connections by address.
+// Pool keeps the idle connections to each address.
 type Pool struct {
 	cfg Config
 
@@ -73,14 +73,14 @@
 	return &Pool{cfg: cfg.applyDefaults(), idle: map[string][]*Conn{}}
 }
 
-// get returns an idle connection that is still sound, or a new one.
+// get returns an idle connection that is still usable, or a new one.
 func (p *Pool) get(ctx context.Context, addr string) (*Conn, error) {
 	for {
 		c := p.takeIdle(addr)
 		if c == nil {
 			return p.dial(ctx, addr)
 		}
-		if clock.Since(c.idleAt) < c.idleFor && c.quiet() {
+		if clock.Since(c.idleAt) < c.idleFor && c.usable() {
 			c.reused = true
 			return c, nil
 		}
@@ -95,7 +95,7 @@
 	if len(list) == 0 {
 		return nil
 	}
-	c := list[len(list)-1] // the most recently used is the least likely to be closed
+	c := list[len(list)-1] // the most recently used is the least likely to have been closed
 	p.idle[addr] = list[:len(list)-1]
 	return c
 }
@@ -105,15 +105,15 @@
 	if err != nil {
 		return nil, errors.Wrap(ErrDial, err.Error())
 	}
-	return &Conn{nc: nc, br: bufio.NewReaderSize(nc, readBuffer), addr: addr}, nil
+	return &Conn{nc: nc, br: bufio.NewReaderSize(nc, readBufferSize), addr: addr}, nil
 }
 
-// put keeps a connection whose answer was read in full. keep is the target's
-// own idle timeout, or zero.
-func (p *Pool) put(c *Conn, keep time.Duration) {
+// put returns a connection to the pool after a response was read completely.
+// targetIdle is the idle timeout announced by the target, or zero.
+func (p *Pool) put(c *Conn, targetIdle time.Duration) {
 	c.idleAt, c.idleFor = clock.Now(), p.cfg.IdleTimeout
-	if keep > 0 {
-		c.idleFor = keep - min(p.cfg.IdleMargin, keep/2)
+	if targetIdle > 0 {
+		c.idleFor = targetIdle - min(p.cfg.IdleMargin, targetIdle/2)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,32 +124,32 @@
 	p.idle[c.addr] = append(p.idle[c.addr], c)
 }
 
-// Sweep closes connections that have been idle too long, and those to
-// addresses that keep does not name.
+// Sweep closes idle connections that have expired and those to addresses for
+// which keep returns false.
 func (p *Pool) Sweep(keep func(addr string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for addr, list := range p.idle {
 		wanted := keep(addr)
-		var rest []*Conn
+		var kept []*Conn
 		for _, c := range list {
 			if wanted && clock.Since(c.idleAt) < c.idleFor {
-				rest = append(rest, c)
+				kept = append(kept, c)
 			} else {
 				c.nc.Close()
 			}
 		}
-		if len(rest) == 0 {
+		if len(kept) == 0 {
 			delete(p.idle, addr)
 		} else {
-			p.idle[addr] = rest
+			p.idle[addr] = kept
 		}
 	}
 }
 
-// quiet reports whether an idle connection is open and has nothing to read:
-// bytes there belong to no request of ours.
-func (c *Conn) quiet() bool {
+// usable reports whether an idle connection is open and has no bytes to read.
+// Such bytes would not belong to the next response.
+func (c *Conn) usable() bool {
 	if c.br.Buffered() > 0 {
 		return false
 	}
@@ -161,12 +161,12 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	var b [1]byte
 	err = raw.Read(func(fd uintptr) bool {
 		_, readErr := syscall.Read(int(fd), b[:])
-		quiet = readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK
+		empty = readErr == syscall.EAGAIN || readErr == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
--- a/targetconn/suspension_test.go
+++ b/targetconn/suspension_test.go
@@ -11,9 +11,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// After a suspension a request went out on a connection that had been idle for longer than
-// its target keeps one: it met the close, and what may not be repeated ended with 502.
-func TestSuspension(t *testing.T) {
+// The idle time of a connection must include the time that the machine was suspended.
+// Otherwise a request is sent on a connection that the target has already closed, and one
+// that must not be repeated fails with status 502.
+func TestIdleConnectionsExpireDuringSuspension(t *testing.T) {
 	machine := clocktest.New(t)
 	s := serve(t, func(_ int64, nc net.Conn, br *bufio.Reader) {
 		for {
@@ -21,7 +22,7 @@
 			if !ok {
 				return
 			}
-			fmt.Fprint(nc, answer(idOf(r.Header), "ok"))
+			fmt.Fprint(nc, response(requestID(r.Header), "ok"))
 		}
 	})
 	p := NewPool(Config{IdleTimeout: 2 * time.Second})
