--- a/targetconn/exchange.go
+++ b/targetconn/exchange.go
@@ -15,9 +15,9 @@
 // Errors of an exchange. After any of them the target may have executed the
 // request.
 var (
-	ErrSend    = errors.New("targetconn: request not sent in full")
-	ErrNoReply = errors.New("targetconn: no answer")
-	ErrGarbled = errors.New("targetconn: not an answer to the request")
+	ErrSend    = errors.New("targetconn: request not sent completely")
+	ErrNoReply = errors.New("targetconn: no response")
+	ErrGarbled = errors.New("targetconn: invalid response")
 )
 
 // maxMismatched is the number of consecutive responses to other requests after
@@ -89,7 +89,7 @@
 			return nil, errors.Wrap(ErrGarbled, err.Error())
 		}
 	}
-	return nil, errors.Wrap(ErrGarbled, "answers to other requests")
+	return nil, errors.Wrap(ErrGarbled, "too many responses to other requests")
 }
 
 func (c *Conn) readHead(method string) (*http.Response, error) {
--- a/targetconn/exchange_test.go
+++ b/targetconn/exchange_test.go
@@ -101,7 +101,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, got, "POST /a%2Fb/?q=1 host.example body of "+id)
 	}
-	assert.Equal(t, s.conns.Load(), int64(1), "the connection is kept")
+	assert.Equal(t, s.conns.Load(), int64(1), "the connection must be reused")
 }
 
 // A duplicate response to the first request, sent before the response to the
@@ -114,7 +114,7 @@
 		if !ok {
 			return
 		}
-		fmt.Fprint(nc, response("first", "late copy")+response(requestID(r.Header), "second"))
+		fmt.Fprint(nc, response("first", "duplicate")+response(requestID(r.Header), "second"))
 	})
 	p := NewPool(Config{})
 	_, err := do(t.Context(), p, s.addr, request("first"))
@@ -168,13 +168,13 @@
 
 func TestIncompleteResponses(t *testing.T) {
 	for name, raw := range map[string]string{
-		"cut body":    "HTTP/1.1 200 OK\r\nTest-Id: a\r\nContent-Length: 100\r\n\r\nshort",
-		"cut chunk":   "HTTP/1.1 200 OK\r\nTest-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
-		"no http":     "garbage\r\n\r\n",
-		"cut head":    "HTTP/1.1 200 OK\r\nTest-",
-		"nothing":     "",
-		"other's":     response("x", "1") + response("y", "2") + response("z", "3") + response("x", "4"),
-		"cut other's": "HTTP/1.1 200 OK\r\nTest-Id: x\r\nContent-Length: 100\r\n\r\nshort",
+		"truncated body":           "HTTP/1.1 200 OK\r\nTest-Id: a\r\nContent-Length: 100\r\n\r\nshort",
+		"truncated chunk":          "HTTP/1.1 200 OK\r\nTest-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
+		"not HTTP":                 "garbage\r\n\r\n",
+		"truncated header":         "HTTP/1.1 200 OK\r\nTest-",
+		"empty":                    "",
+		"other requests":           response("x", "1") + response("y", "2") + response("z", "3") + response("x", "4"),
+		"truncated, other request": "HTTP/1.1 200 OK\r\nTest-Id: x\r\nContent-Length: 100\r\n\r\nshort",
 	} {
 		s := serve(t, func(_ int64, nc net.Conn, br *bufio.Reader) {
 			_, _, _ = readRequest(br)
--- a/targetconn/pool.go
+++ b/targetconn/pool.go
@@ -45,7 +45,7 @@
 }
 
 // ErrDial is returned if no connection could be established. Nothing was sent.
-var ErrDial = errors.New("targetconn: no connection")
+var ErrDial = errors.New("targetconn: connection failed")
 
 // readBufferSize in bytes is enough for a response header or a few events.
 const readBufferSize = 4 << 10
--- a/targetconn/suspension_test.go
+++ b/targetconn/suspension_test.go
@@ -30,7 +30,7 @@
 		machine.Suspend(d)
 		_, err := do(t.Context(), p, s.addr, request("a"))
 		assert.NilError(t, err)
-		assert.Check(t, s.conns.Load() == int64(n+1), "%d connections after %v", s.conns.Load(), d)
+		assert.Check(t, s.conns.Load() == int64(n+1), "%d connections after a suspension of %v", s.conns.Load(), d)
 	}
 	machine.Suspend(time.Minute)
 	p.Sweep(func(string) bool { return true })
