--- a/targetconn/exchange.go
+++ b/targetconn/exchange.go
@@ -50,13 +50,13 @@
 	closed   bool
 }
 
-// IDOf returns the request ID in the header of a response, or "" if it has none.
-type IDOf func(http.Header) string
+// IDFunc returns the request ID in the header of a response, or "" if it has none.
+type IDFunc func(http.Header) string
 
 // Do sends r to the target at addr and reads the header of the response.
 // Cancelling ctx closes the connection, also while the body is read, so that
 // the target stops processing the request.
-func (p *Pool) Do(ctx context.Context, addr string, r *Request, idOf IDOf) (*Response, error) {
+func (p *Pool) Do(ctx context.Context, addr string, r *Request, idOf IDFunc) (*Response, error) {
 	c, err := p.get(ctx, addr)
 	if err != nil {
 		return nil, err
@@ -72,7 +72,7 @@
 	return resp, nil
 }
 
-func (c *Conn) roundTrip(r *Request, idOf IDOf) (*Response, error) {
+func (c *Conn) roundTrip(r *Request, idOf IDFunc) (*Response, error) {
 	sent, err := c.send(r)
 	if err != nil {
 		return nil, errors.Wrap(ErrSend, err.Error())
