--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -123,7 +123,7 @@
 		return result{reason: ReasonStalled, ran: true, sent: true, silent: true}
 	case a.ctx.Err() != nil:
 		return result{reason: ReasonTimeout, ran: true, sent: true, silent: true}
-	case errors.Is(err, targetconn.ErrGarbled):
+	case errors.Is(err, targetconn.ErrInvalidResponse):
 		return result{reason: ReasonGarbled, ran: true, sent: true}
 	}
 	return result{reason: ReasonConnLost, ran: true, sent: true}
--- a/targetconn/exchange.go
+++ b/targetconn/exchange.go
@@ -17,7 +17,7 @@
 var (
 	ErrSend    = errors.New("targetconn: request not sent completely")
 	ErrNoReply = errors.New("targetconn: no response")
-	ErrGarbled = errors.New("targetconn: invalid response")
+	ErrInvalidResponse = errors.New("targetconn: invalid response")
 )
 
 // maxMismatched is the number of consecutive responses to other requests after
@@ -86,10 +86,10 @@
 			return &Response{Response: hr, conn: c, sent: sent}, nil
 		}
 		if _, err := io.Copy(io.Discard, hr.Body); err != nil {
-			return nil, errors.Wrap(ErrGarbled, err.Error())
+			return nil, errors.Wrap(ErrInvalidResponse, err.Error())
 		}
 	}
-	return nil, errors.Wrap(ErrGarbled, "too many responses to other requests")
+	return nil, errors.Wrap(ErrInvalidResponse, "too many responses to other requests")
 }
 
 func (c *Conn) readHead(method string) (*http.Response, error) {
@@ -99,7 +99,7 @@
 		}
 		hr, err := http.ReadResponse(c.br, &http.Request{Method: method})
 		if err != nil {
-			return nil, errors.Wrap(ErrGarbled, err.Error())
+			return nil, errors.Wrap(ErrInvalidResponse, err.Error())
 		}
 		if hr.StatusCode/100 != 1 {
 			return hr, nil
