--- a/target/engine.go
+++ b/target/engine.go
@@ -1,5 +1,6 @@
-// Package target speaks to the targets: model engines, which also take
-// orders, and plain services. The interface is described in docs/PLATFORM.md.
+// Package target implements the clients for targets: model engines, which can
+// be ordered to load weights, and plain services. The interface of the targets
+// is described in docs/PLATFORM.md.
 package target
 
 import (
@@ -17,33 +18,33 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// Limits of a call to an engine.
+// Limits of calls to an engine.
 const (
 	statusTimeout = 2 * time.Second
 	chunkTimeout  = 30 * time.Second
 	orderTimeout  = 5 * time.Second
-	maxStatus     = 64 << 10
+	maxStatusSize = 64 << 10 // bytes
 )
 
-// LoadoutHeader is the header in which an engine names the loadout that an
-// answer came from.
+// LoadoutHeader is the response header with the ID of the loadout that produced
+// the response.
 const LoadoutHeader = "X-Engine-Loadout"
 
-// Errors of an engine.
+// Errors returned by Engine.
 var (
 	ErrUnreachable = errors.New("target: engine unreachable")
 	ErrFence       = errors.New("target: order refused, its fence is too old")
 	ErrRefused     = errors.New("target: order refused")
 )
 
-// Loadout is everything an engine is told to hold and be.
+// Loadout is the desired state of an engine: model, adapters and role.
 type Loadout struct {
 	Model    digest.Digest   `json:"model"`
 	Adapters []digest.Digest `json:"adapters,omitempty"`
 	Role     intent.Role     `json:"role"`
 }
 
-// LoadoutOf returns the loadout that a service's engines should have.
+// LoadoutOf returns the loadout for the engines of a service.
 func LoadoutOf(s *intent.Service) Loadout {
 	l := Loadout{Model: s.Model.Manifest, Role: s.Role}
 	for _, a := range s.Adapters {
@@ -52,34 +53,35 @@
 	return l
 }
 
-// ID names a loadout by its content.
+// ID returns the digest of the loadout.
 func (l Loadout) ID() string {
-	b, _ := json.Marshal(l) // plain data: cannot fail
+	b, _ := json.Marshal(l) // cannot fail for these field types
 	return digest.Of(b).String()
 }
 
-// Manifests returns all versions in the loadout, the model first.
+// Manifests returns the manifest digests of the loadout, the model's first.
 func (l Loadout) Manifests() []digest.Digest {
 	return append([]digest.Digest{l.Model}, l.Adapters...)
 }
 
-// EngineStatus is what an engine reports, with a lag.
+// EngineStatus is the status reported by an engine. It may lag behind the
+// actual state.
 type EngineStatus struct {
-	Loadout string `json:"loadout"` // ID of the loadout served, "" if none
+	Loadout string `json:"loadout"` // ID of the loadout being served, or ""
 	Loading bool   `json:"loading"`
-	Fence   uint64 `json:"fence"` // highest fence accepted, 0 if unchecked
+	Fence   uint64 `json:"fence"` // highest fencing token accepted; 0 if the engine does not check them
 	Running int    `json:"running"`
 	Boot    string `json:"boot"` // changes when the engine restarts
 }
 
-// Order tells an engine to load what has been staged.
+// Order is a command to load staged weights.
 type Order struct {
 	Loadout
 	ID    string `json:"id"`
 	Fence uint64 `json:"fence"`
 }
 
-// Engine is a client for one engine.
+// Engine is a client of one engine.
 type Engine struct {
 	base string
 	http httpc.Service
@@ -90,7 +92,7 @@
 	return &Engine{base: base, http: httpclient.New("engine")}
 }
 
-// Status reads the engine's report.
+// Status returns the status reported by the engine.
 func (e *Engine) Status(ctx context.Context) (EngineStatus, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
@@ -99,7 +101,7 @@
 	if err != nil {
 		return st, errors.Wrap(ErrUnreachable, err.Error())
 	}
-	b, err := httpclient.ReadAll(resp, maxStatus)
+	b, err := httpclient.ReadAll(resp, maxStatusSize)
 	if err != nil {
 		return st, errors.Wrap(ErrUnreachable, err.Error())
 	}
@@ -109,14 +111,14 @@
 	return st, nil
 }
 
-// Stage hands a verified chunk of a version to the engine.
+// Stage uploads a verified chunk of a version to the engine.
 func (e *Engine) Stage(ctx context.Context, manifest digest.Digest, index, count int, b []byte) error {
 	url := fmt.Sprintf("%s/v1/engine/chunks/%s/%d?count=%d", e.base, manifest, index, count)
 	return e.send(ctx, http.MethodPut, url, b, chunkTimeout)
 }
 
-// Load gives the order to load. It returns when the engine has accepted it;
-// the engine's status tells when it is done.
+// Load sends a load order. It returns when the engine has accepted the order;
+// the engine's status reports when loading has finished.
 func (e *Engine) Load(ctx context.Context, o Order) error {
 	b, err := json.Marshal(o)
 	if err != nil {
--- a/target/request.go
+++ b/target/request.go
@@ -14,26 +14,27 @@
 
 // Errors of a request to a target.
 var (
-	// ErrNotConnected means that no connection could be made: the request
-	// cannot have run.
+	// ErrNotConnected means that no connection could be established, so the
+	// target did not execute the request.
 	ErrNotConnected = errors.New("target: connection refused")
-	// ErrBroken means that the exchange failed after it had begun.
+	// ErrBroken means that the exchange failed on an established connection,
+	// so the target may have executed the request.
 	ErrBroken = errors.New("target: exchange broken")
 )
 
-// Field is one HTTP header field with one value.
+// Field is an HTTP header field with a single value.
 type Field struct{ Name, Value string }
 
-// Request is one request to pass on.
+// Request is a request to forward to a target.
 type Request struct {
 	Method string
-	URI    string
+	URI    string // path and query
 	Header []Field
-	Body   io.Reader // nil if there is none
-	Length int64     // of the body in bytes; -1 if not known
+	Body   io.Reader // nil for no body
+	Length int64     // length of the body in bytes; -1 if unknown
 }
 
-// Client passes requests on to one target.
+// Client forwards requests to one target.
 type Client struct {
 	base string
 	http httpc.Service
@@ -44,13 +45,13 @@
 	return &Client{base: strings.TrimSuffix(base, "/"), http: httpclient.New("target")}
 }
 
-// Do sends the request and returns the answer with its body unread. The
-// library would send some requests again on a broken idle connection, which
-// could run them twice; Do prevents that.
+// Do sends the request and returns the response with its body unread. The
+// transport of net/http retries some requests if an idle connection turns out
+// to be closed, so the target might execute them twice; Do prevents that.
 func (c *Client) Do(ctx context.Context, r Request) (*http.Response, error) {
-	dialled := false
-	ctx = withConnTrace(ctx, func() { dialled = true })
-	req, err := http.NewRequestWithContext(ctx, r.Method, c.base+r.URI, noReplay(r.Body))
+	connected := false
+	ctx = withConnTrace(ctx, func() { connected = true })
+	req, err := http.NewRequestWithContext(ctx, r.Method, c.base+r.URI, noRetry(r.Body))
 	if err != nil {
 		return nil, errors.Wrap(ErrNotConnected, err.Error())
 	}
@@ -64,17 +65,17 @@
 	switch {
 	case err == nil:
 		return resp, nil
-	case !dialled:
+	case !connected:
 		return nil, errors.Wrap(ErrNotConnected, err.Error())
 	}
 	return nil, errors.Wrap(ErrBroken, err.Error())
 }
 
-// hopHeaders are the fields that concern one connection only (RFC 9110, 7.6.1).
+// hopHeaders are the hop-by-hop header fields (RFC 9110, section 7.6.1).
 var hopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate",
 	"Proxy-Authorization", "Te", "Trailer", "Transfer-Encoding", "Upgrade"}
 
-// EndToEnd returns the header fields that are to be passed on.
+// EndToEnd returns the end-to-end header fields of h, which are to be forwarded.
 func EndToEnd(h http.Header) []Field {
 	drop := map[string]bool{}
 	for _, n := range hopHeaders {
--- a/target/request_test.go
+++ b/target/request_test.go
@@ -13,13 +13,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// A target that breaks idle connections must not make the library send a
-// request twice, whatever its method or headers.
+// The HTTP client must not send a request a second time when the target closes
+// an idle connection, regardless of the method and headers.
 func TestRequestIsSentAtMostOnce(t *testing.T) {
-	var seen atomic.Int64
+	var requests atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/break" {
-			seen.Add(1)
+			requests.Add(1)
 			conn, _, err := w.(http.Hijacker).Hijack()
 			assert.Check(t, err == nil)
 			conn.Close()
@@ -32,18 +32,18 @@
 		{Method: http.MethodPost, URI: "/break", Header: []Field{{"Idempotency-Key", "k"}}},
 		{Method: http.MethodDelete, URI: "/break"},
 	} {
-		seen.Store(0)
+		requests.Store(0)
 		resp, err := c.Do(context.Background(), Request{Method: http.MethodGet, URI: "/"})
 		assert.NilError(t, err)
 		_, _ = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close() // leaves an idle connection
 		_, err = c.Do(context.Background(), r)
 		assert.ErrorIs(t, err, ErrBroken)
-		assert.Equal(t, seen.Load(), int64(1), r.Method)
+		assert.Equal(t, requests.Load(), int64(1), r.Method)
 	}
 }
 
-func TestRefusedConnectionIsNotRun(t *testing.T) {
+func TestRefusedConnectionReturnsErrNotConnected(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	ln.Close()
@@ -63,7 +63,7 @@
 	assert.Assert(t, Fence(5, late) > Fence(5, early))
 }
 
-func TestLoadoutIDFollowsItsContent(t *testing.T) {
+func TestLoadoutIDDependsOnContent(t *testing.T) {
 	a := Loadout{Role: "mixed"}
 	b := Loadout{Role: "decode"}
 	assert.Assert(t, a.ID() != b.ID())
--- a/target/trace.go
+++ b/target/trace.go
@@ -7,23 +7,24 @@
 	"strings"
 )
 
-// withConnTrace calls got once a connection for the request exists. Before
-// that, no byte of the request can have reached the target.
-func withConnTrace(ctx context.Context, got func()) context.Context {
+// withConnTrace returns a context that makes the transport call onConn when it
+// has a connection for the request. Until then, no byte of the request has been
+// sent to the target.
+func withConnTrace(ctx context.Context, onConn func()) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: func(httptrace.GotConnInfo) { got() },
+		GotConn: func(httptrace.GotConnInfo) { onConn() },
 	})
 }
 
-// onceBody is a body that cannot be rewound. net/http resends a request on a
-// fresh connection only if the body is absent or can be rewound.
+// onceBody is a body that cannot be rewound. The transport of net/http retries a
+// request on a new connection only if the body is absent or can be rewound.
 type onceBody struct{ r io.Reader }
 
 func (b *onceBody) Read(p []byte) (int, error) { return b.r.Read(p) }
 
-// noReplay wraps a body, or stands for an empty one, so that the request is
-// sent at most once.
-func noReplay(r io.Reader) io.Reader {
+// noRetry wraps a body, or an empty one for nil, so that the request is sent at
+// most once.
+func noRetry(r io.Reader) io.Reader {
 	if r == nil {
 		r = strings.NewReader("")
 	}
