--- a/target/request.go
+++ b/target/request.go
@@ -16,10 +16,10 @@
 var (
 	// ErrNotConnected means that no connection could be established, so the
 	// target did not execute the request.
-	ErrNotConnected = errors.New("target: connection refused")
+	ErrNotConnected = errors.New("target: connection failed")
 	// ErrBroken means that the exchange failed on an established connection,
 	// so the target may have executed the request.
-	ErrBroken = errors.New("target: exchange broken")
+	ErrBroken = errors.New("target: exchange failed")
 )
 
 // Field is an HTTP header field with a single value.
--- a/target/request_test.go
+++ b/target/request_test.go
@@ -59,7 +59,7 @@
 func TestFenceOrder(t *testing.T) {
 	early, late := Incarnation(time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)), Incarnation(time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC))
 	assert.Assert(t, early < late)
-	assert.Assert(t, Fence(6, early) > Fence(5, late), "an older intent is lower, whoever gives the order")
+	assert.Assert(t, Fence(6, early) > Fence(5, late), "an older revision must have a lower token, regardless of the incarnation")
 	assert.Assert(t, Fence(5, late) > Fence(5, early))
 }
 
