--- a/target/engine.go
+++ b/target/engine.go
@@ -33,7 +33,7 @@
 // Errors returned by Engine.
 var (
 	ErrUnreachable = errors.New("target: engine unreachable")
-	ErrFence       = errors.New("target: order refused: fencing token is too low")
+	ErrStaleFence       = errors.New("target: order refused: fencing token is too low")
 	ErrRefused     = errors.New("target: order refused")
 )
 
@@ -143,7 +143,7 @@
 	case resp.StatusCode < http.StatusMultipleChoices:
 		return nil
 	case resp.StatusCode == http.StatusPreconditionFailed:
-		return ErrFence
+		return ErrStaleFence
 	}
 	return errors.Wrapf(ErrRefused, "status %d", resp.StatusCode)
 }
