--- a/target/request.go
+++ b/target/request.go
@@ -17,9 +17,9 @@
 	// ErrNotConnected means that no connection could be established, so the
 	// target did not execute the request.
 	ErrNotConnected = errors.New("target: connection failed")
-	// ErrBroken means that the exchange failed on an established connection,
+	// ErrExchangeFailed means that the exchange failed on an established connection,
 	// so the target may have executed the request.
-	ErrBroken = errors.New("target: exchange failed")
+	ErrExchangeFailed = errors.New("target: exchange failed")
 )
 
 // Field is an HTTP header field with a single value.
@@ -68,7 +68,7 @@
 	case !connected:
 		return nil, errors.Wrap(ErrNotConnected, err.Error())
 	}
-	return nil, errors.Wrap(ErrBroken, err.Error())
+	return nil, errors.Wrap(ErrExchangeFailed, err.Error())
 }
 
 // hopHeaders are the hop-by-hop header fields (RFC 9110, section 7.6.1).
--- a/target/request_test.go
+++ b/target/request_test.go
@@ -38,7 +38,7 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		resp.Body.Close() // leaves an idle connection
 		_, err = c.Do(context.Background(), r)
-		assert.ErrorIs(t, err, ErrBroken)
+		assert.ErrorIs(t, err, ErrExchangeFailed)
 		assert.Equal(t, requests.Load(), int64(1), r.Method)
 	}
 }
