--- a/target/engine.go
+++ b/target/engine.go
@@ -33,7 +33,7 @@
 // Errors returned by Engine.
 var (
 	ErrUnreachable = errors.New("target: engine unreachable")
-	ErrStaleFence       = errors.New("target: order refused: fencing token is too low")
+	ErrStaleFence  = errors.New("target: order refused: fencing token is too low")
 	ErrRefused     = errors.New("target: order refused")
 )
 
