--- a/targetconn/exchange.go
+++ b/targetconn/exchange.go
@@ -15,8 +15,8 @@
 // Errors of an exchange. After any of them the target may have executed the
 // request.
 var (
-	ErrSend    = errors.New("targetconn: request not sent completely")
-	ErrNoReply = errors.New("targetconn: no response")
+	ErrSend            = errors.New("targetconn: request not sent completely")
+	ErrNoReply         = errors.New("targetconn: no response")
 	ErrInvalidResponse = errors.New("targetconn: invalid response")
 )
 
