--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func call(target string, header ...string) *http.Request {
+func newRequest(target string, header ...string) *http.Request {
 	r := httptest.NewRequest(http.MethodPost, target, nil)
 	for i := 0; i < len(header); i += 2 {
 		r.Header.Add(header[i], header[i+1])
@@ -24,14 +24,14 @@
 		r    *http.Request
 		want Request
 	}{
-		{call("/assistant/v1/x?y=1"), Request{Service: "assistant", URI: "/v1/x?y=1", Repeatable: true, Urgency: 3}},
-		{call("/assistant"), Request{Service: "assistant", URI: "/", Repeatable: true, Urgency: 3}},
-		{call("/assistant?y=1"), Request{Service: "assistant", URI: "/?y=1", Repeatable: true, Urgency: 3}},
-		{call("/a%2Fb/c", HeaderService, "s"), Request{Service: "s", URI: "/a%2Fb/c", Repeatable: true, Urgency: 3}},
-		{call("/", HeaderService, "s", HeaderRepeatable, "no", HeaderTeam, "t", HeaderTimeout, "30s", HeaderPriority, "u=1, i"),
+		{newRequest("/assistant/v1/x?y=1"), Request{Service: "assistant", URI: "/v1/x?y=1", Repeatable: true, Urgency: 3}},
+		{newRequest("/assistant"), Request{Service: "assistant", URI: "/", Repeatable: true, Urgency: 3}},
+		{newRequest("/assistant?y=1"), Request{Service: "assistant", URI: "/?y=1", Repeatable: true, Urgency: 3}},
+		{newRequest("/a%2Fb/c", HeaderService, "s"), Request{Service: "s", URI: "/a%2Fb/c", Repeatable: true, Urgency: 3}},
+		{newRequest("/", HeaderService, "s", HeaderRepeatable, "no", HeaderTeam, "t", HeaderTimeout, "30s", HeaderPriority, "u=1, i"),
 			Request{Service: "s", Team: "t", URI: "/", Urgency: 1, Timeout: 30 * time.Second}},
-		{call("/", HeaderService, "s", HeaderKey, `"abc"`), Request{Service: "s", URI: "/", Key: "abc", Repeatable: true, Urgency: 3}},
-		{call("/", HeaderService, "s", HeaderPriority, "u=99"), Request{Service: "s", URI: "/", Repeatable: true, Urgency: 3}},
+		{newRequest("/", HeaderService, "s", HeaderKey, `"abc"`), Request{Service: "s", URI: "/", Key: "abc", Repeatable: true, Urgency: 3}},
+		{newRequest("/", HeaderService, "s", HeaderPriority, "u=99"), Request{Service: "s", URI: "/", Repeatable: true, Urgency: 3}},
 	}
 	for _, c := range cases {
 		got, err := Parse(c.r)
@@ -40,12 +40,12 @@
 	}
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidHeaders(t *testing.T) {
 	for _, h := range [][]string{
 		{HeaderRepeatable, "maybe"}, {HeaderTimeout, "5"}, {HeaderTimeout, "-1s"}, {HeaderTimeout, "2h"},
 		{HeaderKey, ""}, {HeaderTeam, "a b"}, {HeaderTeam, "a", HeaderTeam, "b"}, {HeaderService, "\xff"},
 	} {
-		_, err := Parse(call("/s", h...))
+		_, err := Parse(newRequest("/s", h...))
 		assert.ErrorIs(t, err, ErrHeader, "%q", h)
 		assert.ErrorContains(t, err, h[0])
 	}
@@ -60,7 +60,7 @@
 		assert.Equal(t, w.Header().Get(HeaderOutcome), string(i.Outcome))
 		assert.Equal(t, w.Header().Get(HeaderReason), string(i.Reason))
 		want := "2"
-		if !worthRepeating(i.Status) {
+		if !retryable(i.Status) {
 			want = ""
 		}
 		assert.Equal(t, w.Header().Get("Retry-After"), want, "%s", i.Reason)
--- a/caller/problem.go
+++ b/caller/problem.go
@@ -10,13 +10,14 @@
 	"github.com/springgate/springgate/outcome"
 )
 
-// ProblemType is the media type of RFC 9457.
+// ProblemType is the media type of problem documents (RFC 9457).
 const ProblemType = "application/problem+json"
 
 // problemBase is the prefix of the problem type URIs.
 const problemBase = "https://springgate.example/reasons/"
 
-// Problem is a problem document (RFC 9457) with our extension members.
+// Problem is a problem document (RFC 9457). Outcome, Reason, RequestID and
+// RetryAfter are extension members.
 type Problem struct {
 	Type       string          `json:"type"`
 	Title      string          `json:"title"`
@@ -28,7 +29,7 @@
 	RetryAfter int             `json:"retry_after_s,omitempty"`
 }
 
-// Refusal is the final answer to a request that did not complete.
+// Refusal describes the response to a request that did not complete.
 type Refusal struct {
 	Outcome    outcome.Outcome
 	Reason     outcome.Reason
@@ -37,14 +38,14 @@
 	Detail     string
 }
 
-// WriteProblem answers with a problem document.
+// WriteProblem responds with a problem document.
 func WriteProblem(w http.ResponseWriter, r Refusal) {
 	info := outcome.Lookup(r.Reason)
-	if !worthRepeating(info.Status) {
+	if !retryable(info.Status) {
 		r.RetryAfter = 0
 	}
 	p := Problem{Type: problemBase + string(r.Reason), Title: info.Text, Status: info.Status, Detail: r.Detail,
-		Outcome: r.Outcome, Reason: r.Reason, RequestID: r.RequestID, RetryAfter: wholeSeconds(r.RetryAfter)}
+		Outcome: r.Outcome, Reason: r.Reason, RequestID: r.RequestID, RetryAfter: ceilSeconds(r.RetryAfter)}
 	h := w.Header()
 	h.Set("Content-Type", ProblemType)
 	h.Set(HeaderOutcome, string(r.Outcome))
@@ -53,11 +54,12 @@
 		h.Set("Retry-After", strconv.Itoa(p.RetryAfter))
 	}
 	w.WriteHeader(info.Status)
-	_ = json.NewEncoder(w).Encode(p) // the caller may be gone
+	_ = json.NewEncoder(w).Encode(p) // the caller may have disconnected
 }
 
-// worthRepeating is false for answers that the same request would get again.
-func worthRepeating(status int) bool {
+// retryable reports whether the same request may succeed later, so that a
+// Retry-After field makes sense.
+func retryable(status int) bool {
 	switch status {
 	case http.StatusConflict, http.StatusTooManyRequests, http.StatusBadGateway,
 		http.StatusServiceUnavailable, http.StatusGatewayTimeout:
@@ -66,4 +68,4 @@
 	return false
 }
 
-func wholeSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
+func ceilSeconds(d time.Duration) int { return int(math.Ceil(d.Seconds())) }
--- a/caller/request.go
+++ b/caller/request.go
@@ -1,6 +1,6 @@
-// Package caller is the HTTP interface towards callers: it reads requests and
-// writes answers and problem documents. The interface is described in
-// docs/API.md.
+// Package caller implements the HTTP interface for callers: it parses the
+// headers of requests and writes problem documents. The interface is described
+// in docs/API.md.
 package caller
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// Request headers. Those with our prefix have no standard equivalent.
+// Request headers. Those with the prefix Springgate have no standard equivalent.
 const (
 	HeaderService    = "Springgate-Service"
 	HeaderTeam       = "Springgate-Team"
@@ -23,7 +23,7 @@
 	HeaderPriority   = "Priority" // RFC 9218
 )
 
-// Answer headers.
+// Response headers.
 const (
 	HeaderOutcome   = "Springgate-Outcome"
 	HeaderReason    = "Springgate-Reason"
@@ -33,30 +33,30 @@
 	HeaderReplayed  = "Springgate-Replayed"
 )
 
-// Bounds of header values.
+// Limits and defaults of header values.
 const (
-	maxValue       = 255
+	maxValueLength = 255 // bytes
 	maxTimeout     = time.Hour
-	defaultUrgency = 3
+	defaultUrgency = 3 // RFC 9218, section 4.1
 	maxUrgency     = 7
 )
 
-// Request is what the headers and the path of a call say.
+// Request holds the parameters in the headers and the path of a request.
 type Request struct {
 	Service    string
 	Team       string
-	URI        string // path and query as the target sees them
+	URI        string // path and query sent to the target
 	Key        string
 	Repeatable bool
 	Urgency    int
-	Timeout    time.Duration // 0 if the caller names none
+	Timeout    time.Duration // 0 if not set by the caller
 }
 
-// ErrHeader is the cause of every refused header.
+// ErrHeader is wrapped by all errors of Parse.
 var ErrHeader = errors.New("caller: invalid header")
 
-// Parse reads a call. The service is named by its header, or else by the
-// first element of the path, which is then not passed on.
+// Parse parses a request. The service is taken from its header or, if that is
+// missing, from the first path segment, which is then removed from the URI.
 func Parse(r *http.Request) (Request, error) {
 	req := Request{URI: r.URL.RequestURI(), Repeatable: true, Urgency: defaultUrgency}
 	p := headerParser{h: r.Header}
@@ -75,7 +75,7 @@
 	return req, nil
 }
 
-// splitPath takes the first element off a request URI.
+// splitPath splits the first path segment off a request URI.
 func splitPath(uri string) (service, rest string) {
 	trimmed := strings.TrimPrefix(uri, "/")
 	end := strings.IndexAny(trimmed, "/?")
@@ -89,7 +89,7 @@
 	return trimmed[:end], rest
 }
 
-// headerParser reads header fields and keeps the first error.
+// headerParser parses header fields and records the first error.
 type headerParser struct {
 	h   http.Header
 	err error
@@ -101,7 +101,7 @@
 	}
 }
 
-// single returns the only value of a field.
+// single returns the value of a field that may occur at most once.
 func (p *headerParser) single(name string) string {
 	vs := p.h.Values(name)
 	if len(vs) > 1 {
@@ -112,7 +112,7 @@
 		return ""
 	}
 	v := strings.TrimSpace(vs[0])
-	if len(v) > maxValue || !utf8.ValidString(v) {
+	if len(v) > maxValueLength || !utf8.ValidString(v) {
 		p.fail(name, v, "at most 255 bytes of text")
 		return ""
 	}
@@ -128,7 +128,7 @@
 	return v
 }
 
-// key reads an Idempotency-Key, which may stand in quotes.
+// key parses the Idempotency-Key field, whose value may be quoted.
 func (p *headerParser) key() string {
 	v := p.single(HeaderKey)
 	if len(v) >= 2 && v[0] == '"' && v[len(v)-1] == '"' {
@@ -165,8 +165,8 @@
 	return d
 }
 
-// urgency reads the parameter u of RFC 9218. As the RFC asks, what cannot be
-// understood is ignored.
+// urgency parses the urgency parameter u of the Priority field. As RFC 9218
+// requires, values that cannot be parsed are ignored.
 func (p *headerParser) urgency() int {
 	for _, v := range p.h.Values(HeaderPriority) {
 		for _, part := range strings.Split(v, ",") {
