--- a/caller/caller_test.go
+++ b/caller/caller_test.go
@@ -30,7 +30,7 @@
 		{newRequest("/a%2Fb/c", HeaderService, "s"), Request{Service: "s", URI: "/a%2Fb/c", Repeatable: true, Urgency: 3}},
 		{newRequest("/", HeaderService, "s", HeaderRepeatable, "no", HeaderTeam, "t", HeaderTimeout, "30s", HeaderPriority, "u=1, i"),
 			Request{Service: "s", Team: "t", URI: "/", Urgency: 1, Timeout: 30 * time.Second}},
-		{newRequest("/", HeaderService, "s", HeaderKey, `"abc"`), Request{Service: "s", URI: "/", Key: "abc", Repeatable: true, Urgency: 3}},
+		{newRequest("/", HeaderService, "s", HeaderIdempotencyKey, `"abc"`), Request{Service: "s", URI: "/", Key: "abc", Repeatable: true, Urgency: 3}},
 		{newRequest("/", HeaderService, "s", HeaderPriority, "u=99"), Request{Service: "s", URI: "/", Repeatable: true, Urgency: 3}},
 	}
 	for _, c := range cases {
@@ -43,7 +43,7 @@
 func TestParseRejectsInvalidHeaders(t *testing.T) {
 	for _, h := range [][]string{
 		{HeaderRepeatable, "maybe"}, {HeaderTimeout, "5"}, {HeaderTimeout, "-1s"}, {HeaderTimeout, "2h"},
-		{HeaderKey, ""}, {HeaderTeam, "a b"}, {HeaderTeam, "a", HeaderTeam, "b"}, {HeaderService, "\xff"},
+		{HeaderIdempotencyKey, ""}, {HeaderTeam, "a b"}, {HeaderTeam, "a", HeaderTeam, "b"}, {HeaderService, "\xff"},
 	} {
 		_, err := Parse(newRequest("/s", h...))
 		assert.ErrorIs(t, err, ErrHeader, "%q", h)
@@ -80,7 +80,7 @@
 		r.Header[HeaderRepeatable] = []string{repeatable}
 		r.Header[HeaderTimeout] = []string{timeout}
 		r.Header[HeaderPriority] = []string{priority}
-		r.Header[HeaderKey] = []string{key}
+		r.Header[HeaderIdempotencyKey] = []string{key}
 		req, err := Parse(r)
 		if err != nil {
 			return
--- a/caller/request.go
+++ b/caller/request.go
@@ -19,7 +19,7 @@
 	HeaderTeam       = "Springgate-Team"
 	HeaderRepeatable = "Springgate-Repeatable"
 	HeaderTimeout    = "Springgate-Timeout"
-	HeaderKey        = "Idempotency-Key"
+	HeaderIdempotencyKey        = "Idempotency-Key"
 	HeaderPriority   = "Priority" // RFC 9218
 )
 
@@ -130,12 +130,12 @@
 
 // key parses the Idempotency-Key field, whose value may be quoted.
 func (p *headerParser) key() string {
-	v := p.single(HeaderKey)
+	v := p.single(HeaderIdempotencyKey)
 	if len(v) >= 2 && v[0] == '"' && v[len(v)-1] == '"' {
 		v = v[1 : len(v)-1]
 	}
-	if len(p.h.Values(HeaderKey)) > 0 && v == "" {
-		p.fail(HeaderKey, v, "a UUID of version 7")
+	if len(p.h.Values(HeaderIdempotencyKey)) > 0 && v == "" {
+		p.fail(HeaderIdempotencyKey, v, "a UUID of version 7")
 	}
 	return v
 }
--- a/demo/load.go
+++ b/demo/load.go
@@ -113,7 +113,7 @@
 	if !c.repeatable {
 		r.Header.Set(caller.HeaderRepeatable, "no")
 		if keyed {
-			r.Header.Set(caller.HeaderKey, uuid.Must(uuid.NewV7()).String())
+			r.Header.Set(caller.HeaderIdempotencyKey, uuid.Must(uuid.NewV7()).String())
 		}
 	}
 	return r, nil
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -250,7 +250,7 @@
 		assert.Equal(t, a.problem.Outcome, outcome.NotRun)
 	}
 	assert.Equal(t, f.call("nothing", "c").problem.Reason, outcome.NoService)
-	assert.Equal(t, f.call("plain", "c", caller.HeaderKey, "opaque").problem.Reason, outcome.KeyInvalid)
+	assert.Equal(t, f.call("plain", "c", caller.HeaderIdempotencyKey, "opaque").problem.Reason, outcome.KeyInvalid)
 	assert.Equal(t, f.runs.Count("c"), 0)
 }
 
@@ -261,9 +261,9 @@
 	var key string
 	f.waitFor("an idempotency key is accepted", func() bool { // once the agents know its home hosts for a full key window
 		key = newKey()
-		return f.call("plain", key, caller.HeaderKey, key, caller.HeaderRepeatable, "no").status == http.StatusOK
+		return f.call("plain", key, caller.HeaderIdempotencyKey, key, caller.HeaderRepeatable, "no").status == http.StatusOK
 	})
-	a := f.call("plain", key, caller.HeaderKey, key, caller.HeaderRepeatable, "no")
+	a := f.call("plain", key, caller.HeaderIdempotencyKey, key, caller.HeaderRepeatable, "no")
 	assert.Equal(t, a.header.Get(caller.HeaderReplayed), "yes", "%d %+v", a.status, a.problem)
 	assert.Equal(t, a.body, key+" POST /x?tokens=5 body")
 	assert.Equal(t, f.runs.Count(key), 1)
@@ -275,7 +275,7 @@
 	f.startAgent(h)
 	f.publishHosts()
 	f.waitFor("the restarted agent rejects the key as too old", func() bool {
-		return f.call("plain", key, caller.HeaderKey, key, caller.HeaderRepeatable, "no").problem.Reason == outcome.KeyTooOld
+		return f.call("plain", key, caller.HeaderIdempotencyKey, key, caller.HeaderRepeatable, "no").problem.Reason == outcome.KeyTooOld
 	})
 	assert.Equal(t, f.runs.Count(key), 1)
 }
