--- a/caller/request.go
+++ b/caller/request.go
@@ -15,12 +15,12 @@
 
 // Request headers. Those with the prefix Springgate have no standard equivalent.
 const (
-	HeaderService    = "Springgate-Service"
-	HeaderTeam       = "Springgate-Team"
-	HeaderRepeatable = "Springgate-Repeatable"
-	HeaderTimeout    = "Springgate-Timeout"
-	HeaderIdempotencyKey        = "Idempotency-Key"
-	HeaderPriority   = "Priority" // RFC 9218
+	HeaderService        = "Springgate-Service"
+	HeaderTeam           = "Springgate-Team"
+	HeaderRepeatable     = "Springgate-Repeatable"
+	HeaderTimeout        = "Springgate-Timeout"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderPriority       = "Priority" // RFC 9218
 )
 
 // Response headers.
