--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -49,7 +49,7 @@
 	host        membership.Member   // of the current attempt
 	endpoint    *routing.Endpoint   // nil for the home host of an idempotency key
 	incarnation uint64              // incarnation of that host's agent
-	tried       []string            // hosts that were sent an attempt
+	tried       []string            // hosts selected so far, excluded from further selection
 	stream      *peer.Stream        // of the current attempt
 	bodyErr     chan outcome.Reason // failure to read the request body
 	lastMessage peer.Message        // last message received, to be forwarded
--- a/entry/targets.go
+++ b/entry/targets.go
@@ -106,7 +106,8 @@
 	return out
 }
 
-// listedHosts returns the hosts of a service that are in the host list and not gone.
+// listedHosts returns the hosts of a service that are in the host list and not
+// gone.
 func listedHosts(s *control.Snapshot, svc *intent.Service) []routing.Node {
 	var out []routing.Node
 	for _, h := range svc.Hosts {
