--- a/targetconn/exchange_test.go
+++ b/targetconn/exchange_test.go
@@ -166,7 +166,7 @@
 	assert.Equal(t, requests.Load(), int64(2))
 }
 
-func TestIncompleteResponses(t *testing.T) {
+func TestInvalidResponses(t *testing.T) {
 	for name, raw := range map[string]string{
 		"truncated body":           "HTTP/1.1 200 OK\r\nTest-Id: a\r\nContent-Length: 100\r\n\r\nshort",
 		"truncated chunk":          "HTTP/1.1 200 OK\r\nTest-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
