--- a/target/request.go
+++ b/target/request.go
@@ -17,8 +17,8 @@
 	// ErrNotConnected means that no connection could be established, so the
 	// target did not execute the request.
 	ErrNotConnected = errors.New("target: connection failed")
-	// ErrExchangeFailed means that the exchange failed on an established connection,
-	// so the target may have executed the request.
+	// ErrExchangeFailed means that the exchange failed on an established
+	// connection, so the target may have executed the request.
 	ErrExchangeFailed = errors.New("target: exchange failed")
 )
 
