--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -44,10 +44,10 @@
 	onEntryLost   func(addr string)
 	table         *mirror.Table // nil at agents
 	metrics       metrics.Registry
-	startedAt     time.Time         // zero of the clock that is sent to others
-	sourceChanges metrics.Counter   // of the own copy
-	store         *mirror.MonitoredStore   // set by NewFollower
-	crashes       *quarantine.Table // crash records; nil for none
+	startedAt     time.Time              // zero of the clock that is sent to others
+	sourceChanges metrics.Counter        // of the own copy
+	store         *mirror.MonitoredStore // set by NewFollower
+	crashes       *quarantine.Table      // crash records; nil for none
 	engines       *reportRegistry
 	isSeed        bool // other processes start discovery at this entry
 
