--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -175,7 +175,7 @@
 }
 
 // sent sums up what all processes sent over a border.
-func (c *processes) sent(b peer.Border) (bytes, messages int64) {
+func (c *processes) sent(b peer.Locality) (bytes, messages int64) {
 	for _, m := range c.members {
 		n, k := m.meter.SentAll(b)
 		bytes, messages = bytes+n, messages+k
--- a/peer/conn.go
+++ b/peer/conn.go
@@ -47,7 +47,7 @@
 	nc      net.Conn
 	remote  Hello
 	class   Class
-	border  Border
+	border  Locality
 	meter   *Meter
 	handler Handler
 
--- a/peer/meter.go
+++ b/peer/meter.go
@@ -7,19 +7,19 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// Border tells whether two processes stand in the same failure domain.
-type Border uint8
+// Locality tells whether two processes stand in the same failure domain.
+type Locality uint8
 
 // Borders.
 const (
-	Near Border = iota // the same failure domain
+	Near Locality = iota // the same failure domain
 	Far
 )
 
 // String returns the name of the border in metrics.
-func (b Border) String() string { return [...]string{"near", "far"}[b] }
+func (b Locality) String() string { return [...]string{"near", "far"}[b] }
 
-func borderOf(a, b Hello) Border {
+func borderOf(a, b Hello) Locality {
 	if a.Domain == b.Domain {
 		return Near
 	}
@@ -41,13 +41,13 @@
 func (m *Meter) Bytes(c Class) (in, out int64) { return m.in[c].Load(), m.out[c].Load() }
 
 // Sent returns how many bytes and messages of a kind were sent over a border.
-func (m *Meter) Sent(b Border, k Kind) (bytes, messages int64) {
+func (m *Meter) Sent(b Locality, k Kind) (bytes, messages int64) {
 	t := &m.byKind[b][k]
 	return t.bytes.Load(), t.messages.Load()
 }
 
 // SentAll returns how many bytes and messages of all kinds were sent over a border.
-func (m *Meter) SentAll(b Border) (bytes, messages int64) {
+func (m *Meter) SentAll(b Locality) (bytes, messages int64) {
 	for k := range Kind(kindCount) {
 		n, count := m.Sent(b, k)
 		bytes, messages = bytes+n, messages+count
@@ -56,7 +56,7 @@
 }
 
 // sent counts an encoded frame.
-func (m *Meter) sent(c Class, b Border, frame []byte) {
+func (m *Meter) sent(c Class, b Locality, frame []byte) {
 	n := int64(len(frame))
 	m.out[c].Add(n)
 	t := &m.byKind[b][frame[lengthSize]]
@@ -67,7 +67,7 @@
 // Register adds a gauge of the bytes sent for each kind of message and border.
 func (m *Meter) Register(r metrics.Registry) error {
 	for k := Kind(1); k < kindCount; k++ {
-		for _, b := range []Border{Near, Far} {
+		for _, b := range []Locality{Near, Far} {
 			t := &m.byKind[b][k]
 			name := fmt.Sprintf("peer.sent_bytes.%s.%s", b, kindName(k))
 			if err := r.Register(name, metrics.NewFunctionalGauge(t.bytes.Load)); err != nil {
