--- a/peer/meter.go
+++ b/peer/meter.go
@@ -12,7 +12,7 @@
 
 // Borders.
 const (
-	Near Locality = iota // the same failure domain
+	SameDomain Locality = iota // the same failure domain
 	Far
 )
 
@@ -21,7 +21,7 @@
 
 func borderOf(a, b Hello) Locality {
 	if a.Domain == b.Domain {
-		return Near
+		return SameDomain
 	}
 	return Far
 }
@@ -67,7 +67,7 @@
 // Register adds a gauge of the bytes sent for each kind of message and border.
 func (m *Meter) Register(r metrics.Registry) error {
 	for k := Kind(1); k < kindCount; k++ {
-		for _, b := range []Locality{Near, Far} {
+		for _, b := range []Locality{SameDomain, Far} {
 			t := &m.byKind[b][k]
 			name := fmt.Sprintf("peer.sent_bytes.%s.%s", b, kindName(k))
 			if err := r.Register(name, metrics.NewFunctionalGauge(t.bytes.Load)); err != nil {
--- a/peer/meter_test.go
+++ b/peer/meter_test.go
@@ -32,7 +32,7 @@
 		c.Close()
 		(<-accepted).Close()
 	}
-	nearBytes, near := meter.Sent(Near, kindGetPiece)
+	nearBytes, near := meter.Sent(SameDomain, kindGetPiece)
 	farBytes, far := meter.Sent(Far, kindGetPiece)
 	assert.Equal(t, near, int64(1))
 	assert.Equal(t, far, int64(3))
