--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -319,9 +319,9 @@
 	c := startFleet(members/4, members-members/4)
 	defer c.stop()
 	time.Sleep(4 * time.Second)
-	first, messages = c.sent(peer.Far)
+	first, messages = c.sent(peer.OtherDomain)
 	time.Sleep(4 * time.Second)
-	all, _ := c.sent(peer.Far)
+	all, _ := c.sent(peer.OtherDomain)
 	assert.Equal(t, c.lacking(1), 0)
 	n := int64(members)
 	return first / n, (all - first) / n, messages / n
--- a/peer/meter.go
+++ b/peer/meter.go
@@ -13,7 +13,7 @@
 // Borders.
 const (
 	SameDomain Locality = iota // the same failure domain
-	Far
+	OtherDomain
 )
 
 // String returns the name of the border in metrics.
@@ -23,7 +23,7 @@
 	if a.Domain == b.Domain {
 		return SameDomain
 	}
-	return Far
+	return OtherDomain
 }
 
 // Meter counts the bytes that a process exchanges with others: by class, and what is
@@ -31,7 +31,7 @@
 // traffic together, so what grows there with the fleet has to be seen.
 type Meter struct {
 	in, out [Bulk + 1]atomic.Int64
-	byKind  [Far + 1][kindCount]traffic
+	byKind  [OtherDomain + 1][kindCount]traffic
 }
 
 // traffic is what was sent of one kind of message.
@@ -67,7 +67,7 @@
 // Register adds a gauge of the bytes sent for each kind of message and border.
 func (m *Meter) Register(r metrics.Registry) error {
 	for k := Kind(1); k < kindCount; k++ {
-		for _, b := range []Locality{SameDomain, Far} {
+		for _, b := range []Locality{SameDomain, OtherDomain} {
 			t := &m.byKind[b][k]
 			name := fmt.Sprintf("peer.sent_bytes.%s.%s", b, kindName(k))
 			if err := r.Register(name, metrics.NewFunctionalGauge(t.bytes.Load)); err != nil {
--- a/peer/meter_test.go
+++ b/peer/meter_test.go
@@ -33,11 +33,11 @@
 		(<-accepted).Close()
 	}
 	nearBytes, near := meter.Sent(SameDomain, kindGetPiece)
-	farBytes, far := meter.Sent(Far, kindGetPiece)
+	farBytes, far := meter.Sent(OtherDomain, kindGetPiece)
 	assert.Equal(t, near, int64(1))
 	assert.Equal(t, far, int64(3))
 	assert.Equal(t, farBytes, 3*nearBytes)
-	all, _ := meter.SentAll(Far)
+	all, _ := meter.SentAll(OtherDomain)
 	assert.Assert(t, all >= farBytes)
 
 	r := metrics.NewRegistry()
