--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -95,7 +95,7 @@
 	meter := &peer.Meter{}
 	if f.memory != nil {
 		f.memory.listen(self.Host, self, h)
-		return self.Host, peer.NewPoolOver(f.memory.dial, self, h, meter)
+		return self.Host, peer.NewPoolWithDialer(f.memory.dial, self, h, meter)
 	}
 	srv, err := peer.Listen("127.0.0.1:0", self, h, meter)
 	assert.NilError(t, err)
--- a/mesh/crashes_test.go
+++ b/mesh/crashes_test.go
@@ -88,7 +88,7 @@
 	a := &entry{fleet: all, addr: "agent", frozen: make(chan struct{})}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	a.pool = peer.NewPoolOver(a.dial, peer.Hello{Host: "agent"}, nil, &peer.Meter{})
+	a.pool = peer.NewPoolWithDialer(a.dial, peer.Hello{Host: "agent"}, nil, &peer.Meter{})
 	crashes = quarantine.NewTable()
 	m := New(Options{Self: peer.Presence{Host: "agent", Domain: "a", Engine: "10.2.0.1:8000", Incarnation: 1},
 		Seeds: []string{all.all[0].addr}, Pool: a.pool, Log: log, Crashes: crashes,
--- a/mesh/entries_test.go
+++ b/mesh/entries_test.go
@@ -173,7 +173,7 @@
 	e.table = mirror.NewTable("")
 	e.view = &storeView{store: e.fleet.store, changed: make(chan struct{})}
 	hello := peer.Hello{Host: "host of " + e.addr}
-	e.pool = peer.NewPoolOver(e.dial, hello, e.serve, &peer.Meter{})
+	e.pool = peer.NewPoolWithDialer(e.dial, hello, e.serve, &peer.Meter{})
 	e.crashes = quarantine.NewTable()
 	m := New(Options{Self: peer.Presence{Host: hello.Host, Domain: "a", Addr: e.addr, Incarnation: e.starts},
 		Seeds: []string{e.fleet.all[0].addr}, Pool: e.pool, Listener: e, Table: e.table, Log: log, Crashes: e.crashes})
--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -70,7 +70,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	hello := peer.Hello{Host: m.self.Host, Domain: m.self.Domain}
-	m.pool = peer.NewPoolOver(m.dial, hello, m.serve, m.meter)
+	m.pool = peer.NewPoolWithDialer(m.dial, hello, m.serve, m.meter)
 	o := Options{Self: m.self, Pool: m.pool, Log: log}
 	for _, seed := range m.fleet.members[:3] {
 		o.Seeds = append(o.Seeds, seed.self.Addr)
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -69,11 +69,11 @@
 // NewPool returns a pool whose connections say self, serve streams by h and
 // are counted by meter.
 func NewPool(self Hello, h Handler, meter *Meter) *Pool {
-	return NewPoolOver(dialTCP, self, h, meter)
+	return NewPoolWithDialer(dialTCP, self, h, meter)
 }
 
-// NewPoolOver is NewPool over another network than TCP.
-func NewPoolOver(d Dial, self Hello, h Handler, meter *Meter) *Pool {
+// NewPoolWithDialer is NewPool over another network than TCP.
+func NewPoolWithDialer(d Dial, self Hello, h Handler, meter *Meter) *Pool {
 	return &Pool{self: self, handler: h, meter: meter, dialAddr: d, slots: map[poolKey]*slot{}}
 }
 
--- a/peer/pool_test.go
+++ b/peer/pool_test.go
@@ -58,7 +58,7 @@
 
 func TestClosedPoolDialsNoMore(t *testing.T) {
 	n := &memoryNet{}
-	p := NewPoolOver(n.dial, Hello{Host: "c"}, nil, &Meter{})
+	p := NewPoolWithDialer(n.dial, Hello{Host: "c"}, nil, &Meter{})
 	_, err := p.Get(t.Context(), "a", Control)
 	assert.NilError(t, err)
 	p.Close()
@@ -78,7 +78,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := &memoryNet{}
-			p := NewPoolOver(n.dial, Hello{Host: "c"}, nil, &Meter{})
+			p := NewPoolWithDialer(n.dial, Hello{Host: "c"}, nil, &Meter{})
 			for range rounds {
 				_, err := p.Get(t.Context(), "a", Control)
 				assert.NilError(t, err)
@@ -100,7 +100,7 @@
 // A caller that was dialling when the pool was closed leaves no connection behind.
 func TestPoolClosedWhileItDials(t *testing.T) {
 	n := &memoryNet{held: make(chan struct{})}
-	p := NewPoolOver(n.dial, Hello{Host: "c"}, nil, &Meter{})
+	p := NewPoolWithDialer(n.dial, Hello{Host: "c"}, nil, &Meter{})
 	const callers = 8
 	var all sync.WaitGroup
 	for range callers {
