--- a/peer/pool.go
+++ b/peer/pool.go
@@ -46,8 +46,8 @@
 	conn *Conn
 }
 
-// Dial opens a connection to a process's peer listener.
-type Dial func(ctx context.Context, addr string) (net.Conn, error)
+// DialFunc opens a connection to a process's peer listener.
+type DialFunc func(ctx context.Context, addr string) (net.Conn, error)
 
 // dialTCP gives up after dialTimeout and notices a silent peer.
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
@@ -59,7 +59,7 @@
 	self     Hello
 	handler  Handler
 	meter    *Meter
-	dialAddr Dial
+	dialAddr DialFunc
 
 	mu     sync.Mutex
 	slots  map[poolKey]*slot
@@ -73,7 +73,7 @@
 }
 
 // NewPoolWithDialer is NewPool over another network than TCP.
-func NewPoolWithDialer(d Dial, self Hello, h Handler, meter *Meter) *Pool {
+func NewPoolWithDialer(d DialFunc, self Hello, h Handler, meter *Meter) *Pool {
 	return &Pool{self: self, handler: h, meter: meter, dialAddr: d, slots: map[poolKey]*slot{}}
 }
 
