--- a/peer/conn.go
+++ b/peer/conn.go
@@ -33,7 +33,7 @@
 	ErrConnLost  = errors.New("peer: connection lost")
 	ErrReset     = errors.New("peer: stream reset by the other side")
 	ErrProtocol  = errors.New("peer: protocol version not supported")
-	ErrViolation = errors.New("peer: flow control violated")
+	ErrFlowControl = errors.New("peer: flow control violated")
 )
 
 // Handler serves a stream that the other side opened. ctx ends with the
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -52,7 +52,7 @@
 	case s.in <- f:
 		return nil
 	default:
-		return ErrViolation
+		return ErrFlowControl
 	}
 }
 
