--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -340,8 +340,8 @@
 			far = append(far, p)
 		}
 	}
-	out := membership.Rank(key, addrsOf(peer.Fast(near)), n)
-	return append(out, membership.Rank(key, addrsOf(peer.Fast(far)), n-len(out))...)
+	out := membership.Rank(key, addrsOf(peer.FastLinks(near)), n)
+	return append(out, membership.Rank(key, addrsOf(peer.FastLinks(far)), n-len(out))...)
 }
 
 func addrsOf(list []peer.Presence) []string {
--- a/mesh/reach.go
+++ b/mesh/reach.go
@@ -55,7 +55,7 @@
 		all[i] = c.Presence
 	}
 	fast := map[string]bool{}
-	for _, p := range peer.Fast(all) {
+	for _, p := range peer.FastLinks(all) {
 		fast[p.Addr] = true
 	}
 	var out []string
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -37,9 +37,9 @@
 // bulk traffic.
 const FastShare = 0.5
 
-// Fast returns the hosts that should carry bulk traffic: those whose links are
+// FastLinks returns the hosts that should carry bulk traffic: those whose links are
 // not much slower than the fastest. The others need theirs for live requests.
-func Fast(list []Presence) []Presence {
+func FastLinks(list []Presence) []Presence {
 	most := 0.0
 	for _, p := range list {
 		most = max(most, p.LinkMbps)
--- a/weights/sources.go
+++ b/weights/sources.go
@@ -58,7 +58,7 @@
 		}
 	}
 	var addrs []string
-	for _, e := range peer.Fast(list) {
+	for _, e := range peer.FastLinks(list) {
 		addrs = append(addrs, e.Addr)
 	}
 	return membership.First(key, addrs)
