--- a/mesh/follow.go
+++ b/mesh/follow.go
@@ -193,6 +193,6 @@
 		}
 	}
 	return membership.First(headKey, addrsOfVoters(from, func(v voter) bool {
-		return own(v) && !v.failing && v.linkMbps >= peer.FastShare*most
+		return own(v) && !v.failing && v.linkMbps >= peer.FastLinkRatio*most
 	}))
 }
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -33,9 +33,9 @@
 // Kind implements Message.
 func (*Presence) Kind() Kind { return kindPresence }
 
-// FastShare is the part of the fastest link's rate from which on a host carries
+// FastLinkRatio is the part of the fastest link's rate from which on a host carries
 // bulk traffic.
-const FastShare = 0.5
+const FastLinkRatio = 0.5
 
 // FastLinks returns the hosts that should carry bulk traffic: those whose links are
 // not much slower than the fastest. The others need theirs for live requests.
@@ -46,7 +46,7 @@
 	}
 	var out []Presence
 	for _, p := range list {
-		if p.LinkMbps >= FastShare*most {
+		if p.LinkMbps >= FastLinkRatio*most {
 			out = append(out, p)
 		}
 	}
