--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -129,9 +129,9 @@
 
 // storeContact returns the revision of the own copy, and what the own calls to
 // the store say of it.
-func (m *Mesh) storeContact(now time.Time) (int64, peer.StoreContact) {
+func (m *Mesh) storeContact(now time.Time) (int64, peer.StoreStatus) {
 	at, revision := m.table.Read()
-	c := peer.StoreContact{Known: !at.IsZero(), Failing: m.failing(), ClockMs: now.Sub(m.made).Milliseconds()}
+	c := peer.StoreStatus{Known: !at.IsZero(), Failing: m.failing(), ClockMs: now.Sub(m.made).Milliseconds()}
 	if c.Known {
 		c.AgeMs = milliseconds(now.Sub(at))
 	}
--- a/mesh/role_test.go
+++ b/mesh/role_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func contactOf(age time.Duration) peer.StoreContact {
-	return peer.StoreContact{Known: true, AgeMs: age.Milliseconds()}
+func contactOf(age time.Duration) peer.StoreStatus {
+	return peer.StoreStatus{Known: true, AgeMs: age.Milliseconds()}
 }
 
 // A copy is confirmed by who saw the store itself, and only if it has all that
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -15,11 +15,11 @@
 	Leaving     bool
 	// LinkMbps is the rate of the host's link; 0 if not known.
 	LinkMbps float64
-	Store    StoreContact
+	Store    StoreStatus
 }
 
-// StoreContact is what an entry says of its own calls to the store.
-type StoreContact struct {
+// StoreStatus is what an entry says of its own calls to the store.
+type StoreStatus struct {
 	// Known is true if one has worked. AgeMs is then how long before ClockMs the
 	// store was seen, at most; it had nothing beyond the Revision that the entry
 	// tells with this.
@@ -70,7 +70,7 @@
 	Full     bool  // all targets; otherwise those that changed
 	Leaving  bool  // the entry is leaving
 	Revision int64 // how far its copy of the store reaches
-	Store    StoreContact
+	Store    StoreStatus
 	Digest   uint64 // of its copy at Revision; 0 if not told
 	Targets  []TargetLoad
 	// CrashDigest is of what the entry knows of requests under which targets ended; 0 if
