--- a/mesh/members.go
+++ b/mesh/members.go
@@ -170,9 +170,9 @@
 	if old != nil && old.Incarnation == p.Incarnation {
 		x.clock = old.clock
 	}
-	x.clock = x.clock.heard(now, fromMilliseconds(p.Store.ClockMs))
+	x.clock = x.clock.heard(now, fromMilliseconds(p.Store.UptimeMs))
 	if p.Store.Known {
-		x.storeAt = x.clock.at(fromMilliseconds(p.Store.ClockMs - p.Store.AgeMs))
+		x.storeAt = x.clock.at(fromMilliseconds(p.Store.UptimeMs - p.Store.AgeMs))
 	}
 	m.byAddr[p.Addr] = x
 	return isNew && !p.Leaving
--- a/mesh/members_test.go
+++ b/mesh/members_test.go
@@ -96,7 +96,7 @@
 // accountAt is an account in which the store was seen at the moment it was written.
 func accountAt(clock time.Duration) peer.Presence {
 	p := presence("b:1", 1, 7)
-	p.Store = peer.StoreStatus{Known: true, ClockMs: clock.Milliseconds()}
+	p.Store = peer.StoreStatus{Known: true, UptimeMs: clock.Milliseconds()}
 	return p
 }
 
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -131,7 +131,7 @@
 // the store say of it.
 func (m *Mesh) storeContact(now time.Time) (int64, peer.StoreStatus) {
 	at, revision := m.table.Read()
-	c := peer.StoreStatus{Known: !at.IsZero(), Failing: m.failing(), ClockMs: now.Sub(m.made).Milliseconds()}
+	c := peer.StoreStatus{Known: !at.IsZero(), Failing: m.failing(), UptimeMs: now.Sub(m.made).Milliseconds()}
 	if c.Known {
 		c.AgeMs = milliseconds(now.Sub(at))
 	}
--- a/mesh/suspension_test.go
+++ b/mesh/suspension_test.go
@@ -32,7 +32,7 @@
 			machine.Suspend(d)
 			after := m.ownPresence().Store
 			assert.Check(t, after.AgeMs >= before.AgeMs+d.Milliseconds(), "age %d ms", after.AgeMs)
-			assert.Check(t, after.ClockMs >= before.ClockMs+d.Milliseconds(), "clock %d ms", after.ClockMs)
+			assert.Check(t, after.UptimeMs >= before.UptimeMs+d.Milliseconds(), "clock %d ms", after.UptimeMs)
 			time.Sleep(time.Second)
 			all.all[1].suffer(frozen)
 			machine.Suspend(d)
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -26,8 +26,8 @@
 	Known   bool
 	AgeMs   int64
 	Failing bool // the newest call failed or is overdue
-	// ClockMs is the entry's monotonic clock when it wrote this, from its start.
-	ClockMs int64
+	// UptimeMs is the entry's monotonic clock when it wrote this, from its start.
+	UptimeMs int64
 }
 
 // Kind implements Message.
