--- a/mesh/crashes.go
+++ b/mesh/crashes.go
@@ -73,7 +73,7 @@
 	}
 	out := &peer.Crashes{}
 	for _, c := range n.Crashes {
-		out.Crashes = append(out.Crashes, peer.SeenCrash{Content: c.Content[:], Target: c.Incarnation.Target, Born: c.Incarnation.StartMs,
+		out.Crashes = append(out.Crashes, peer.CrashReport{Content: c.Content[:], Target: c.Incarnation.Target, Born: c.Incarnation.StartMs,
 			AgeMs: now.Sub(c.At).Milliseconds(), Host: c.Reporter, Void: c.Retracted})
 	}
 	for _, s := range n.Survivals {
--- a/peer/crashes.go
+++ b/peer/crashes.go
@@ -3,15 +3,15 @@
 // Crashes tells which requests targets ended under, and which of these have ended well.
 // Requests are named by a keyed hash of their content; neither body nor API key is sent.
 type Crashes struct {
-	Crashes   []SeenCrash
+	Crashes   []CrashReport
 	Survivals []SeenSurvival
 }
 
 // Kind implements Message.
 func (*Crashes) Kind() Kind { return kindCrashes }
 
-// SeenCrash is a life of a target that ended while a content was at work there.
-type SeenCrash struct {
+// CrashReport is a life of a target that ended while a content was at work there.
+type CrashReport struct {
 	Content []byte // fingerprint
 	Target  string // instance ID
 	Born    int64  // when that life began, Unix milliseconds; 0 if not known
