--- a/mesh/crashes.go
+++ b/mesh/crashes.go
@@ -73,7 +73,7 @@
 	}
 	out := &peer.Crashes{}
 	for _, c := range n.Crashes {
-		out.Crashes = append(out.Crashes, peer.CrashReport{Content: c.Content[:], Target: c.Incarnation.Target, Born: c.Incarnation.StartMs,
+		out.Crashes = append(out.Crashes, peer.CrashReport{Content: c.Content[:], Target: c.Incarnation.Target, StartMs: c.Incarnation.StartMs,
 			AgeMs: now.Sub(c.At).Milliseconds(), Host: c.Reporter, Void: c.Retracted})
 	}
 	for _, s := range n.Survivals {
@@ -90,7 +90,7 @@
 			continue
 		}
 		n.Crashes = append(n.Crashes, quarantine.Crash{Content: quarantine.Fingerprint(c.Content),
-			Incarnation: quarantine.Incarnation{Target: c.Target, StartMs: c.Born}, At: now.Add(-fromMilliseconds(c.AgeMs)), Reporter: c.Host, Retracted: c.Void})
+			Incarnation: quarantine.Incarnation{Target: c.Target, StartMs: c.StartMs}, At: now.Add(-fromMilliseconds(c.AgeMs)), Reporter: c.Host, Retracted: c.Void})
 	}
 	for _, s := range msg.Survivals {
 		if len(s.Content) == len(quarantine.Fingerprint{}) {
--- a/peer/crashes.go
+++ b/peer/crashes.go
@@ -14,7 +14,7 @@
 type CrashReport struct {
 	Content []byte // fingerprint
 	Target  string // instance ID
-	Born    int64  // when that life began, Unix milliseconds; 0 if not known
+	StartMs    int64  // when that life began, Unix milliseconds; 0 if not known
 	AgeMs   int64  // since the connection broke
 	Host    string // of the entry that saw it
 	Void    bool   // the target was heard again: it had not ended
