--- a/peer/crashes.go
+++ b/peer/crashes.go
@@ -17,7 +17,7 @@
 	StartMs    int64  // when that life began, Unix milliseconds; 0 if not known
 	AgeMs   int64  // since the connection broke
 	Host    string // of the entry that saw it
-	Void    bool   // the target was heard again: it had not ended
+	Retracted    bool   // the target was heard again: it had not ended
 }
 
 // SeenSurvival is a run of a content that a target survived.
