--- a/mesh/crashes.go
+++ b/mesh/crashes.go
@@ -74,7 +74,7 @@
 	out := &peer.Crashes{}
 	for _, c := range n.Crashes {
 		out.Crashes = append(out.Crashes, peer.CrashReport{Content: c.Content[:], Target: c.Incarnation.Target, StartMs: c.Incarnation.StartMs,
-			AgeMs: now.Sub(c.At).Milliseconds(), Host: c.Reporter, Retracted: c.Retracted})
+			AgeMs: now.Sub(c.At).Milliseconds(), Reporter: c.Reporter, Retracted: c.Retracted})
 	}
 	for _, s := range n.Survivals {
 		out.Survivals = append(out.Survivals, peer.SeenSurvival{Content: s.Content[:], AgeMs: now.Sub(s.At).Milliseconds()})
@@ -90,7 +90,7 @@
 			continue
 		}
 		n.Crashes = append(n.Crashes, quarantine.Crash{Content: quarantine.Fingerprint(c.Content),
-			Incarnation: quarantine.Incarnation{Target: c.Target, StartMs: c.StartMs}, At: now.Add(-fromMilliseconds(c.AgeMs)), Reporter: c.Host, Retracted: c.Retracted})
+			Incarnation: quarantine.Incarnation{Target: c.Target, StartMs: c.StartMs}, At: now.Add(-fromMilliseconds(c.AgeMs)), Reporter: c.Reporter, Retracted: c.Retracted})
 	}
 	for _, s := range msg.Survivals {
 		if len(s.Content) == len(quarantine.Fingerprint{}) {
--- a/peer/crashes.go
+++ b/peer/crashes.go
@@ -16,7 +16,7 @@
 	Target  string // instance ID
 	StartMs    int64  // when that life began, Unix milliseconds; 0 if not known
 	AgeMs   int64  // since the connection broke
-	Host    string // of the entry that saw it
+	Reporter    string // of the entry that saw it
 	Retracted    bool   // the target was heard again: it had not ended
 }
 
