--- a/mesh/crashes.go
+++ b/mesh/crashes.go
@@ -77,7 +77,7 @@
 			AgeMs: now.Sub(c.At).Milliseconds(), Reporter: c.Reporter, Retracted: c.Retracted})
 	}
 	for _, s := range n.Survivals {
-		out.Survivals = append(out.Survivals, peer.SeenSurvival{Content: s.Content[:], AgeMs: now.Sub(s.At).Milliseconds()})
+		out.Survivals = append(out.Survivals, peer.SurvivalReport{Content: s.Content[:], AgeMs: now.Sub(s.At).Milliseconds()})
 	}
 	return out
 }
--- a/mesh/crashes_test.go
+++ b/mesh/crashes_test.go
@@ -136,6 +136,6 @@
 
 // What another process sends may name no content.
 func TestCrashesThatNameNothing(t *testing.T) {
-	n := decodeCrashes(time.Now(), &peer.Crashes{Crashes: []peer.CrashReport{{}, {Content: make([]byte, 99)}}, Survivals: []peer.SeenSurvival{{}}})
+	n := decodeCrashes(time.Now(), &peer.Crashes{Crashes: []peer.CrashReport{{}, {Content: make([]byte, 99)}}, Survivals: []peer.SurvivalReport{{}}})
 	assert.Assert(t, n.Empty())
 }
--- a/peer/crashes.go
+++ b/peer/crashes.go
@@ -4,7 +4,7 @@
 // Requests are named by a keyed hash of their content; neither body nor API key is sent.
 type Crashes struct {
 	Crashes   []CrashReport
-	Survivals []SeenSurvival
+	Survivals []SurvivalReport
 }
 
 // Kind implements Message.
@@ -20,8 +20,8 @@
 	Retracted    bool   // the target was heard again: it had not ended
 }
 
-// SeenSurvival is a run of a content that a target survived.
-type SeenSurvival struct {
+// SurvivalReport is a run of a content that a target survived.
+type SurvivalReport struct {
 	Content []byte
 	AgeMs   int64
 }
