--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -51,7 +51,7 @@
 			continue
 		}
 		if c.book.MergeReport(clock.Now(), decoded) != (notice.Change{}) {
-			c.log.WithFields(logrus.Fields{"target": n.Instance, "peer": from, "limited": n.Limited, "limit": n.PerS, "leaving": n.Leaving}).Info("Notice of the target received from another entry.")
+			c.log.WithFields(logrus.Fields{"target": n.Instance, "peer": from, "limited": n.LimitDeclared, "limit": n.PerS, "leaving": n.Leaving}).Info("Notice of the target received from another entry.")
 		}
 	}
 }
--- a/peer/notice.go
+++ b/peer/notice.go
@@ -10,7 +10,7 @@
 type TargetNotice struct {
 	Instance string
 	StartMs     int64
-	Limited  bool    // it has named a limit
+	LimitDeclared  bool    // it has named a limit
 	PerS     float64 // the limit, in requests a second
 	LimitRevision     uint64  // of two notices of a limit the one with the higher turn is newer
 	Leaving  bool
@@ -18,7 +18,7 @@
 
 // EncodeNotice returns a belief as a message has it.
 func EncodeNotice(t notice.Report) TargetNotice {
-	return TargetNotice{Instance: t.Target, StartMs: t.StartMs, Limited: t.Limit.Declared, PerS: t.Limit.PerS, LimitRevision: t.LimitRevision, Leaving: t.Leaving}
+	return TargetNotice{Instance: t.Target, StartMs: t.StartMs, LimitDeclared: t.Limit.Declared, PerS: t.Limit.PerS, LimitRevision: t.LimitRevision, Leaving: t.Leaving}
 }
 
 // Decode returns the belief; ok is false if there is none that can be believed.
@@ -27,5 +27,5 @@
 		return notice.Report{}, false
 	}
 	return notice.Report{Incarnation: notice.Incarnation{Target: n.Instance, StartMs: n.StartMs},
-		State: notice.State{Limit: notice.Limit{Declared: n.Limited, PerS: n.PerS}, LimitRevision: n.LimitRevision, Leaving: n.Leaving}}, true
+		State: notice.State{Limit: notice.Limit{Declared: n.LimitDeclared, PerS: n.PerS}, LimitRevision: n.LimitRevision, Leaving: n.Leaving}}, true
 }
