--- a/peer/presence.go
+++ b/peer/presence.go
@@ -98,7 +98,7 @@
 type TargetLoad struct {
 	Instance string
 	Requests int // sent and not answered in full
-	Unread   int // prompt tokens of requests without a first event
+	PendingPrefill   int // prompt tokens of requests without a first event
 	// Silent is true if the target has work of the entry and sends nothing; Heard
 	// if it sent something lately.
 	Silent, Heard bool
