--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -28,7 +28,7 @@
 	shareSilence := !c.cfg.Off.Has(mechanism.SharedSilence)
 	for _, t := range l.Targets {
 		loads[t.Instance] = dispatch.Load{Requests: t.Requests, PendingPrefill: t.PendingPrefill}
-		c.book.SetResponsive(from, t.Instance, t.Heard && shareSilence)
+		c.book.SetResponsive(from, t.Instance, t.Responsive && shareSilence)
 		if shareSilence && t.Silent && c.book.Suspect(clock.Now(), t.Instance) {
 			c.log.WithFields(logrus.Fields{"target": t.Instance, "peer": from}).Info("Another entry reports that the target is silent.")
 		}
@@ -114,7 +114,7 @@
 	out := make([]peer.TargetLoad, 0, len(own)+len(silent))
 	for id, l := range own {
 		_, isSilent := slices.BinarySearch(silent, id)
-		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, PendingPrefill: l.PendingPrefill, Silent: isSilent, Heard: heard[id]})
+		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, PendingPrefill: l.PendingPrefill, Silent: isSilent, Responsive: heard[id]})
 	}
 	for _, id := range silent {
 		if _, listed := own[id]; !listed {
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -99,9 +99,9 @@
 	Instance string
 	Requests int // sent and not answered in full
 	PendingPrefill   int // prompt tokens of requests without a first event
-	// Silent is true if the target has work of the entry and sends nothing; Heard
+	// Silent is true if the target has work of the entry and sends nothing; Responsive
 	// if it sent something lately.
-	Silent, Heard bool
+	Silent, Responsive bool
 }
 
 // EngineState is what the agent beside an engine says about it.
