--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -79,7 +79,7 @@
 	}
 	c.setHolder(agent, *s)
 	c.log.WithFields(logrus.Fields{"addr": s.Addr, "model": s.Model, "version": s.Version, "loading": s.Loading}).Info("Engine state received.")
-	c.book.SetState(s.Addr, dispatch.EngineState{Version: s.Version, Loading: s.Loading, StartMs: s.Born})
+	c.book.SetState(s.Addr, dispatch.EngineState{Version: s.Version, Loading: s.Loading, StartMs: s.StartMs})
 }
 
 // setHolder records which version an agent's engine holds.
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -111,7 +111,7 @@
 	Version int    // served whole; 0 is none
 	Loading bool   // an order is in progress: new requests would wait
 	Seq     uint64 // counts the agent's reports; the highest of an incarnation counts
-	Born    int64  // when the engine was started, Unix milliseconds; 0 if not known
+	StartMs    int64  // when the engine was started, Unix milliseconds; 0 if not known
 	Forward bool   // the entry is to pass this on to all others
 }
 
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -222,7 +222,7 @@
 
 // publishState publishes what the engine serves, if that has changed.
 func (s *Sidecar) publishState(model string, version int, loading bool, startTimeMs int64) {
-	state := peer.EngineState{Addr: s.engineAddr, Model: model, Version: version, Loading: loading, Born: startTimeMs}
+	state := peer.EngineState{Addr: s.engineAddr, Model: model, Version: version, Loading: loading, StartMs: startTimeMs}
 	if state == s.published {
 		return
 	}
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -613,7 +613,7 @@
 		})
 		s.Assign(time.Now(), thirdAfterSecond())
 		time.Sleep(200 * time.Millisecond)
-		assert.Equal(t, published().Born, int64(2000))
+		assert.Equal(t, published().StartMs, int64(2000))
 		time.Sleep(12 * time.Second)
 		assert.Equal(t, published().Version, 3)
 		assert.Assert(t, !e.loadedInvalid)
