--- a/mesh/forward.go
+++ b/mesh/forward.go
@@ -54,7 +54,7 @@
 		return
 	}
 	delete(m.forwarded, engine)
-	m.offerReport(peer.RelayedState{Engine: engine, Gone: true})
+	m.offerReport(peer.RelayedState{Engine: engine, Withdrawn: true})
 }
 
 func (m *Mesh) offerReport(w peer.RelayedState) {
@@ -81,7 +81,7 @@
 // reportsHeard takes what another entry passes on.
 func (m *Mesh) reportsHeard(from streamID, msg *peer.EngineStates) {
 	for _, r := range msg.States {
-		if r.Gone {
+		if r.Withdrawn {
 			m.engines.drop(from, r.Engine)
 			continue
 		}
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -123,7 +123,7 @@
 	Engine, Pieces, Domain string // of the agent's Presence, likewise Incarnation
 	Incarnation            uint64
 	State                  EngineState
-	Gone                   bool // the entry does not pass on reports of this engine any more
+	Withdrawn                   bool // the entry does not pass on reports of this engine any more
 }
 
 // EngineStates are the reports of agents that are linked to the sender and not, or not
