--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -24,7 +24,7 @@
 
 var (
 	assignModel = &fleet.EngineModel{Model: "m", Layers: 16, Chunks: 4}
-	assignAgent = peer.Presence{Service: "svc", Engine: "e-1"}
+	assignAgent = peer.Presence{Service: "svc", EngineAddr: "e-1"}
 )
 
 func newTestControl(relay Relay) *Control {
@@ -161,14 +161,14 @@
 	c.list = list
 	c.updateOrders()
 	<-changed
-	last, _ := c.Assignment(peer.Presence{Service: "svc", Engine: c.assignments["svc"].order[1]})
+	last, _ := c.Assignment(peer.Presence{Service: "svc", EngineAddr: c.assignments["svc"].order[1]})
 	assert.Equal(t, last.Turns, 2)
 	assert.Equal(t, last.Turn, 1)
 	// Engines that join get a position; agents of the others are not notified.
 	_, changed = c.Assignment(assignAgent)
 	c.list = append(c.list, &fleet.Instance{ID: "e-3", Addr: "e-3", Service: "svc"})
 	c.updateOrders()
-	joined, _ := c.Assignment(peer.Presence{Service: "svc", Engine: "e-3"})
+	joined, _ := c.Assignment(peer.Presence{Service: "svc", EngineAddr: "e-3"})
 	assert.Equal(t, joined.Turns, 3)
 	select {
 	case <-changed:
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -72,8 +72,8 @@
 // EngineState implements mesh.Listener.
 func (c *Control) EngineState(agent peer.Presence, s *peer.EngineState) {
 	if s == nil {
-		c.log.WithField("addr", agent.Engine).Info("Agent no longer reachable.")
-		c.book.DeleteState(agent.Engine)
+		c.log.WithField("addr", agent.EngineAddr).Info("Agent no longer reachable.")
+		c.book.DeleteState(agent.EngineAddr)
 		c.setHolder(agent, peer.EngineState{})
 		return
 	}
@@ -87,10 +87,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s.Version == 0 || agent.Pieces == "" {
-		delete(c.holders, agent.Engine)
+		delete(c.holders, agent.EngineAddr)
 		return
 	}
-	c.holders[agent.Engine] = holder{agent.Pieces, agent.Domain, s.Model, s.Version}
+	c.holders[agent.EngineAddr] = holder{agent.Pieces, agent.Domain, s.Model, s.Version}
 }
 
 // Holders returns the agents of a failure domain whose engines hold a version.
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -42,7 +42,7 @@
 		assert.Check(t, a.status == http.StatusGatewayTimeout, "%v: status %d", d, a.status)
 
 		announced := &assignment{model: &fleet.EngineModel{Model: "m"}, version: 2, since: clock.Now(), explicit: true,
-			order: []string{agentOf("s").Engine}}
+			order: []string{agentOf("s").EngineAddr}}
 		c := &Control{assignments: map[string]*assignment{"s": announced}, cfg: ControlConfig{VersionTimeout: time.Hour}}
 		machine.Suspend(d)
 		got, _ := c.Assignment(agentOf("s"))
@@ -51,5 +51,5 @@
 }
 
 func agentOf(service string) peer.Presence {
-	return peer.Presence{Service: service, Engine: "10.0.0.1:1"}
+	return peer.Presence{Service: service, EngineAddr: "10.0.0.1:1"}
 }
--- a/mesh/crashes_test.go
+++ b/mesh/crashes_test.go
@@ -90,7 +90,7 @@
 	log.SetOutput(io.Discard)
 	a.pool = peer.NewPoolWithDialer(a.dial, peer.Hello{Host: "agent"}, nil, &peer.Meter{})
 	crashes = quarantine.NewTable()
-	m := New(Options{Self: peer.Presence{Host: "agent", Domain: "a", Engine: "10.2.0.1:8000", Incarnation: 1},
+	m := New(Options{Self: peer.Presence{Host: "agent", Domain: "a", EngineAddr: "10.2.0.1:8000", Incarnation: 1},
 		Seeds: []string{all.all[0].addr}, Pool: a.pool, Log: log, Crashes: crashes,
 		Assigned: func(peer.Assignment) {}})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/mesh/forward.go
+++ b/mesh/forward.go
@@ -17,13 +17,13 @@
 
 // relayed returns the form in which a report is passed on.
 func relayed(agent peer.Presence, s peer.EngineState) peer.RelayedState {
-	return peer.RelayedState{Engine: agent.Engine, Pieces: agent.Pieces, Domain: agent.Domain,
+	return peer.RelayedState{Engine: agent.EngineAddr, Pieces: agent.Pieces, Domain: agent.Domain,
 		Incarnation: agent.Incarnation, State: s}
 }
 
 // engineReportOf is the reverse of relayed.
 func engineReportOf(r peer.RelayedState) engineReport {
-	return engineReport{peer.Presence{Engine: r.Engine, Pieces: r.Pieces, Domain: r.Domain, Incarnation: r.Incarnation}, r.State}
+	return engineReport{peer.Presence{EngineAddr: r.Engine, Pieces: r.Pieces, Domain: r.Domain, Incarnation: r.Incarnation}, r.State}
 }
 
 // forward takes a report that an agent sent here. It is passed on if the agent named this
@@ -32,11 +32,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !s.Forward {
-		m.stopForwarding(from, agent.Engine)
+		m.stopForwarding(from, agent.EngineAddr)
 		return
 	}
 	w := relayed(agent, s)
-	m.forwarded[agent.Engine] = forwarded{from, w}
+	m.forwarded[agent.EngineAddr] = forwarded{from, w}
 	m.offerReport(w)
 }
 
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -203,7 +203,7 @@
 // wantedLinks returns the addresses of the entries that this process is linked to:
 // all of them for an entry, a few for an agent.
 func (m *Mesh) wantedLinks(now time.Time) []string {
-	if m.self.Engine == "" {
+	if m.self.EngineAddr == "" {
 		return m.members.Addrs()
 	}
 	return chooseLinks(m.self, m.members.Candidates(now))
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -42,7 +42,7 @@
 	hello, meter := peer.Hello{Host: name}, &peer.Meter{}
 	self := peer.Presence{Host: name, Domain: "a", Incarnation: incarnation}
 	if agent {
-		self.Engine = "engine-of-" + name
+		self.EngineAddr = "engine-of-" + name
 	} else {
 		server, err := peer.Listen("127.0.0.1:0", hello, n.serve, meter)
 		assert.NilError(t, err)
@@ -113,7 +113,7 @@
 func (n *node) Lost(string) { n.note(func() {}) }
 
 func (n *node) EngineState(agent peer.Presence, s *peer.EngineState) {
-	n.note(func() { n.engines[agent.Engine] = s })
+	n.note(func() { n.engines[agent.EngineAddr] = s })
 }
 
 func (n *node) Assignment(peer.Presence) (*peer.Assignment, <-chan struct{}) {
--- a/mesh/reach_test.go
+++ b/mesh/reach_test.go
@@ -16,7 +16,7 @@
 // An agent links to entries of its own failure domain, fast ones first, and to a few
 // others; a seed of which nothing is known is asked until one of the domain answers.
 func TestAgentLinksToFewEntries(t *testing.T) {
-	self := peer.Presence{Host: "h", Domain: "a", Engine: "e"}
+	self := peer.Presence{Host: "h", Domain: "a", EngineAddr: "e"}
 	var known []candidate
 	for i := range 20 {
 		known = append(known, entryOf(fmt.Sprint("near-", i), "a", float64(40+160*(i%2)), true),
@@ -43,7 +43,7 @@
 // Links that work stay when members come or go.
 func TestLinksThatWorkAreKept(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		self := peer.Presence{Host: "h", Domain: "a", Engine: "e"}
+		self := peer.Presence{Host: "h", Domain: "a", EngineAddr: "e"}
 		var known []candidate
 		for i := range rapid.IntRange(1, 40).Draw(t, "entries") {
 			known = append(known, entryOf(fmt.Sprint("e-", i), rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain"), 100, false))
--- a/mesh/reports.go
+++ b/mesh/reports.go
@@ -40,7 +40,7 @@
 
 // hear takes a report. The result is whether it is now the one that counts.
 func (e engineReports) hear(from streamID, w engineReport) bool {
-	engine := w.agent.Engine
+	engine := w.agent.EngineAddr
 	old, known := e.newest(engine)
 	if e[engine] == nil {
 		e[engine] = map[streamID]engineReport{}
--- a/mesh/reports_test.go
+++ b/mesh/reports_test.go
@@ -8,7 +8,7 @@
 )
 
 func report(incarnation, seq uint64, version int) engineReport {
-	return engineReport{peer.Presence{Engine: "e", Incarnation: incarnation}, peer.EngineState{Addr: "e", Version: version, Seq: seq}}
+	return engineReport{peer.Presence{EngineAddr: "e", Incarnation: incarnation}, peer.EngineState{Addr: "e", Version: version, Seq: seq}}
 }
 
 // The newest report counts whatever way it came, and what is left when a way ends.
--- a/mesh/serve.go
+++ b/mesh/serve.go
@@ -29,7 +29,7 @@
 		}
 		m.take(id, first, msg)
 	}
-	m.agentGone(id, first.Engine)
+	m.agentGone(id, first.EngineAddr)
 	m.engines.end(id)
 }
 
--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -56,7 +56,7 @@
 			m.self.Addr = fmt.Sprintf("10.1.0.%d:8000", i)
 			c.byAddr[m.self.Addr] = m
 		} else {
-			m.self.Engine, m.self.Pieces, m.self.Service = fmt.Sprint("engine-", i), fmt.Sprint("pieces-", i), "s"
+			m.self.EngineAddr, m.self.Pieces, m.self.Service = fmt.Sprint("engine-", i), fmt.Sprint("pieces-", i), "s"
 		}
 		c.members = append(c.members, m)
 	}
@@ -93,7 +93,7 @@
 	m.note(func() { m.down = false })
 	go m.mesh.Run(ctx, loads)
 	if m.self.Addr == "" {
-		m.mesh.Say(peer.EngineState{Addr: m.self.Engine, Model: "m", Version: 1})
+		m.mesh.Say(peer.EngineState{Addr: m.self.EngineAddr, Model: "m", Version: 1})
 	}
 }
 
@@ -146,10 +146,10 @@
 func (m *process) EngineState(a peer.Presence, s *peer.EngineState) {
 	m.note(func() {
 		if s == nil {
-			delete(m.engines, a.Engine)
+			delete(m.engines, a.EngineAddr)
 			return
 		}
-		m.engines[a.Engine] = *s
+		m.engines[a.EngineAddr] = *s
 	})
 }
 func (m *process) Assignment(peer.Presence) (*peer.Assignment, <-chan struct{}) {
@@ -190,7 +190,7 @@
 	for _, m := range c.members[:c.entries] {
 		m.note(func() {
 			for _, agent := range c.members[c.entries:] {
-				if !m.down && m.engines[agent.self.Engine].Version != version {
+				if !m.down && m.engines[agent.self.EngineAddr].Version != version {
 					lacking++
 				}
 			}
@@ -201,7 +201,7 @@
 
 func (c *processes) say(version int) {
 	for _, agent := range c.members[c.entries:] {
-		agent.mesh.Say(peer.EngineState{Addr: agent.self.Engine, Model: "m", Version: version})
+		agent.mesh.Say(peer.EngineState{Addr: agent.self.EngineAddr, Model: "m", Version: version})
 	}
 }
 
@@ -305,7 +305,7 @@
 		time.Sleep(200 * time.Millisecond)
 		for _, m := range c.members[:c.entries] {
 			m.note(func() {
-				_, known := m.engines[gone.self.Engine]
+				_, known := m.engines[gone.self.EngineAddr]
 				assert.Assert(t, !known)
 				assert.Equal(t, len(m.engines), 4)
 			})
--- a/mesh/updates.go
+++ b/mesh/updates.go
@@ -34,7 +34,7 @@
 
 // next returns what the other side has not been told yet, or nil.
 func (n *memberUpdates) next(self peer.Presence, live []peer.Presence) *peer.Presences {
-	if n.to.Engine == "" {
+	if n.to.EngineAddr == "" {
 		return n.forEntry(self, live)
 	}
 	return n.forAgent(self, live)
@@ -96,7 +96,7 @@
 	if !ok {
 		return
 	}
-	if to.Engine != "" {
+	if to.EngineAddr != "" {
 		go m.tellAssignments(ctx, s, to)
 		go m.tellCrashes(ctx, s)
 	}
--- a/mesh/updates_test.go
+++ b/mesh/updates_test.go
@@ -52,7 +52,7 @@
 // An agent is told of the entries that it links to, and enough of each to choose.
 func TestAgentIsToldOfTheEntriesNearby(t *testing.T) {
 	all := fleetOf(35)
-	n := newMemberUpdates(peer.Presence{Host: "agent", Domain: "d-1", Engine: "engine"}, false)
+	n := newMemberUpdates(peer.Presence{Host: "agent", Domain: "d-1", EngineAddr: "engine"}, false)
 	self := peer.Presence{Addr: "self", Domain: "d-0"}
 	msg := n.next(self, all)
 	assert.Equal(t, msg.Sender.Addr, "self")
