--- a/command/platform.go
+++ b/command/platform.go
@@ -102,7 +102,7 @@
 	if role == roleEntry {
 		p.self.Addr = s.PeerAddr()
 	} else {
-		p.self.Service, p.self.EngineAddr, p.self.Pieces = s.Service, s.EngineAddr, s.PeerAddr()
+		p.self.Service, p.self.EngineAddr, p.self.PiecesAddr = s.Service, s.EngineAddr, s.PeerAddr()
 	}
 	telemetry.Part(log, "main").WithFields(logrus.Fields{"version": Version, "role": role, "host": s.Host,
 		"failure_domain": s.Domain, "incarnation": p.self.Incarnation, "seeds": strings.Join(s.Seeds, ","),
--- a/command/sidecar.go
+++ b/command/sidecar.go
@@ -107,7 +107,7 @@
 		Unassigned: func(entry string) { agent.RemoveEntry(entry) }})
 	agent = sidecar.New(sidecar.Config{Off: f.off, FirstStart: p.settings.FirstStart}, platform.NewEngines(), p.settings.EngineAddr, entrySource{network, p.call},
 		network.Say, sidecar.NewStats(p.metrics), telemetry.Part(p.log, "sidecar"))
-	peers, err := peer.Listen(p.self.Pieces, p.hello(), agent.ServePiece, p.meter)
+	peers, err := peer.Listen(p.self.PiecesAddr, p.hello(), agent.ServePiece, p.meter)
 	if err != nil {
 		return err
 	}
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -86,11 +86,11 @@
 func (c *Control) setHolder(agent peer.Presence, s peer.EngineState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s.Version == 0 || agent.Pieces == "" {
+	if s.Version == 0 || agent.PiecesAddr == "" {
 		delete(c.holders, agent.EngineAddr)
 		return
 	}
-	c.holders[agent.EngineAddr] = holder{agent.Pieces, agent.Domain, s.Model, s.Version}
+	c.holders[agent.EngineAddr] = holder{agent.PiecesAddr, agent.Domain, s.Model, s.Version}
 }
 
 // Holders returns the agents of a failure domain whose engines hold a version.
--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -56,7 +56,7 @@
 			m.self.Addr = fmt.Sprintf("10.1.0.%d:8000", i)
 			c.byAddr[m.self.Addr] = m
 		} else {
-			m.self.EngineAddr, m.self.Pieces, m.self.Service = fmt.Sprint("engine-", i), fmt.Sprint("pieces-", i), "s"
+			m.self.EngineAddr, m.self.PiecesAddr, m.self.Service = fmt.Sprint("engine-", i), fmt.Sprint("pieces-", i), "s"
 		}
 		c.members = append(c.members, m)
 	}
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -9,7 +9,7 @@
 	Addr        string // of its peer listener; empty if it has none
 	Service     string // of the engine beside an agent
 	EngineAddr      string // address of the engine beside an agent
-	Pieces      string // address where an agent hands out staged pieces
+	PiecesAddr      string // address where an agent hands out staged pieces
 	Incarnation uint64
 	Revision    int64 // how far its copy of the store reaches
 	Leaving     bool
