--- a/mesh/forward.go
+++ b/mesh/forward.go
@@ -17,13 +17,13 @@
 
 // relayed returns the form in which a report is passed on.
 func relayed(agent peer.Presence, s peer.EngineState) peer.RelayedState {
-	return peer.RelayedState{Engine: agent.EngineAddr, Pieces: agent.PiecesAddr, Domain: agent.Domain,
+	return peer.RelayedState{EngineAddr: agent.EngineAddr, Pieces: agent.PiecesAddr, Domain: agent.Domain,
 		Incarnation: agent.Incarnation, State: s}
 }
 
 // engineReportOf is the reverse of relayed.
 func engineReportOf(r peer.RelayedState) engineReport {
-	return engineReport{peer.Presence{EngineAddr: r.Engine, PiecesAddr: r.Pieces, Domain: r.Domain, Incarnation: r.Incarnation}, r.State}
+	return engineReport{peer.Presence{EngineAddr: r.EngineAddr, PiecesAddr: r.Pieces, Domain: r.Domain, Incarnation: r.Incarnation}, r.State}
 }
 
 // forward takes a report that an agent sent here. It is passed on if the agent named this
@@ -54,7 +54,7 @@
 		return
 	}
 	delete(m.forwarded, engine)
-	m.offerReport(peer.RelayedState{Engine: engine, Withdrawn: true})
+	m.offerReport(peer.RelayedState{EngineAddr: engine, Withdrawn: true})
 }
 
 func (m *Mesh) offerReport(w peer.RelayedState) {
@@ -74,7 +74,7 @@
 
 // reportsMessage joins reports that wait to be passed on.
 func reportsMessage(waiting map[string]peer.RelayedState) *peer.EngineStates {
-	states := slices.SortedFunc(maps.Values(waiting), func(a, b peer.RelayedState) int { return cmp.Compare(a.Engine, b.Engine) })
+	states := slices.SortedFunc(maps.Values(waiting), func(a, b peer.RelayedState) int { return cmp.Compare(a.EngineAddr, b.EngineAddr) })
 	return &peer.EngineStates{States: states}
 }
 
@@ -82,7 +82,7 @@
 func (m *Mesh) reportsHeard(from streamID, msg *peer.EngineStates) {
 	for _, r := range msg.States {
 		if r.Withdrawn {
-			m.engines.drop(from, r.Engine)
+			m.engines.drop(from, r.EngineAddr)
 			continue
 		}
 		m.engines.hear(from, engineReportOf(r))
--- a/mesh/link.go
+++ b/mesh/link.go
@@ -48,7 +48,7 @@
 	if l.states == nil {
 		l.states = map[string]peer.RelayedState{}
 	}
-	l.states[w.Engine] = w
+	l.states[w.EngineAddr] = w
 	l.signal()
 }
 
