--- a/mesh/forward.go
+++ b/mesh/forward.go
@@ -17,13 +17,13 @@
 
 // relayed returns the form in which a report is passed on.
 func relayed(agent peer.Presence, s peer.EngineState) peer.RelayedState {
-	return peer.RelayedState{EngineAddr: agent.EngineAddr, Pieces: agent.PiecesAddr, Domain: agent.Domain,
+	return peer.RelayedState{EngineAddr: agent.EngineAddr, PiecesAddr: agent.PiecesAddr, Domain: agent.Domain,
 		Incarnation: agent.Incarnation, State: s}
 }
 
 // engineReportOf is the reverse of relayed.
 func engineReportOf(r peer.RelayedState) engineReport {
-	return engineReport{peer.Presence{EngineAddr: r.EngineAddr, PiecesAddr: r.Pieces, Domain: r.Domain, Incarnation: r.Incarnation}, r.State}
+	return engineReport{peer.Presence{EngineAddr: r.EngineAddr, PiecesAddr: r.PiecesAddr, Domain: r.Domain, Incarnation: r.Incarnation}, r.State}
 }
 
 // forward takes a report that an agent sent here. It is passed on if the agent named this
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -120,7 +120,7 @@
 
 // RelayedState is an agent's report that an entry passes on to others.
 type RelayedState struct {
-	EngineAddr, Pieces, Domain string // of the agent's Presence, likewise Incarnation
+	EngineAddr, PiecesAddr, Domain string // of the agent's Presence, likewise Incarnation
 	Incarnation            uint64
 	State                  EngineState
 	Withdrawn                   bool // the entry does not pass on reports of this engine any more
