--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -83,7 +83,7 @@
 		<-changed
 		got, _ := c.Assignment(assignAgent)
 		assert.Equal(t, got.AgeMs, int64(4600))
-		assert.Assert(t, !got.Guessed)
+		assert.Assert(t, !got.AgeEstimated)
 		assert.DeepEqual(t, c.Announced(time.Now()), []peer.SeenVersion{{Model: "m", Version: 2, AgeMs: 4600}})
 		assert.Assert(t, c.canPick(services), "the timeout of version 2 has not expired yet")
 		time.Sleep(time.Until(announcedAt.Add(7100 * time.Millisecond)))
@@ -109,7 +109,7 @@
 		c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.SeenVersion{{Model: "m", Version: 2, AgeMs: 1500}}})
 		got, _ := c.Assignment(assignAgent)
 		assert.Equal(t, got.AgeMs, int64(1500))
-		assert.Assert(t, !got.Guessed)
+		assert.Assert(t, !got.AgeEstimated)
 	})
 }
 
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -143,9 +143,9 @@
 	// AgeMs is how long ago the version was announced, as far as the entry
 	// knows; TimeoutMs is the time in which all engines must serve it.
 	AgeMs, TimeoutMs int64
-	// Guessed is true if the entry started after the announcement: it takes the
+	// AgeEstimated is true if the entry started after the announcement: it takes the
 	// time allowed to be over.
-	Guessed bool
+	AgeEstimated bool
 	// Turn of Turns is the engine's place in the order of the change.
 	Turn, Turns int
 	// Withheld is true while the entry fails to read pieces of the version.
--- a/sidecar/plan_test.go
+++ b/sidecar/plan_test.go
@@ -205,7 +205,7 @@
 // the store was unavailable.
 func TestObservedAnnouncementTakesPrecedenceOverGuessed(t *testing.T) {
 	guess := newAssignment(2, 0, 0)
-	guess.AgeMs, guess.Guessed = 8000, true
+	guess.AgeMs, guess.AgeEstimated = 8000, true
 	seen := newAssignment(3, 19, 20)
 	as := assignmentState{}.merge(start, guess)
 	cfg := Config{}.applyDefaults()
