--- a/gateway/assign.go
+++ b/gateway/assign.go
@@ -31,7 +31,7 @@
 	var out []peer.AnnouncedVersion
 	for b := a.previous; b != nil && b.explicit && len(out) < maxEarlierVersions; b = b.previous {
 		if age := now.Sub(b.since); age < 2*timeout {
-			out = append(out, peer.AnnouncedVersion{Version: b.version, AgeMs: age.Milliseconds(), Guessed: b.guessed})
+			out = append(out, peer.AnnouncedVersion{Version: b.version, AgeMs: age.Milliseconds(), AgeEstimated: b.guessed})
 		}
 	}
 	slices.Reverse(out)
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -159,7 +159,7 @@
 type AnnouncedVersion struct {
 	Version int
 	AgeMs   int64
-	Guessed bool // the entry started after the announcement
+	AgeEstimated bool // the entry started after the announcement
 }
 
 // Kind implements Message.
--- a/sidecar/wanted.go
+++ b/sidecar/wanted.go
@@ -56,8 +56,8 @@
 	if a.Version == out.Version {
 		out.failing[a.Entry] = a.Withheld
 	}
-	for _, v := range append(a.Earlier, peer.AnnouncedVersion{Version: a.Version, AgeMs: a.AgeMs, Guessed: a.AgeEstimated}) {
-		out.add(announcedVersion{v.Version, now.Add(-time.Duration(v.AgeMs) * time.Millisecond), v.Guessed})
+	for _, v := range append(a.Earlier, peer.AnnouncedVersion{Version: a.Version, AgeMs: a.AgeMs, AgeEstimated: a.AgeEstimated}) {
+		out.add(announcedVersion{v.Version, now.Add(-time.Duration(v.AgeMs) * time.Millisecond), v.AgeEstimated})
 	}
 	return out
 }
