--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -84,7 +84,7 @@
 	ctx, cancel := clock.WithTimeout(ctx, r.timeout)
 	defer cancel()
 	msg, err := r.mesh.pool.Call(ctx, home, peer.Traffic, &peer.Reserve{From: r.mesh.self.Addr, Instance: c.Instance.ID,
-		Prompt: prompt, MaxWaitMs: c.Admission.MaxWait.Milliseconds(), MaxGapMs: c.Admission.MaxGap.Milliseconds(),
+		PromptTokens: prompt, MaxWaitMs: c.Admission.MaxWait.Milliseconds(), MaxGapMs: c.Admission.MaxGap.Milliseconds(),
 		MaxLoad: c.Admission.MaxLoad, Notice: peer.EncodeNotice(r.book.ReportOf(c.Instance.ID))})
 	if err != nil {
 		return nil, false
@@ -98,7 +98,7 @@
 	if told, ok := q.Notice.Decode(); ok {
 		r.book.MergeReport(clock.Now(), told)
 	}
-	p := r.book.Reserve(clock.Now(), q.From, q.Instance, q.Prompt, dispatch.Admission{
+	p := r.book.Reserve(clock.Now(), q.From, q.Instance, q.PromptTokens, dispatch.Admission{
 		MaxWait: time.Duration(q.MaxWaitMs) * time.Millisecond, MaxGap: time.Duration(q.MaxGapMs) * time.Millisecond,
 		MaxLoad: q.MaxLoad})
 	// The asker does not wait long for an answer.
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -170,7 +170,7 @@
 type Reserve struct {
 	From      string // address of the entry that asks
 	Instance  string
-	Prompt    int   // tokens
+	PromptTokens    int   // tokens
 	MaxWaitMs int64 // longest wait at the target that the asker accepts
 	MaxGapMs  int64 // longest pause of others there; zero for no bound
 	MaxLoad   int   // requests there before this one; zero for no bound
