--- a/agent/fetch.go
+++ b/agent/fetch.go
@@ -65,7 +65,7 @@
 	kind := intent.Origin
 	switch f.Kind {
 	case spread.FromPeer:
-		return w.chunkFromPeer(ctx, f.Peer, &peer.GetChunk{Digest: want, Manifest: t.id, Index: f.Chunk, HoldMs: f.Hold.Milliseconds()})
+		return w.chunkFromPeer(ctx, f.Peer, &peer.GetChunk{Digest: want, Manifest: t.id, Index: f.Chunk, WaitMs: f.Hold.Milliseconds()})
 	case spread.FromStore:
 		kind = intent.Store
 	}
--- a/agent/holdings.go
+++ b/agent/holdings.go
@@ -155,7 +155,7 @@
 const recheckInterval = time.Second
 
 func (w *weights) awaitChunk(ctx context.Context, m *peer.GetChunk) (b []byte, coming bool) {
-	limit := clock.NewTimer(time.Duration(m.HoldMs) * time.Millisecond)
+	limit := clock.NewTimer(time.Duration(m.WaitMs) * time.Millisecond)
 	defer limit.Stop()
 	for {
 		arrived := w.arrival(m)
--- a/peer/control.go
+++ b/peer/control.go
@@ -56,7 +56,7 @@
 	Digest   digest.Digest
 	Manifest digest.Digest
 	Index    int
-	HoldMs   int64
+	WaitMs   int64
 }
 
 // KeyFence asks an earlier home of an idempotency key what it knows and
