--- a/mesh/follow_test.go
+++ b/mesh/follow_test.go
@@ -217,7 +217,7 @@
 		time.Sleep(700 * time.Millisecond)
 		reply := answer(begun, b)
 		assert.Equal(t, reply.AgeMs, int64(1000))
-		assert.Equal(t, reply.HeldMs, int64(1000))
+		assert.Equal(t, reply.WaitedMs, int64(1000))
 	})
 }
 
--- a/mesh/source.go
+++ b/mesh/source.go
@@ -48,7 +48,7 @@
 	}
 	// The answer has grown older on its way, by no more than all the time that
 	// the peer did not hold the question.
-	way := clock.Since(begun) - time.Duration(reply.HeldMs)*time.Millisecond
+	way := clock.Since(begun) - time.Duration(reply.WaitedMs)*time.Millisecond
 	b := mirror.Batch{Revision: reply.Revision, UpTo: reply.UpTo, Age: time.Duration(reply.AgeMs)*time.Millisecond + max(0, way)}
 	for _, e := range reply.Events {
 		b.Events = append(b.Events, mirror.Event{Deleted: e.Deleted,
@@ -86,7 +86,7 @@
 // The question counts as held up to when the age was read: what passes after that
 // is in neither.
 func answer(begun time.Time, b mirror.Batch) *peer.MirrorBatch {
-	out := &peer.MirrorBatch{Revision: b.Revision, UpTo: b.UpTo, AgeMs: milliseconds(b.Age), HeldMs: b.At.Sub(begun).Milliseconds()}
+	out := &peer.MirrorBatch{Revision: b.Revision, UpTo: b.UpTo, AgeMs: milliseconds(b.Age), WaitedMs: b.At.Sub(begun).Milliseconds()}
 	for _, e := range b.Events {
 		out.Events = append(out.Events, peer.MirrorEvent{Key: e.Key, Value: e.Value, Revision: e.Revision, Deleted: e.Deleted})
 	}
--- a/peer/mirror.go
+++ b/peer/mirror.go
@@ -35,7 +35,7 @@
 	Revision int64
 	UpTo     int64 // changes up to this may be in a whole copy too, but not all
 	AgeMs    int64 // since the store was known to agree with the copy, at most
-	HeldMs   int64 // how long the peer held the question, at most that
+	WaitedMs   int64 // how long the peer held the question, at most that
 }
 
 // Kind implements Message.
