--- a/agent/fetch.go
+++ b/agent/fetch.go
@@ -90,7 +90,7 @@
 		return nil, weightstore.ErrUnavailable
 	case b.Found:
 		return b.Data, nil
-	case b.Coming:
+	case b.Pending:
 		return nil, errComing
 	}
 	return nil, weightstore.ErrMissing
--- a/agent/holdings.go
+++ b/agent/holdings.go
@@ -147,7 +147,7 @@
 		return
 	}
 	w.counters.served.Inc(int64(len(b)))
-	_ = s.SendLast(ctx, &peer.Blob{Found: b != nil, Coming: coming, Data: b})
+	_ = s.SendLast(ctx, &peer.Blob{Found: b != nil, Pending: coming, Data: b})
 }
 
 // recheckInterval is how often a held request is checked for whether the chunk is still
--- a/peer/control.go
+++ b/peer/control.go
@@ -36,7 +36,7 @@
 // that it is about to get it.
 type Blob struct {
 	Found  bool
-	Coming bool
+	Pending bool
 	Data   []byte
 }
 
