--- a/agent/permits.go
+++ b/agent/permits.go
@@ -80,7 +80,7 @@
 	if fresh {
 		return
 	}
-	p.call(ctx, &peer.Permit{Service: service, Host: p.cfg.Control.Host, Out: true})
+	p.call(ctx, &peer.Permit{Service: service, Host: p.cfg.Control.Host, NotServing: true})
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.registered = true
@@ -150,7 +150,7 @@
 	case m.Done:
 		is.Release(m.Host)
 		return &peer.PermitReply{}
-	case m.Out:
+	case m.NotServing:
 		is.ReportUnavailable(now, m.Host)
 		return &peer.PermitReply{}
 	}
--- a/peer/control.go
+++ b/peer/control.go
@@ -76,7 +76,7 @@
 	Service string
 	Host    string
 	Done    bool
-	Out     bool
+	NotServing     bool
 }
 
 // PermitReply answers a Permit.
