--- a/agent/permits.go
+++ b/agent/permits.go
@@ -94,7 +94,7 @@
 	p.registered, p.granted = false, false
 	p.mu.Unlock()
 	if registered {
-		p.call(ctx, &peer.Permit{Service: service, Host: p.cfg.Control.Host, Done: true})
+		p.call(ctx, &peer.Permit{Service: service, Host: p.cfg.Control.Host, Release: true})
 	}
 }
 
@@ -147,7 +147,7 @@
 	defer p.mu.Unlock()
 	is := p.issuer(now, s, m.Service)
 	switch {
-	case m.Done:
+	case m.Release:
 		is.Release(m.Host)
 		return &peer.PermitReply{}
 	case m.NotServing:
--- a/peer/control.go
+++ b/peer/control.go
@@ -75,7 +75,7 @@
 type Permit struct {
 	Service string
 	Host    string
-	Done    bool
+	Release    bool
 	NotServing     bool
 }
 
