--- a/agent/requests.go
+++ b/agent/requests.go
@@ -168,7 +168,7 @@
 
 func attemptOf(d *peer.Dispatch, deadline time.Time) intake.Attempt {
 	return intake.Attempt{ID: attemptID(d.Attempt), Incarnation: d.Incarnation, Service: d.Service, Team: d.Team,
-		Key: d.Key, Print: d.Print, Urgency: int(d.Urgency), Deadline: deadline}
+		Key: d.Key, Print: d.Fingerprint, Urgency: int(d.Urgency), Deadline: deadline}
 }
 
 // heldAnswer returns the answer of a finished attempt. If it is no longer held, it turns
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -173,7 +173,7 @@
 func (x *exchange) dispatchMessage() *peer.Dispatch {
 	return &peer.Dispatch{Attempt: x.attempt(), Incarnation: x.candInc, Revision: x.entry.node.Snapshot().Revision(),
 		Service: x.svc.Name, Team: x.req.Team, Method: x.r.Method, URI: x.req.URI, Header: forwardedHeader(x.r),
-		Key: x.req.Key, Print: x.print, Repeatable: x.req.Repeatable, Urgency: uint8(x.req.Urgency),
+		Key: x.req.Key, Fingerprint: x.print, Repeatable: x.req.Repeatable, Urgency: uint8(x.req.Urgency),
 		TimeoutMs: clock.Until(x.until).Milliseconds(), HasBody: x.body.present(), BodyLength: x.body.length}
 }
 
--- a/peer/request.go
+++ b/peer/request.go
@@ -35,7 +35,7 @@
 	URI         string // path and query
 	Header      []HeaderField
 	Key         string // Idempotency-Key, empty if absent
-	Print       [32]byte
+	Fingerprint       [32]byte
 	Repeatable  bool
 	Urgency     uint8 // RFC 9218 urgency, 0 (highest) to 7
 	TimeoutMs   int64 // time left until the caller's deadline
