--- a/peer/weights.go
+++ b/peer/weights.go
@@ -6,8 +6,8 @@
 	Model   string
 	Version int
 	Hops    int // how often the request was passed on
-	// HeldOnly asks only for what the entry holds itself.
-	HeldOnly bool
+	// LocalOnly asks only for what the entry holds itself.
+	LocalOnly bool
 }
 
 // Kind implements Message.
--- a/weights/relay.go
+++ b/weights/relay.go
@@ -132,7 +132,7 @@
 		return h.manifest, nil
 	}
 	r.mu.Unlock()
-	if q.HeldOnly {
+	if q.LocalOnly {
 		return nil, ErrNoSource
 	}
 	key := ManifestKey(q.Model, q.Version)
@@ -169,7 +169,7 @@
 	}
 	ctx, cancel := clock.WithTimeout(ctx, r.cfg.PeerTimeout)
 	defer cancel()
-	msg, err := r.call(ctx, src.addr, &peer.GetManifest{Model: q.Model, Version: q.Version, Hops: q.Hops + 1, HeldOnly: src.heldOnly})
+	msg, err := r.call(ctx, src.addr, &peer.GetManifest{Model: q.Model, Version: q.Version, Hops: q.Hops + 1, LocalOnly: src.heldOnly})
 	if err != nil {
 		return nil, err
 	}
--- a/weights/relay_test.go
+++ b/weights/relay_test.go
@@ -231,7 +231,7 @@
 	n.hold(2)
 	_, err := n.relays["b1"].Piece(t.Context(), &peer.GetPiece{Model: testModel, Version: 2, HeldOnly: true})
 	assert.ErrorIs(t, err, ErrNoSource)
-	_, err = n.relays["b1"].Manifest(t.Context(), &peer.GetManifest{Model: testModel, Version: 2, HeldOnly: true})
+	_, err = n.relays["b1"].Manifest(t.Context(), &peer.GetManifest{Model: testModel, Version: 2, LocalOnly: true})
 	assert.ErrorIs(t, err, ErrNoSource)
 	assert.Equal(t, len(n.origin.pieces), 0)
 }
