--- a/peer/weights.go
+++ b/peer/weights.go
@@ -27,8 +27,8 @@
 	Version int
 	Index   int
 	Hops    int // how often the request was passed on
-	// HeldOnly asks only for what the entry holds itself.
-	HeldOnly bool
+	// LocalOnly asks only for what the entry holds itself.
+	LocalOnly bool
 }
 
 // Kind implements Message.
--- a/weights/relay.go
+++ b/weights/relay.go
@@ -235,7 +235,7 @@
 		return h.pieces[q.Index], nil
 	}
 	r.mu.Unlock()
-	if q.HeldOnly {
+	if q.LocalOnly {
 		return nil, ErrNoSource
 	}
 	key := PieceKey(q.Model, q.Version, q.Index)
@@ -310,7 +310,7 @@
 	ctx, cancel := clock.WithTimeout(ctx, r.cfg.PeerTimeout)
 	defer cancel()
 	msg, err := r.call(ctx, src.addr, &peer.GetPiece{Model: q.Model, Version: q.Version, Index: q.Index, Hops: q.Hops + 1,
-		HeldOnly: src.heldOnly})
+		LocalOnly: src.heldOnly})
 	if err != nil {
 		return nil, err
 	}
--- a/weights/relay_test.go
+++ b/weights/relay_test.go
@@ -229,7 +229,7 @@
 func TestHeldOnlyRequestIsNotForwarded(t *testing.T) {
 	n := newNetwork(threeDomains())
 	n.hold(2)
-	_, err := n.relays["b1"].Piece(t.Context(), &peer.GetPiece{Model: testModel, Version: 2, HeldOnly: true})
+	_, err := n.relays["b1"].Piece(t.Context(), &peer.GetPiece{Model: testModel, Version: 2, LocalOnly: true})
 	assert.ErrorIs(t, err, ErrNoSource)
 	_, err = n.relays["b1"].Manifest(t.Context(), &peer.GetManifest{Model: testModel, Version: 2, LocalOnly: true})
 	assert.ErrorIs(t, err, ErrNoSource)
