--- a/agent/requests.go
+++ b/agent/requests.go
@@ -266,7 +266,7 @@
 	case idempotency.Finished:
 		return peer.AttemptFinished
 	}
-	return peer.AttemptGone
+	return peer.AttemptAnswerDiscarded
 }
 
 // leave refuses all queued requests and all that arrive from now on.
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -271,7 +271,7 @@
 		return submission.FenceNotRun
 	case peer.AttemptRunning, peer.AttemptFinished:
 		return submission.FenceRunning
-	case peer.AttemptGone:
+	case peer.AttemptAnswerDiscarded:
 		return submission.FenceFailed
 	}
 	return submission.FenceGone
--- a/peer/request.go
+++ b/peer/request.go
@@ -96,7 +96,7 @@
 	AttemptRefused                      // was refused; it never ran
 	AttemptRunning                      // runs; resume it
 	AttemptFinished                     // finished; the answer can be replayed
-	AttemptGone                         // ran; the answer is no longer held
+	AttemptAnswerDiscarded                         // ran; the answer is no longer held
 )
 
 // FenceReply answers a Fence.
