--- a/peer/conn.go
+++ b/peer/conn.go
@@ -17,10 +17,10 @@
 
 // Limits of a connection.
 const (
-	// window is how many frames of one stream may be on the way unread. It
-	// bounds the memory of a stream to window frames.
+	// window is how many frames of one stream may be sent and not yet read. It
+	// bounds the receive buffer of a stream to window frames.
 	window = 32
-	// creditEvery is how many frames the reader takes before it grants more.
+	// creditEvery is how many frames the receiver reads before it grants new credit.
 	creditEvery      = window / 2
 	writeQueue       = 256
 	bufferSize       = 16 << 10
@@ -30,39 +30,39 @@
 
 // Connection errors.
 var (
-	ErrConnLost  = errors.New("peer: connection lost")
-	ErrReset     = errors.New("peer: stream reset by the other side")
-	ErrProtocol  = errors.New("peer: protocol version not supported")
+	ErrConnLost    = errors.New("peer: connection lost")
+	ErrReset       = errors.New("peer: stream reset by the other side")
+	ErrProtocol    = errors.New("peer: protocol version not supported")
 	ErrFlowControl = errors.New("peer: flow control violated")
 )
 
-// Handler serves a stream that the other side opened. ctx ends with the
-// stream; its cause is ErrReset if the other side closed the stream, and
-// ErrConnLost if the connection broke. The stream is reset when the handler
-// returns without having sent its last message.
+// Handler serves a stream that the peer opened. ctx is cancelled when the
+// stream ends; its cause is ErrReset if the peer closed the stream, and
+// ErrConnLost if the connection broke. The stream is reset if the handler
+// returns before its last message was sent.
 type Handler func(ctx context.Context, s *Stream, first Message)
 
-// Conn is one connection with many streams.
+// Conn is one connection that multiplexes many streams.
 type Conn struct {
-	nc      net.Conn
-	remote  Hello
-	class   Class
-	border  Locality
-	meter   *Meter
-	handler Handler
+	nc       net.Conn
+	remote   Hello
+	class    Class
+	locality Locality
+	meter    *Meter
+	handler  Handler
 
 	out    chan []byte
 	ctx    context.Context
 	cancel context.CancelCauseFunc
 
-	mu      sync.Mutex
-	streams map[uint64]*Stream
-	nextID  uint64
-	used    time.Time // when a stream was last opened here
+	mu         sync.Mutex
+	streams    map[uint64]*Stream
+	nextID     uint64
+	lastOpened time.Time // when this side last opened a stream
 }
 
-// NewConn shakes hands on nc and starts the connection. The dialling side
-// numbers its streams odd, the accepting side even.
+// NewConn performs the handshake on nc and starts the read and write loops.
+// The dialling side opens streams with odd IDs, the accepting side with even IDs.
 //
 // meter counts the bytes of the connection.
 func NewConn(nc net.Conn, self Hello, dialled bool, h Handler, meter *Meter) (*Conn, error) {
@@ -77,8 +77,8 @@
 	if dialled {
 		class = self.Class
 	}
-	c := &Conn{nc: nc, remote: remote, class: min(class, Bulk), border: borderOf(self, remote), meter: meter, handler: h, out: make(chan []byte, writeQueue),
-		ctx: ctx, cancel: cancel, streams: map[uint64]*Stream{}, nextID: 2, used: clock.Now()}
+	c := &Conn{nc: nc, remote: remote, class: min(class, Bulk), locality: localityOf(self, remote), meter: meter, handler: h, out: make(chan []byte, writeQueue),
+		ctx: ctx, cancel: cancel, streams: map[uint64]*Stream{}, nextID: 2, lastOpened: clock.Now()}
 	if dialled {
 		c.nextID = 1
 	}
@@ -118,20 +118,21 @@
 	return *h, nc.SetDeadline(time.Time{})
 }
 
-// Remote returns what the other side said about itself.
+// Remote returns the Hello message of the peer.
 func (c *Conn) Remote() Hello { return c.remote }
 
 // Done is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.ctx.Done() }
 
-// idleFor returns how long no stream has been opened, or zero if one is open.
+// idleFor returns the time since this side last opened a stream, or zero if a stream is
+// open.
 func (c *Conn) idleFor(now time.Time) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.streams) > 0 {
 		return 0
 	}
-	return now.Sub(c.used)
+	return now.Sub(c.lastOpened)
 }
 
 // Close ends the connection; all streams fail with ErrConnLost.
@@ -140,17 +141,17 @@
 	c.nc.Close()
 }
 
-// Open starts a stream with its first message.
+// Open opens a stream and sends its first message.
 func (c *Conn) Open(ctx context.Context, m Message) (*Stream, error) {
 	c.mu.Lock()
 	id := c.nextID
 	c.nextID += 2
 	s := newStream(c, id)
 	c.streams[id] = s
-	c.used = clock.Now()
+	c.lastOpened = clock.Now()
 	c.mu.Unlock()
 	if err := s.send(ctx, flagOpen, m); err != nil {
-		c.drop(id)
+		c.removeStream(id)
 		return nil, err
 	}
 	return s, nil
@@ -166,7 +167,7 @@
 	return s.Recv(ctx)
 }
 
-func (c *Conn) drop(id uint64) {
+func (c *Conn) removeStream(id uint64) {
 	c.mu.Lock()
 	delete(c.streams, id)
 	c.mu.Unlock()
@@ -204,7 +205,8 @@
 	}
 }
 
-// writeBatch writes b and all that is queued behind it, then flushes.
+// writeBatch writes b and all frames queued behind it, then flushes. It reports whether
+// that worked.
 func (c *Conn) writeBatch(w *bufio.Writer, b []byte) bool {
 	if c.nc.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil {
 		return false
@@ -213,7 +215,7 @@
 		if _, err := w.Write(b); err != nil {
 			return false
 		}
-		c.meter.sent(c.class, c.border, b)
+		c.meter.sent(c.class, c.locality, b)
 		select {
 		case b = <-c.out:
 		default:
@@ -253,7 +255,7 @@
 	case s != nil:
 		return s.push(f)
 	case f.flags&flagOpen == 0:
-		return nil // late frame of a stream that is closed here
+		return nil // late frame of a stream that this side has closed
 	}
 	return c.accept(f)
 }
@@ -264,7 +266,7 @@
 		return err
 	}
 	s := newStream(c, f.stream)
-	s.taken = 1
+	s.unacked = 1
 	if f.flags&flagFin != 0 {
 		s.finish()
 	}
@@ -274,7 +276,7 @@
 	go func() {
 		defer s.Close()
 		if c.handler != nil {
-			c.handler(s.failed, s, m)
+			c.handler(s.ctx, s, m)
 		}
 	}()
 	return nil
--- a/peer/control.go
+++ b/peer/control.go
@@ -4,20 +4,20 @@
 	"github.com/springgate/springgate/digest"
 )
 
-// Heartbeat is exchanged between control nodes. It carries only what the
-// sender says about itself and leaving notices that their subjects made.
+// Heartbeat is exchanged between control nodes. It carries only the sender's own
+// state and leaving notices that the leaving hosts issued themselves.
 type Heartbeat struct {
 	Host        string
 	Incarnation uint64
 	Leaving     bool
 	Revision    uint64
 	Digest      digest.Digest
-	HeadAgeMs   int64 // age of the last proof that the head is current
+	HeadAgeMs   int64 // time since the head was last confirmed as current
 	HostsSerial uint64
 	Notices     []Notice
 }
 
-// Notice is a host's own statement that an incarnation is leaving.
+// Notice is issued by a host and announces that one of its incarnations is leaving.
 type Notice struct {
 	Host        string
 	Incarnation uint64
@@ -29,19 +29,19 @@
 // GetPart asks for a part of the fleet file.
 type GetPart struct{ Digest digest.Digest }
 
-// GetHosts asks for the newest host list that the peer has.
+// GetHosts asks for the newest host list known to the peer.
 type GetHosts struct{}
 
-// Blob is a byte string; Found is false if the peer has none. Coming then says
-// that it is about to get it.
+// Blob is a byte string. Found is false if the peer does not have it; Pending then
+// says that the peer is receiving it.
 type Blob struct {
-	Found  bool
+	Found   bool
 	Pending bool
-	Data   []byte
+	Data    []byte
 }
 
-// Have tells which chunks of a manifest the sender holds. Bits is a bitmap;
-// More lists chunks gained since the last message when Bits is empty.
+// Have reports which chunks of a manifest the sender stores. Bits is a bitmap. If
+// Bits is empty, More lists the chunks added since the last message.
 type Have struct {
 	Manifest digest.Digest
 	Count    int
@@ -49,9 +49,9 @@
 	More     []uint32
 }
 
-// GetChunk asks for a chunk or a manifest by its digest. If Manifest is set,
-// the peer may hold the question for HoldMs while the chunk with that index is
-// on its way to it.
+// GetChunk asks for a chunk or a manifest by its digest. If Manifest is set, the
+// peer may delay the reply for up to WaitMs while it is receiving the chunk with
+// that index.
 type GetChunk struct {
 	Digest   digest.Digest
 	Manifest digest.Digest
@@ -59,8 +59,8 @@
 	WaitMs   int64
 }
 
-// KeyFence asks an earlier home of an idempotency key what it knows and
-// forbids the key to start there afterwards.
+// KeyFence asks an earlier home of an idempotency key whether it has a record of
+// the key, and prevents the key from starting there afterwards.
 type KeyFence struct{ Service, Team, Key string }
 
 // KeyFenceReply answers a KeyFence.
@@ -69,14 +69,14 @@
 	Fenced bool // no record existed; the key can no longer start there
 }
 
-// Permit asks the issuer of a service for leave to switch versions, or renews
-// a permit. With Done it is given back; with Out the host only tells that its
-// engine does not serve.
+// Permit asks the issuer of a service for permission to switch versions, or renews
+// a permit. Release returns the permit; NotServing only reports that the engine of
+// the host does not serve.
 type Permit struct {
-	Service string
-	Host    string
+	Service    string
+	Host       string
 	Release    bool
-	NotServing     bool
+	NotServing bool
 }
 
 // PermitReply answers a Permit.
@@ -86,36 +86,36 @@
 	RetryMs int64
 }
 
-// GetNodeStatus asks a process for its control state.
+// GetNodeStatus asks a process for its control-plane state.
 type GetNodeStatus struct{}
 
-// NodeStatus is the control state of a process, for operators.
+// NodeStatus is the control-plane state of a process, for operators.
 type NodeStatus struct {
 	Host        string
 	Domain      string
 	Role        string
 	Incarnation uint64
-	Format      int // newest fleet file format it accepts
+	Format      int // newest fleet file format that the process accepts
 	Revision    uint64
 	Digest      digest.Digest
-	Pending     uint64 // highest revision that waits for parts; 0 if none
-	Rejected    uint64 // highest revision rejected above the one in force
+	Pending     uint64 // highest revision with missing parts; 0 if none
+	Rejected    uint64 // highest rejected revision above the one in force; 0 if none
 	RejectedFor string
 	HeadAgeMs   int64
 	Reader      bool
 	Awake       bool
 	Leaving     bool
 	HostsSerial uint64
-	Target      Status // zero for an entry
+	Target      Status // zero value for an entry
 }
 
-// GetHistory asks which hosts the services had under earlier revisions.
+// GetHistory asks for the hosts of the services under earlier revisions.
 type GetHistory struct{}
 
 // History answers GetHistory.
 type History struct {
-	KnownForMs int64  // how far back the sender knows all revisions
-	Revision   uint64 // and up to which
+	KnownForMs int64  // time for which the sender has known every revision
+	Revision   uint64 // newest revision that this covers
 	Past       []PastHosts
 }
 
--- a/peer/crashes.go
+++ b/peer/crashes.go
@@ -1,7 +1,8 @@
 package peer
 
-// Crashes tells which requests targets ended under, and which of these have ended well.
-// Requests are named by a keyed hash of their content; neither body nor API key is sent.
+// Crashes reports request contents that were in progress on a target when it crashed, and
+// which of these contents later ran without a crash. A request is identified by a keyed
+// hash of its content; neither body nor API key is sent.
 type Crashes struct {
 	Crashes   []CrashReport
 	Survivals []SurvivalReport
@@ -10,17 +11,18 @@
 // Kind implements Message.
 func (*Crashes) Kind() Kind { return kindCrashes }
 
-// CrashReport is a life of a target that ended while a content was at work there.
+// CrashReport reports that a target's process ended while a request content was in
+// progress there.
 type CrashReport struct {
-	Content []byte // fingerprint
-	Target  string // instance ID
-	StartMs    int64  // when that life began, Unix milliseconds; 0 if not known
-	AgeMs   int64  // since the connection broke
-	Reporter    string // of the entry that saw it
-	Retracted    bool   // the target was heard again: it had not ended
+	Content   []byte // fingerprint
+	Target    string // instance ID
+	StartMs   int64  // start of that process, Unix milliseconds; 0 if unknown
+	AgeMs     int64  // since the connection broke
+	Reporter  string // host of the entry that observed the crash
+	Retracted bool   // the same process responded again: it had not crashed
 }
 
-// SurvivalReport is a run of a content that a target survived.
+// SurvivalReport reports that a target completed a request content without a crash.
 type SurvivalReport struct {
 	Content []byte
 	AgeMs   int64
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -1,6 +1,6 @@
-// Package peer is the protocol between the processes of the system: frames
-// over TCP with msgpack payloads, a handshake, and many streams with
-// per-stream flow control on one connection.
+// Package peer implements the protocol between the processes of the system:
+// frames over TCP with msgpack payloads, a handshake, and multiplexed streams
+// with per-stream flow control.
 package peer
 
 import (
@@ -12,13 +12,13 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Frame layout: length (4 bytes, of what follows), kind, flags, stream (8
-// bytes), payload.
+// Frame layout: length of the rest of the frame (4 bytes), kind (1 byte), flags
+// (1 byte), stream ID (8 bytes), payload.
 const (
 	lengthSize = 4
 	headSize   = 10
-	// MaxFrame bounds the payload of one frame in bytes. It holds a weight
-	// chunk of 8 MiB with room for its envelope.
+	// MaxFrame bounds the payload of one frame in bytes. It fits a weight
+	// chunk of 8 MiB and the fields around it.
 	MaxFrame = 8<<20 + 4096
 )
 
@@ -50,7 +50,8 @@
 	enc := msgpack.GetEncoder()
 	defer msgpack.PutEncoder(enc)
 	enc.Reset(&payload)
-	// Fields go by position, not by name: status messages are many and small.
+	// Structs are encoded as arrays, without field names: status messages are
+	// frequent and small.
 	enc.UseArrayEncodedStructs(true)
 	if err := enc.Encode(m); err != nil {
 		return nil, errors.Wrap(err, "peer: encode")
--- a/peer/message.go
+++ b/peer/message.go
@@ -58,7 +58,8 @@
 	kindCount // one more than the last kind
 )
 
-// newMessage returns an empty message of the given kind, or nil.
+// newMessage returns an empty message of the given kind, or nil if the kind has no
+// message type.
 func newMessage(k Kind) Message {
 	switch k {
 	case kindHello:
--- a/peer/meter.go
+++ b/peer/meter.go
@@ -7,46 +7,47 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// Locality tells whether two processes stand in the same failure domain.
+// Locality tells whether two processes are in the same failure domain.
 type Locality uint8
 
-// Borders.
+// Localities of two processes.
 const (
-	SameDomain Locality = iota // the same failure domain
+	SameDomain Locality = iota // same failure domain
 	OtherDomain
 )
 
-// String returns the name of the border in metrics.
+// String returns the name used in metrics.
 func (b Locality) String() string { return [...]string{"near", "far"}[b] }
 
-func borderOf(a, b Hello) Locality {
+func localityOf(a, b Hello) Locality {
 	if a.Domain == b.Domain {
 		return SameDomain
 	}
 	return OtherDomain
 }
 
-// Meter counts the bytes that a process exchanges with others: by class, and what is
-// sent also by kind of message and by border. Links between failure domains carry all
-// traffic together, so what grows there with the fleet has to be seen.
+// Meter counts the bytes that a process exchanges with its peers: by connection class,
+// and for sent bytes also by message kind and locality. The links between failure domains
+// are shared by all traffic, so traffic there that grows with the fleet must be visible.
 type Meter struct {
 	in, out [Bulk + 1]atomic.Int64
-	byKind  [OtherDomain + 1][kindCount]traffic
+	byKind  [OtherDomain + 1][kindCount]sentTotals
 }
 
-// traffic is what was sent of one kind of message.
-type traffic struct{ bytes, messages atomic.Int64 }
+// sentTotals counts the bytes and messages sent of one kind.
+type sentTotals struct{ bytes, messages atomic.Int64 }
 
-// Bytes returns how many bytes of a class were received and sent.
+// Bytes returns the number of bytes received and sent on connections of a class.
 func (m *Meter) Bytes(c Class) (in, out int64) { return m.in[c].Load(), m.out[c].Load() }
 
-// Sent returns how many bytes and messages of a kind were sent over a border.
+// Sent returns the number of bytes and messages of a kind sent to peers of a locality.
 func (m *Meter) Sent(b Locality, k Kind) (bytes, messages int64) {
 	t := &m.byKind[b][k]
 	return t.bytes.Load(), t.messages.Load()
 }
 
-// SentAll returns how many bytes and messages of all kinds were sent over a border.
+// SentAll returns the number of bytes and messages of all kinds sent to peers of a
+// locality.
 func (m *Meter) SentAll(b Locality) (bytes, messages int64) {
 	for k := range Kind(kindCount) {
 		n, count := m.Sent(b, k)
@@ -55,7 +56,7 @@
 	return bytes, messages
 }
 
-// sent counts an encoded frame.
+// sent counts one sent frame in its encoded form.
 func (m *Meter) sent(c Class, b Locality, frame []byte) {
 	n := int64(len(frame))
 	m.out[c].Add(n)
@@ -64,7 +65,7 @@
 	t.messages.Add(1)
 }
 
-// Register adds a gauge of the bytes sent for each kind of message and border.
+// Register adds a gauge of the bytes sent for each message kind and locality.
 func (m *Meter) Register(r metrics.Registry) error {
 	for k := Kind(1); k < kindCount; k++ {
 		for _, b := range []Locality{SameDomain, OtherDomain} {
@@ -78,7 +79,7 @@
 	return nil
 }
 
-// kindName returns the name of a message type as it stands in metrics.
+// kindName returns the name of a message kind in metrics.
 func kindName(k Kind) string {
 	switch k {
 	case kindCredit:
--- a/peer/meter_test.go
+++ b/peer/meter_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Bytes are counted by kind of message and by whether the other side stands in the same
-// failure domain.
-func TestMeterTellsKindsAndBordersApart(t *testing.T) {
+// Sent bytes are counted by message kind and by whether the peer is in the same failure
+// domain.
+func TestMeterCountsByKindAndLocality(t *testing.T) {
 	meter := &Meter{}
 	for domain, calls := range map[string]int{"a": 1, "b": 3} {
 		near, far := net.Pipe()
--- a/peer/mirror.go
+++ b/peer/mirror.go
@@ -2,15 +2,15 @@
 
 // MirrorRead asks for a peer's copy of the store. The reply is a MirrorBatch.
 type MirrorRead struct {
-	All    bool  // all of it; otherwise changes after a revision
+	All    bool  // read all keys; otherwise the changes after revision After
 	After  int64 // revision of the store
-	WaitMs int64 // how long to wait for changes
+	WaitMs int64 // longest wait for changes
 }
 
 // Kind implements Message.
 func (*MirrorRead) Kind() Kind { return kindMirrorRead }
 
-// MirrorEvent is one changed key of the store.
+// MirrorEvent is a change of one key in the store.
 type MirrorEvent struct {
 	Key      string
 	Value    []byte
@@ -18,14 +18,14 @@
 	Deleted  bool
 }
 
-// MirrorStatus tells whether a MirrorRead was served.
+// MirrorStatus is the result of a MirrorRead.
 type MirrorStatus uint8
 
 // Results of a MirrorRead.
 const (
-	MirrorOK MirrorStatus = iota
-	MirrorCompacted
-	MirrorEmpty // the peer has read nothing itself yet
+	MirrorOK        MirrorStatus = iota
+	MirrorCompacted              // the changes after the requested revision are no longer available
+	MirrorEmpty                  // the peer has no copy of the store yet
 )
 
 // MirrorBatch answers a MirrorRead.
@@ -33,9 +33,9 @@
 	Status   MirrorStatus
 	Events   []MirrorEvent
 	Revision int64
-	UpTo     int64 // changes up to this may be in a whole copy too, but not all
-	AgeMs    int64 // since the store was known to agree with the copy, at most
-	WaitedMs   int64 // how long the peer held the question, at most that
+	UpTo     int64 // a read of all keys may contain some, but not all, of the changes up to this revision
+	AgeMs    int64 // upper bound of the time since the copy was known to match the store
+	WaitedMs int64 // lower bound of the time that the peer waited for changes
 }
 
 // Kind implements Message.
--- a/peer/notice.go
+++ b/peer/notice.go
@@ -6,22 +6,23 @@
 	"github.com/springgate/springgate/notice"
 )
 
-// TargetNotice is what an entry believes of a target by what that says of itself.
+// TargetNotice is an entry's latest information about a target from the target's own
+// announcements.
 type TargetNotice struct {
-	Instance string
-	StartMs     int64
-	LimitDeclared  bool    // it has named a limit
-	PerS     float64 // the limit, in requests a second
-	LimitRevision     uint64  // of two notices of a limit the one with the higher turn is newer
-	Leaving  bool
+	Instance      string
+	StartMs       int64
+	LimitDeclared bool    // the target has announced a limit
+	PerS          float64 // the limit, in requests per second
+	LimitRevision uint64  // the notice with the highest revision is the newest
+	Leaving       bool
 }
 
-// EncodeNotice returns a belief as a message has it.
+// EncodeNotice converts a report to its wire form.
 func EncodeNotice(t notice.Report) TargetNotice {
 	return TargetNotice{Instance: t.Target, StartMs: t.StartMs, LimitDeclared: t.Limit.Declared, PerS: t.Limit.PerS, LimitRevision: t.LimitRevision, Leaving: t.Leaving}
 }
 
-// Decode returns the belief; ok is false if there is none that can be believed.
+// Decode converts a notice to a report; ok is false if the notice is empty or invalid.
 func (n TargetNotice) Decode() (t notice.Report, ok bool) {
 	if n.Instance == "" || math.IsNaN(n.PerS) || n.PerS < 0 || n.LimitRevision == 0 && !n.Leaving {
 		return notice.Report{}, false
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -13,21 +13,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// pair connects two ends over an in-memory pipe.
+// pair returns the two ends of a connection over an in-memory pipe.
 func pair(t *testing.T, h Handler) (client, server *Conn) {
 	t.Helper()
 	a, b := net.Pipe()
-	made := make(chan *Conn, 1)
+	accepted := make(chan *Conn, 1)
 	go func() {
 		c, err := NewConn(b, Hello{Host: "server", Incarnation: 7}, false, h, &Meter{})
 		if err != nil {
 			panic(err)
 		}
-		made <- c
+		accepted <- c
 	}()
 	client, err := NewConn(a, Hello{Host: "client"}, true, nil, &Meter{})
 	assert.NilError(t, err)
-	server = <-made
+	server = <-accepted
 	t.Cleanup(func() { client.Close(); server.Close() })
 	return client, server
 }
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// A sender whose receiver does not read must stop after the window.
+// A sender must block after window frames if the receiver does not read.
 func TestBackPressure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sent := 0
@@ -107,29 +107,29 @@
 	})
 }
 
-func TestResetAndLossAreTold(t *testing.T) {
-	cause, begun := make(chan error, 1), make(chan struct{}, 2)
+func TestResetAndConnectionLossAreReported(t *testing.T) {
+	cause, started := make(chan error, 1), make(chan struct{}, 2)
 	c, server := pair(t, func(ctx context.Context, _ *Stream, _ Message) {
-		begun <- struct{}{}
+		started <- struct{}{}
 		<-ctx.Done()
 		cause <- context.Cause(ctx)
 	})
 	s, err := c.Open(t.Context(), &Watch{})
 	assert.NilError(t, err)
-	<-begun
+	<-started
 	s.Close()
 	assert.ErrorIs(t, <-cause, ErrReset)
 
 	s, err = c.Open(t.Context(), &Watch{})
 	assert.NilError(t, err)
-	<-begun
+	<-started
 	server.Close()
 	_, err = s.Recv(t.Context())
 	assert.ErrorIs(t, err, ErrConnLost)
 	assert.ErrorIs(t, <-cause, ErrConnLost)
 }
 
-func TestHandshakeRefusesOtherProtocols(t *testing.T) {
+func TestHandshakeRejectsOtherProtocolVersions(t *testing.T) {
 	a, b := net.Pipe()
 	go func() {
 		f, _ := encodeFrame(0, 0, &Hello{Protocol: Protocol + 1})
@@ -140,7 +140,7 @@
 	assert.ErrorIs(t, err, ErrProtocol)
 }
 
-func TestPoolDialsAgain(t *testing.T) {
+func TestPoolRedials(t *testing.T) {
 	h := func(ctx context.Context, s *Stream, m Message) { _ = s.SendLast(ctx, m) }
 	srv, err := Listen("127.0.0.1:0", Hello{Host: "s"}, h, &Meter{})
 	assert.NilError(t, err)
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -12,8 +12,8 @@
 	"github.com/springgate/springgate/httpclient"
 )
 
-// Class separates connections by purpose, so that bulk data never delays
-// requests and heartbeats.
+// Class is the purpose of a connection. Each class has connections of its own, so that
+// bulk data does not delay requests and heartbeats.
 type Class uint8
 
 // Connection classes.
@@ -29,8 +29,8 @@
 // ErrDial is the cause of every failed connection attempt: nothing was sent.
 var ErrDial = errors.New("peer: dial failed")
 
-// errSlotGone means that the pool has taken out the slot that a caller waited for.
-var errSlotGone = errors.New("peer: slot taken out of the pool")
+// errSlotRemoved means that the pool removed the slot while a caller waited for it.
+var errSlotRemoved = errors.New("peer: slot taken out of the pool")
 
 type poolKey struct {
 	addr  string
@@ -39,22 +39,22 @@
 
 // slot holds the connection for one key of a pool.
 type slot struct {
-	// gone is set when the pool has taken the slot out; nobody may dial on it then.
-	gone atomic.Bool
+	// removed is set when the pool removes the slot; no caller may dial on it afterwards.
+	removed atomic.Bool
 
 	mu   sync.Mutex // held while dialling
 	conn *Conn
 }
 
-// DialFunc opens a connection to a process's peer listener.
+// DialFunc opens a connection to the peer listener of a process.
 type DialFunc func(ctx context.Context, addr string) (net.Conn, error)
 
-// dialTCP gives up after dialTimeout and notices a silent peer.
+// dialTCP dials with dialTimeout; keep-alive probes detect a peer that stops responding.
 func dialTCP(ctx context.Context, addr string) (net.Conn, error) {
 	return httpclient.Dialer(dialTimeout).DialContext(ctx, "tcp", addr)
 }
 
-// Pool keeps one connection for each address and class.
+// Pool maintains one connection for each address and class.
 type Pool struct {
 	self     Hello
 	handler  Handler
@@ -66,13 +66,13 @@
 	closed bool
 }
 
-// NewPool returns a pool whose connections say self, serve streams by h and
-// are counted by meter.
+// NewPool returns a pool whose connections send self in the handshake, serve streams that
+// peers open with h and are counted by meter.
 func NewPool(self Hello, h Handler, meter *Meter) *Pool {
 	return NewPoolWithDialer(dialTCP, self, h, meter)
 }
 
-// NewPoolWithDialer is NewPool over another network than TCP.
+// NewPoolWithDialer is like NewPool, but dials with d instead of TCP.
 func NewPoolWithDialer(d DialFunc, self Hello, h Handler, meter *Meter) *Pool {
 	return &Pool{self: self, handler: h, meter: meter, dialAddr: d, slots: map[poolKey]*slot{}}
 }
@@ -80,15 +80,15 @@
 // Meter returns the counters of the pool.
 func (p *Pool) Meter() *Meter { return p.meter }
 
-// Len returns how many connections are open.
+// Len returns the number of slots, each with at most one open connection.
 func (p *Pool) Len() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.slots)
 }
 
-// Get returns a live connection, dialling if there is none. It fails with ErrDial, also
-// after Close.
+// Get returns an open connection, dialling if there is none. A failed dial and a call
+// after Close return ErrDial.
 func (p *Pool) Get(ctx context.Context, addr string, class Class) (*Conn, error) {
 	for {
 		s, err := p.slot(poolKey{addr, class})
@@ -96,13 +96,13 @@
 			return nil, err
 		}
 		c, err := p.connect(ctx, s, addr, class)
-		if !errors.Is(err, errSlotGone) {
+		if !errors.Is(err, errSlotRemoved) {
 			return c, err
 		}
 	}
 }
 
-// slot returns the slot of a key, a new one if there is none.
+// slot returns the slot of a key and creates it if there is none.
 func (p *Pool) slot(k poolKey) (*slot, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -117,18 +117,18 @@
 	return s, nil
 }
 
-// connect returns the live connection of a slot, dialling if there is none. It fails with
-// errSlotGone if the pool took the slot out meanwhile.
+// connect returns the open connection of a slot, dialling if there is none. It returns
+// errSlotRemoved if the pool has removed the slot.
 func (p *Pool) connect(ctx context.Context, s *slot, addr string, class Class) (*Conn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.gone.Load() {
-		return nil, errSlotGone
+	if s.removed.Load() {
+		return nil, errSlotRemoved
 	}
 	if s.conn != nil && s.conn.ctx.Err() == nil {
 		return s.conn, nil
 	}
-	if err := ctx.Err(); err != nil { // it ended while another caller dialled
+	if err := ctx.Err(); err != nil { // ctx ended while another caller was dialling
 		return nil, errors.Wrap(ErrDial, err.Error())
 	}
 	c, err := p.dial(ctx, addr, class)
@@ -164,7 +164,7 @@
 	return c.Call(ctx, m)
 }
 
-// Keep closes connections to addresses that keep reports false for.
+// Keep closes the connections to all addresses for which keep returns false.
 func (p *Pool) Keep(keep func(addr string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,13 +172,13 @@
 		if keep(k.addr) {
 			continue
 		}
-		p.takeOut(k, s)
+		p.removeSlot(k, s)
 		go s.close()
 	}
 }
 
-// CloseIdle closes connections on which no stream is open and none has been
-// opened for limit, so that their number follows what is in use.
+// CloseIdle closes connections on which no stream is open and none was opened
+// for longer than limit, so that unused connections do not accumulate.
 func (p *Pool) CloseIdle(now time.Time, limit time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -187,7 +187,7 @@
 			continue // being dialled
 		}
 		if s.conn == nil || s.conn.ctx.Err() != nil || s.conn.idleFor(now) > limit {
-			p.takeOut(k, s)
+			p.removeSlot(k, s)
 			if s.conn != nil {
 				s.conn.Close()
 			}
@@ -196,13 +196,14 @@
 	}
 }
 
-// takeOut removes a slot; p.mu is held. Its connection is the caller's to close.
-func (p *Pool) takeOut(k poolKey, s *slot) {
+// removeSlot removes a slot. The caller must hold p.mu and close the slot's connection.
+func (p *Pool) removeSlot(k poolKey, s *slot) {
 	delete(p.slots, k)
-	s.gone.Store(true)
+	s.removed.Store(true)
 }
 
-// Close closes all connections, also those that are being dialled. The pool dials no more.
+// Close closes all connections, including those that are being dialled, and makes Get
+// fail.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -230,7 +231,7 @@
 	closed bool
 }
 
-// Listen starts a server on addr whose connections are counted by meter.
+// Listen starts a server on addr. Its connections are counted by meter.
 func Listen(addr string, self Hello, h Handler, meter *Meter) (*Server, error) {
 	lc := httpclient.ListenConfig()
 	ln, err := lc.Listen(context.Background(), "tcp", addr)
--- a/peer/pool_test.go
+++ b/peer/pool_test.go
@@ -12,13 +12,13 @@
 	"gotest.tools/v3/poll"
 )
 
-// memoryNet dials connections in memory and counts those that are open.
+// memoryNet dials in-memory connections and counts the open ones.
 type memoryNet struct {
 	dialled, open atomic.Int64
-	held          chan struct{} // if not nil, dials wait until it is closed
+	dialGate      chan struct{} // if not nil, dials block until it is closed
 }
 
-// countedConn is one end of a connection in memory.
+// countedConn is one end of an in-memory connection.
 type countedConn struct {
 	net.Conn
 	once sync.Once
@@ -33,8 +33,8 @@
 
 func (n *memoryNet) dial(context.Context, string) (net.Conn, error) {
 	n.dialled.Add(1)
-	if n.held != nil {
-		<-n.held
+	if n.dialGate != nil {
+		<-n.dialGate
 	}
 	near, far := net.Pipe()
 	n.open.Add(1)
@@ -46,7 +46,7 @@
 	return &countedConn{Conn: near, open: &n.open}, nil
 }
 
-func (n *memoryNet) allClosed(t *testing.T) {
+func (n *memoryNet) waitAllClosed(t *testing.T) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if left := n.open.Load(); left > 0 {
@@ -56,7 +56,7 @@
 	}, poll.WithTimeout(5*time.Second))
 }
 
-func TestClosedPoolDialsNoMore(t *testing.T) {
+func TestClosedPoolDoesNotDial(t *testing.T) {
 	n := &memoryNet{}
 	p := NewPoolWithDialer(n.dial, Hello{Host: "c"}, nil, &Meter{})
 	_, err := p.Get(t.Context(), "a", Control)
@@ -65,14 +65,14 @@
 	_, err = p.Get(t.Context(), "a", Control)
 	assert.ErrorIs(t, err, ErrDial)
 	assert.Equal(t, n.dialled.Load(), int64(1))
-	n.allClosed(t)
+	n.waitAllClosed(t)
 }
 
-// A caller that waits for an address while the pool lets go of it ends with a connection
-// that the pool knows and closes.
-func TestPoolKnowsEveryOpenConnection(t *testing.T) {
+// A caller that waits for a slot while the pool removes it must get a connection that the
+// pool tracks. Otherwise the connection stays open after Close.
+func TestPoolTracksEveryOpenConnection(t *testing.T) {
 	const rounds = 300
-	for name, letGo := range map[string]func(p *Pool){
+	for name, remove := range map[string]func(p *Pool){
 		"address left": func(p *Pool) { p.Keep(func(string) bool { return false }) },
 		"idle":         func(p *Pool) { p.CloseIdle(time.Now().Add(time.Hour), 0) },
 	} {
@@ -86,20 +86,20 @@
 				s.mu.Lock()
 				var callers sync.WaitGroup
 				callers.Go(func() { _, _ = p.Get(t.Context(), "a", Control) })
-				time.Sleep(time.Millisecond) // the caller waits for the slot now, mostly
+				time.Sleep(time.Millisecond) // usually enough for the caller to wait for the slot
 				s.mu.Unlock()
-				letGo(p)
+				remove(p)
 				callers.Wait()
 			}
 			p.Close()
-			n.allClosed(t)
+			n.waitAllClosed(t)
 		})
 	}
 }
 
-// A caller that was dialling when the pool was closed leaves no connection behind.
-func TestPoolClosedWhileItDials(t *testing.T) {
-	n := &memoryNet{held: make(chan struct{})}
+// A dial in progress when the pool is closed must not leave an open connection behind.
+func TestPoolClosedWhileDialling(t *testing.T) {
+	n := &memoryNet{dialGate: make(chan struct{})}
 	p := NewPoolWithDialer(n.dial, Hello{Host: "c"}, nil, &Meter{})
 	const callers = 8
 	var all sync.WaitGroup
@@ -113,8 +113,8 @@
 		return poll.Success()
 	})
 	p.Close()
-	close(n.held)
+	close(n.dialGate)
 	all.Wait()
 	assert.Equal(t, n.dialled.Load(), int64(1))
-	n.allClosed(t)
+	n.waitAllClosed(t)
 }
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -1,44 +1,44 @@
 package peer
 
-// Presence is what a process says about itself when it opens a link, and at
-// intervals.
+// Presence is the state that a process reports about itself when it opens a link, and
+// periodically after that.
 type Presence struct {
 	Host        string
 	Role        string
 	Domain      string
-	Addr        string // of its peer listener; empty if it has none
-	Service     string // of the engine beside an agent
-	EngineAddr      string // address of the engine beside an agent
-	PiecesAddr      string // address where an agent hands out staged pieces
+	Addr        string // address of the peer listener; empty if the process has none
+	Service     string // service of the engine next to an agent
+	EngineAddr  string // address of the engine next to an agent
+	PiecesAddr  string // address on which an agent serves staged pieces
 	Incarnation uint64
-	Revision    int64 // how far its copy of the store reaches
+	Revision    int64 // store revision of the process's copy
 	Leaving     bool
-	// LinkMbps is the rate of the host's link; 0 if not known.
+	// LinkMbps is the rate of the host's link; 0 if unknown.
 	LinkMbps float64
 	Store    StoreStatus
 }
 
-// StoreStatus is what an entry says of its own calls to the store.
+// StoreStatus is the state of an entry's own calls to the store.
 type StoreStatus struct {
-	// Known is true if one has worked. AgeMs is then how long before ClockMs the
-	// store was seen, at most; it had nothing beyond the Revision that the entry
-	// tells with this.
+	// Known is true if a call has succeeded. AgeMs is then an upper bound of the time
+	// between the last contact with the store and UptimeMs; at that contact the store had
+	// no changes after the Revision sent in the same message.
 	Known   bool
 	AgeMs   int64
-	Failing bool // the newest call failed or is overdue
-	// UptimeMs is the entry's monotonic clock when it wrote this, from its start.
+	Failing bool // the latest call failed or is overdue
+	// UptimeMs is the entry's time since process start when it created the message.
 	UptimeMs int64
 }
 
 // Kind implements Message.
 func (*Presence) Kind() Kind { return kindPresence }
 
-// FastLinkRatio is the part of the fastest link's rate from which on a host carries
-// bulk traffic.
+// FastLinkRatio is the least link rate, as a ratio of the fastest link's rate, at which a
+// host carries bulk traffic.
 const FastLinkRatio = 0.5
 
 // FastLinks returns the hosts that should carry bulk traffic: those whose links are
-// not much slower than the fastest. The others need theirs for live requests.
+// not much slower than the fastest one. The slower links are reserved for requests.
 func FastLinks(list []Presence) []Presence {
 	most := 0.0
 	for _, p := range list {
@@ -53,128 +53,130 @@
 	return out
 }
 
-// Presences answers a Presence with what the peer knows of the entries, and what it
-// learns later, each entry once.
+// Presences answers a Presence with the entries known to the peer. Entries that the
+// peer discovers later follow in further messages; each entry is sent once.
 type Presences struct {
-	Sender Presence   // to agents: set in the first one, and again when it begins to leave
-	Others []Presence // to agents: those that they may link to
-	Addrs  []string   // to entries
+	Sender Presence   // to agents: the sender; set in the first message, and again when the sender starts to leave
+	Others []Presence // to agents: the entries that they may link to
+	Addrs  []string   // to entries: addresses of entries
 }
 
 // Kind implements Message.
 func (*Presences) Kind() Kind { return kindPresences }
 
-// Loads tells what an entry has in flight at targets, on the stream that it
-// opened with its Presence.
+// Loads reports the requests that an entry has in flight at targets. It is sent on the
+// stream that the entry opened with its Presence.
 type Loads struct {
-	Full     bool  // all targets; otherwise those that changed
+	Full     bool  // lists all targets; otherwise only those that changed
 	Leaving  bool  // the entry is leaving
-	Revision int64 // how far its copy of the store reaches
+	Revision int64 // store revision of the entry's copy
 	Store    StoreStatus
-	Digest   uint64 // of its copy at Revision; 0 if not told
+	Digest   uint64 // digest of the entry's copy at Revision; 0 if not sent
 	Targets  []TargetLoad
-	// CrashDigest is of what the entry knows of requests under which targets ended; 0 if
-	// not told.
+	// CrashDigest is the digest of the entry's crash records; 0 if not sent.
 	CrashDigest uint64
-	// Versions are those that the operators named lately, with the earliest moment at
-	// which an entry saw that; in full accounts only.
+	// Versions are those that the operators announced recently, with the time since an
+	// entry first observed the announcement. Sent if Full only.
 	Versions []SeenVersion
-	// Notices are what targets say of themselves, in full accounts only.
+	// Notices are the targets' own announcements. Sent if Full only.
 	Notices []TargetNotice
 }
 
 // Kind implements Message.
 func (*Loads) Kind() Kind { return kindLoads }
 
-// SeenVersion is a version of a model, and for how long it has been seen named.
+// SeenVersion is an announced version of a model and the time since an entry first
+// observed the announcement.
 type SeenVersion struct {
 	Model   string
 	Version int
 	AgeMs   int64
 }
 
-// TargetLoad is one entry's share of the load of one target; zero if it has
-// nothing there any more.
+// TargetLoad is one entry's share of the load of one target. It is zero if the entry has
+// no more requests there.
 type TargetLoad struct {
-	Instance string
-	Requests int // sent and not answered in full
-	PendingPrefill   int // prompt tokens of requests without a first event
-	// Silent is true if the target has work of the entry and sends nothing; Responsive
-	// if it sent something lately.
+	Instance       string
+	Requests       int // sent and not completely answered
+	PendingPrefill int // prompt tokens of requests without a first event
+	// Silent is true if the target has requests of the entry in flight and sends nothing;
+	// Responsive is true if it sent something recently.
 	Silent, Responsive bool
 }
 
-// EngineState is what the agent beside an engine says about it.
+// EngineState is the state of an engine as reported by the agent next to it.
 type EngineState struct {
-	Addr    string // address that the engine serves on
+	Addr    string // address on which the engine serves
 	Model   string
-	Version int    // served whole; 0 is none
-	Loading bool   // an order is in progress: new requests would wait
-	Seq     uint64 // counts the agent's reports; the highest of an incarnation counts
-	StartMs    int64  // when the engine was started, Unix milliseconds; 0 if not known
-	Forward bool   // the entry is to pass this on to all others
+	Version int    // version that the engine serves completely; 0 if none
+	Loading bool   // an order to load a version is in progress: new requests would wait
+	Seq     uint64 // sequence number of the agent's reports; the highest one of an incarnation is in force
+	StartMs int64  // start of the engine's process, Unix milliseconds; 0 if unknown
+	Forward bool   // the entry is to forward this report to all other entries
 }
 
 // Kind implements Message.
 func (*EngineState) Kind() Kind { return kindEngineState }
 
-// RelayedState is an agent's report that an entry passes on to others.
+// RelayedState is an agent's report that an entry forwards to other entries.
 type RelayedState struct {
-	EngineAddr, PiecesAddr, Domain string // of the agent's Presence, likewise Incarnation
-	Incarnation            uint64
-	State                  EngineState
-	Withdrawn                   bool // the entry does not pass on reports of this engine any more
+	EngineAddr, PiecesAddr, Domain string // from the agent's Presence, like Incarnation
+	Incarnation                    uint64
+	State                          EngineState
+	Withdrawn                      bool // the entry no longer forwards reports of this engine
 }
 
-// EngineStates are the reports of agents that are linked to the sender and not, or not
-// all, to the receiver.
+// EngineStates are reports that the sender forwards from agents linked to it, because some
+// or all of these agents are not linked to the receiver.
 type EngineStates struct{ States []RelayedState }
 
 // Kind implements Message.
 func (*EngineStates) Kind() Kind { return kindEngineStates }
 
-// Assignment tells an agent what the engine beside it is to serve.
+// Assignment tells an agent which version the engine next to it is to serve.
 type Assignment struct {
-	Entry   string // address of the entry that says so
+	Entry   string // address of the sender
 	Model   string
 	Version int
 	Layers  int
 	Pieces  int
-	// AgeMs is how long ago the version was announced, as far as the entry
-	// knows; TimeoutMs is the time in which all engines must serve it.
+	// AgeMs is the time since the version was announced, as known to the entry;
+	// TimeoutMs is the time after the announcement within which all engines must serve it.
 	AgeMs, TimeoutMs int64
-	// AgeEstimated is true if the entry started after the announcement: it takes the
-	// time allowed to be over.
+	// AgeEstimated is true if the entry started after the announcement. It then assumes
+	// that TimeoutMs has passed.
 	AgeEstimated bool
-	// Turn of Turns is the engine's place in the order of the change.
+	// Turn is the engine's position in the rollout order, counted from 0; Turns is the
+	// number of engines in that order.
 	Turn, Turns int
-	// Withheld is true while the entry fails to read pieces of the version.
+	// Withheld is true while the entry cannot read the pieces of the version.
 	Withheld bool
-	// Earlier are versions announced before, oldest first: until all engines
-	// serve the newest, these must be served in time too.
+	// Earlier are the versions announced before, oldest first. Until all engines serve
+	// the newest version, the deadlines of the earlier ones apply as well.
 	Earlier []AnnouncedVersion
 }
 
-// AnnouncedVersion is a version that the operators named, and how long ago.
+// AnnouncedVersion is a version that the operators announced, and the time since then.
 type AnnouncedVersion struct {
-	Version int
-	AgeMs   int64
+	Version      int
+	AgeMs        int64
 	AgeEstimated bool // the entry started after the announcement
 }
 
 // Kind implements Message.
 func (*Assignment) Kind() Kind { return kindAssignment }
 
-// Reserve asks the home entry of a target whether one more request may go
-// there now.
+// Reserve asks the home entry of a target for admission of one more request to the
+// target.
 type Reserve struct {
-	From      string // address of the entry that asks
-	Instance  string
-	PromptTokens    int   // tokens
-	MaxWaitMs int64 // longest wait at the target that the asker accepts
-	MaxGapMs  int64 // longest pause of others there; zero for no bound
-	MaxLoad   int   // requests there before this one; zero for no bound
-	// Notice is what the asker believes of the target; empty if the target said nothing.
+	From         string // address of the requesting entry
+	Instance     string
+	PromptTokens int
+	MaxWaitMs    int64 // longest wait at the target that the requester accepts
+	MaxGapMs     int64 // longest gap between events of other streams there; zero for no limit
+	MaxLoad      int   // most requests there before this one; zero for no limit
+	// Notice is the requester's information about the target; empty if the target has sent
+	// no notice.
 	Notice TargetNotice
 }
 
@@ -184,9 +186,9 @@
 // ReserveReply answers a Reserve.
 type ReserveReply struct {
 	Granted bool
-	Known   bool         // the home knows the target
-	WaitMs  int64        // until the target takes one more; zero if that is not why none is granted
-	Notice  TargetNotice // what the home believes of the target
+	Known   bool         // the target is known to the home entry
+	WaitMs  int64        // time until the target accepts one more request; zero if it was denied for another reason
+	Notice  TargetNotice // the home entry's information about the target
 }
 
 // Kind implements Message.
--- a/peer/request.go
+++ b/peer/request.go
@@ -14,8 +14,8 @@
 	Class       Class // of the connection; set by the side that dials
 }
 
-// Attempt identifies one dispatch of a submission. Every answer frame carries
-// it, so that a late or crossed frame is recognised.
+// Attempt identifies one dispatch of a submission. Every answer frame carries it,
+// so that late and misrouted frames are detected.
 type Attempt struct {
 	ID  [16]byte
 	Try uint16
@@ -27,7 +27,7 @@
 // Dispatch asks an agent to run a request on its target.
 type Dispatch struct {
 	Attempt     Attempt
-	Incarnation uint64 // agent incarnation the entry believes it talks to
+	Incarnation uint64 // agent incarnation that the entry expects
 	Revision    uint64 // revision in force at the entry
 	Service     string
 	Team        string
@@ -35,7 +35,7 @@
 	URI         string // path and query
 	Header      []HeaderField
 	Key         string // Idempotency-Key, empty if absent
-	Fingerprint       [32]byte
+	Fingerprint [32]byte
 	Repeatable  bool
 	Urgency     uint8 // RFC 9218 urgency, 0 (highest) to 7
 	TimeoutMs   int64 // time left until the caller's deadline
@@ -43,7 +43,7 @@
 	BodyLength  int64 // bytes; -1 if not known
 }
 
-// Body carries a piece of the request body.
+// Body carries a part of the request body.
 type Body struct {
 	Seq  uint32
 	Data []byte
@@ -56,47 +56,47 @@
 	Status  int
 	Header  []HeaderField
 	Version string // manifest digest that the engine reported with the answer
-	Replay  bool   // true if the answer comes from a finished record
+	Replay  bool   // true if the answer is replayed from the record of a finished request
 }
 
-// Data carries a piece of the answer body.
+// Data carries a part of the answer body.
 type Data struct {
 	Attempt Attempt
-	Offset  int64 // position of the first byte of Data in the answer
+	Offset  int64 // offset of the first byte of Data in the answer
 	Data    []byte
 }
 
-// End closes an answer. An answer without it is never whole.
+// End completes an answer. An answer without it is incomplete.
 type End struct {
 	Attempt Attempt
-	Length  int64  // bytes in the whole answer
-	Sum     uint64 // xxhash of the whole answer
+	Length  int64  // bytes in the complete answer
+	Sum     uint64 // xxhash of the complete answer
 }
 
-// Refuse ends a dispatch without an answer.
+// Refuse rejects a dispatch; no answer follows.
 type Refuse struct {
 	Attempt      Attempt
 	Reason       outcome.Reason
 	RetryAfterMs int64
 }
 
-// Fence asks what became of an attempt and forbids it to start afterwards.
+// Fence asks for the state of an attempt and prevents it from starting afterwards.
 type Fence struct {
 	Attempt     Attempt
 	Incarnation uint64
 }
 
-// AttemptState is what an agent knows about an attempt.
+// AttemptState is the state of an attempt as known to an agent.
 type AttemptState uint8
 
 // Attempt states reported by a fence.
 const (
-	AttemptUnknown  AttemptState = iota // the agent cannot know
-	AttemptFenced                       // never seen; from now on refused
-	AttemptRefused                      // was refused; it never ran
-	AttemptRunning                      // runs; resume it
-	AttemptFinished                     // finished; the answer can be replayed
-	AttemptAnswerDiscarded                         // ran; the answer is no longer held
+	AttemptUnknown         AttemptState = iota // the agent has no information
+	AttemptFenced                              // never received; refused from now on
+	AttemptRefused                             // refused; it never ran
+	AttemptRunning                             // running; the answer can be resumed
+	AttemptFinished                            // finished; the answer can be replayed
+	AttemptAnswerDiscarded                     // ran; the answer is no longer stored
 )
 
 // FenceReply answers a Fence.
@@ -105,7 +105,7 @@
 	Reason outcome.Reason
 }
 
-// Resume asks for the rest of an answer from Offset. The head is sent again
+// Resume asks for the remainder of an answer from Offset. The head is sent again
 // if NeedHead is set.
 type Resume struct {
 	Attempt  Attempt
@@ -116,7 +116,7 @@
 // Watch subscribes to the Status of an agent.
 type Watch struct{}
 
-// Status is the state of an agent and its target as the agent sees it.
+// Status is the state of an agent and its target as reported by the agent.
 type Status struct {
 	Host        string
 	Incarnation uint64
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -7,16 +7,16 @@
 	"sync"
 )
 
-// Stream is one exchange on a connection.
+// Stream is one bidirectional exchange of messages on a connection.
 type Stream struct {
 	conn *Conn
 	id   uint64
 	in   chan frame
 
-	failed context.Context // done when the stream has failed
-	abort  context.CancelCauseFunc
+	ctx   context.Context // cancelled when the stream fails or is closed
+	abort context.CancelCauseFunc
 
-	taken   int // frames read since the last credit; reader only
+	unacked int // frames read since the last credit was sent; used by the reader only
 	credits chan struct{}
 
 	mu      sync.Mutex
@@ -27,7 +27,7 @@
 
 func newStream(c *Conn, id uint64) *Stream {
 	s := &Stream{conn: c, id: id, in: make(chan frame, window+1), credits: make(chan struct{}, window)}
-	s.failed, s.abort = context.WithCancelCause(c.ctx)
+	s.ctx, s.abort = context.WithCancelCause(c.ctx)
 	s.grant(window)
 	return s
 }
@@ -62,16 +62,16 @@
 	s.mu.Unlock()
 }
 
-// Send sends a message. It blocks while the receiver is behind.
+// Send sends a message. It blocks while the stream has no flow-control credit.
 func (s *Stream) Send(ctx context.Context, m Message) error { return s.send(ctx, 0, m) }
 
-// SendLast sends the last message of this direction.
+// SendLast sends the last message in this direction.
 func (s *Stream) SendLast(ctx context.Context, m Message) error { return s.send(ctx, flagFin, m) }
 
 func (s *Stream) send(ctx context.Context, fl flags, m Message) error {
 	select {
 	case <-s.credits:
-	case <-s.failed.Done():
+	case <-s.ctx.Done():
 		return s.err()
 	case <-ctx.Done():
 		return ctx.Err()
@@ -88,12 +88,12 @@
 	return s.conn.enqueue(ctx, b)
 }
 
-// Recv returns the next message, or io.EOF after the last one. Frames that
-// arrived before a failure are delivered first.
+// Recv returns the next message, or io.EOF after the last one. Frames received
+// before a failure are returned before the error.
 func (s *Stream) Recv(ctx context.Context) (Message, error) {
 	select {
 	case f := <-s.in:
-		return s.take(f)
+		return s.receive(f)
 	default:
 	}
 	s.mu.Lock()
@@ -104,25 +104,25 @@
 	}
 	select {
 	case f := <-s.in:
-		return s.take(f)
-	case <-s.failed.Done():
+		return s.receive(f)
+	case <-s.ctx.Done():
 		return nil, s.err()
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func (s *Stream) take(f frame) (Message, error) {
+func (s *Stream) receive(f frame) (Message, error) {
 	if f.flags&flagFin != 0 {
 		s.finish()
 	}
-	s.taken++
-	if s.taken >= creditEvery {
+	s.unacked++
+	if s.unacked >= creditEvery {
 		var n [2]byte
-		binary.BigEndian.PutUint16(n[:], uint16(s.taken))
-		s.taken = 0
+		binary.BigEndian.PutUint16(n[:], uint16(s.unacked))
+		s.unacked = 0
 		if b, err := rawFrame(s.id, 0, kindCredit, n[:]); err == nil {
-			_ = s.conn.enqueue(s.failed, b)
+			_ = s.conn.enqueue(s.ctx, b)
 		}
 	}
 	return f.decode()
@@ -132,11 +132,11 @@
 	if s.conn.ctx.Err() != nil {
 		return ErrConnLost
 	}
-	return context.Cause(s.failed)
+	return context.Cause(s.ctx)
 }
 
-// Close releases the stream. If either direction is still open the other
-// side is told with a reset.
+// Close releases the stream. It sends a reset to the peer unless the last message of
+// either direction was sent or received.
 func (s *Stream) Close() {
 	s.mu.Lock()
 	if s.closed {
@@ -144,13 +144,13 @@
 		return
 	}
 	s.closed = true
-	whole := s.eof || s.sentFin
+	finished := s.eof || s.sentFin
 	s.mu.Unlock()
-	if !whole {
+	if !finished {
 		if b, err := rawFrame(s.id, 0, kindReset, nil); err == nil {
 			_ = s.conn.enqueue(context.Background(), b)
 		}
 	}
-	s.conn.drop(s.id)
+	s.conn.removeStream(s.id)
 	s.abort(ErrReset)
 }
