--- a/peer/meter_test.go
+++ b/peer/meter_test.go
@@ -45,5 +45,5 @@
 	gauge, ok := r.Get("peer.sent_bytes.far.GetPiece").(metrics.Gauge)
 	assert.Assert(t, ok)
 	assert.Equal(t, gauge.Value(), farBytes)
-	r.Each(func(name string, _ any) { assert.Assert(t, !strings.HasSuffix(name, "."), "a kind without a name") })
+	r.Each(func(name string, _ any) { assert.Assert(t, !strings.HasSuffix(name, "."), "unnamed message kind") })
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -80,7 +80,7 @@
 		return err
 	}
 	if _, err := s.Recv(ctx); !errors.Is(err, io.EOF) {
-		return errors.Errorf("after the end: %v", err)
+		return errors.Errorf("receive after the last message: %v, want io.EOF", err)
 	}
 	return nil
 }
@@ -151,7 +151,7 @@
 	assert.NilError(t, err)
 	c2, err := p.Get(t.Context(), srv.Addr(), Bulk)
 	assert.NilError(t, err)
-	assert.Assert(t, c1 != c2, "classes have connections of their own")
+	assert.Assert(t, c1 != c2, "two classes share a connection")
 	c1.Close()
 	_, err = p.Call(t.Context(), srv.Addr(), Traffic, &Watch{})
 	assert.NilError(t, err)
@@ -167,7 +167,7 @@
 			continue
 		}
 		m := newMessage(k)
-		assert.Assert(t, m != nil, "kind %d", k)
+		assert.Assert(t, m != nil, "no message type for kind %d", k)
 		assert.Equal(t, m.Kind(), k)
 	}
 	assert.Assert(t, newMessage(kindCrashes+1) == nil)
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -30,7 +30,7 @@
 var ErrDial = errors.New("peer: dial failed")
 
 // errSlotRemoved means that the pool removed the slot while a caller waited for it.
-var errSlotRemoved = errors.New("peer: slot taken out of the pool")
+var errSlotRemoved = errors.New("peer: connection slot removed from the pool")
 
 type poolKey struct {
 	addr  string
--- a/peer/pool_test.go
+++ b/peer/pool_test.go
@@ -50,7 +50,7 @@
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if left := n.open.Load(); left > 0 {
-			return poll.Continue("%d of %d connections are open", left, n.dialled.Load())
+			return poll.Continue("%d of %d connections are still open", left, n.dialled.Load())
 		}
 		return poll.Success()
 	}, poll.WithTimeout(5*time.Second))
@@ -73,8 +73,8 @@
 func TestPoolTracksEveryOpenConnection(t *testing.T) {
 	const rounds = 300
 	for name, remove := range map[string]func(p *Pool){
-		"address left": func(p *Pool) { p.Keep(func(string) bool { return false }) },
-		"idle":         func(p *Pool) { p.CloseIdle(time.Now().Add(time.Hour), 0) },
+		"address removed": func(p *Pool) { p.Keep(func(string) bool { return false }) },
+		"idle":            func(p *Pool) { p.CloseIdle(time.Now().Add(time.Hour), 0) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			n := &memoryNet{}
@@ -108,7 +108,7 @@
 	}
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if n.dialled.Load() == 0 {
-			return poll.Continue("nobody dials")
+			return poll.Continue("no dial in progress")
 		}
 		return poll.Success()
 	})
