--- a/gateway/announced.go
+++ b/gateway/announced.go
@@ -27,10 +27,10 @@
 
 // Announced implements mesh.Listener. Guessed times are not sent: other entries may have
 // an observed time, and a guess that was sent would never be withdrawn.
-func (c *Control) Announced(now time.Time) []peer.SeenVersion {
+func (c *Control) Announced(now time.Time) []peer.ObservedVersion {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	var out []peer.SeenVersion
+	var out []peer.ObservedVersion
 	sent := map[fleet.VersionTarget]bool{}
 	for _, newest := range c.assignments {
 		for a := newest; a != nil && a.explicit; a = a.previous {
@@ -39,7 +39,7 @@
 				continue
 			}
 			sent[v] = true
-			out = append(out, peer.SeenVersion{Model: v.Model, Version: v.Version, AgeMs: age.Milliseconds()})
+			out = append(out, peer.ObservedVersion{Model: v.Model, Version: v.Version, AgeMs: age.Milliseconds()})
 		}
 	}
 	return out
@@ -47,7 +47,7 @@
 
 // mergeVersions merges the version announcements that another entry observed. The earliest
 // observation of an announcement wins, since none can precede the announcement itself.
-func (c *Control) mergeVersions(now time.Time, from string, list []peer.SeenVersion) {
+func (c *Control) mergeVersions(now time.Time, from string, list []peer.ObservedVersion) {
 	for _, v := range list {
 		reported := fleet.Announcement{At: now.Add(-time.Duration(v.AgeMs) * time.Millisecond)}
 		target := fleet.VersionTarget{Model: v.Model, Version: v.Version}
--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -77,14 +77,14 @@
 		c.assignVersion("svc", assignModel, 2, time.Now(), true)
 		_, changed := c.Assignment(assignAgent)
 		for _, late := range []time.Duration{0, 20 * time.Millisecond} { // the later report changes nothing
-			c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.SeenVersion{
+			c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.ObservedVersion{
 				{Model: "m", Version: 2, AgeMs: (time.Since(announcedAt) - late).Milliseconds()}, {Model: "m", Version: 9, AgeMs: 1}}})
 		}
 		<-changed
 		got, _ := c.Assignment(assignAgent)
 		assert.Equal(t, got.AgeMs, int64(4600))
 		assert.Assert(t, !got.AgeEstimated)
-		assert.DeepEqual(t, c.Announced(time.Now()), []peer.SeenVersion{{Model: "m", Version: 2, AgeMs: 4600}})
+		assert.DeepEqual(t, c.Announced(time.Now()), []peer.ObservedVersion{{Model: "m", Version: 2, AgeMs: 4600}})
 		assert.Assert(t, c.canPick(services), "the timeout of version 2 has not expired yet")
 		time.Sleep(time.Until(announcedAt.Add(7100 * time.Millisecond)))
 		assert.Assert(t, !c.canPick(services), "no request is sent 0.9 s before the timeout of version 2 expires")
@@ -106,7 +106,7 @@
 		c.book = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 		c.assignVersion("svc", assignModel, 2, time.Now().Add(-8*time.Second), false)
 		assert.Equal(t, len(c.Announced(time.Now())), 0, "a guessed time must not be sent")
-		c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.SeenVersion{{Model: "m", Version: 2, AgeMs: 1500}}})
+		c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.ObservedVersion{{Model: "m", Version: 2, AgeMs: 1500}}})
 		got, _ := c.Assignment(assignAgent)
 		assert.Equal(t, got.AgeMs, int64(1500))
 		assert.Assert(t, !got.AgeEstimated)
@@ -207,7 +207,7 @@
 		_, changed := c.Assignment(assignAgent)
 		report := func() {
 			now := time.Now()
-			c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.SeenVersion{
+			c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.ObservedVersion{
 				{Model: "m", Version: 3, AgeMs: now.Sub(third).Milliseconds()}, {Model: "m", Version: 2, AgeMs: now.Sub(second).Milliseconds()},
 				{Model: "other", Version: 2, AgeMs: 1}}})
 		}
--- a/mesh/entries_test.go
+++ b/mesh/entries_test.go
@@ -142,7 +142,7 @@
 func (*entry) Assignment(peer.Presence) (*peer.Assignment, <-chan struct{}) { return nil, nil }
 
 // Announced implements Listener.
-func (*entry) Announced(time.Time) []peer.SeenVersion { return nil }
+func (*entry) Announced(time.Time) []peer.ObservedVersion { return nil }
 
 // Notices implements Listener.
 func (*entry) Notices() []peer.TargetNotice { return nil }
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -27,7 +27,7 @@
 	// and a channel that is closed when that may have changed.
 	Assignment(agent peer.Presence) (*peer.Assignment, <-chan struct{})
 	// Announced returns the versions that were seen named lately.
-	Announced(now time.Time) []peer.SeenVersion
+	Announced(now time.Time) []peer.ObservedVersion
 	// Notices returns what is believed of targets by what they say of themselves.
 	Notices() []peer.TargetNotice
 }
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -120,7 +120,7 @@
 	return &peer.Assignment{Model: "m", Version: 7}, make(chan struct{})
 }
 
-func (*node) Announced(time.Time) []peer.SeenVersion { return nil }
+func (*node) Announced(time.Time) []peer.ObservedVersion { return nil }
 
 func (n *node) Notices() []peer.TargetNotice {
 	var out []peer.TargetNotice
--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -141,7 +141,7 @@
 // Listener.
 func (*process) Loads(string, *peer.Loads)              {}
 func (*process) Lost(string)                            {}
-func (*process) Announced(time.Time) []peer.SeenVersion { return nil }
+func (*process) Announced(time.Time) []peer.ObservedVersion { return nil }
 func (*process) Notices() []peer.TargetNotice           { return nil }
 func (m *process) EngineState(a peer.Presence, s *peer.EngineState) {
 	m.note(func() {
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -77,7 +77,7 @@
 	CrashDigest uint64
 	// Versions are those that the operators announced recently, with the time since an
 	// entry first observed the announcement. Sent if Full only.
-	Versions []SeenVersion
+	Versions []ObservedVersion
 	// Notices are the targets' own announcements. Sent if Full only.
 	Notices []TargetNotice
 }
@@ -85,9 +85,9 @@
 // Kind implements Message.
 func (*Loads) Kind() Kind { return kindLoads }
 
-// SeenVersion is an announced version of a model and the time since an entry first
+// ObservedVersion is an announced version of a model and the time since an entry first
 // observed the announcement.
-type SeenVersion struct {
+type ObservedVersion struct {
 	Model   string
 	Version int
 	AgeMs   int64
