--- a/gateway/assign.go
+++ b/gateway/assign.go
@@ -161,7 +161,7 @@
 	if a == nil || a.explicit && len(a.order) == 0 {
 		return nil, c.changed
 	}
-	out := &peer.Assignment{Entry: c.addr, Withheld: a.withheld, Model: a.model.Model, Version: a.version, Layers: a.model.Layers, Pieces: a.model.Chunks,
+	out := &peer.Assignment{Entry: c.addr, PiecesUnreadable: a.withheld, Model: a.model.Model, Version: a.version, Layers: a.model.Layers, Pieces: a.model.Chunks,
 		AgeMs: clock.Since(a.since).Milliseconds(), AgeEstimated: a.guessed, TimeoutMs: c.cfg.VersionTimeout.Milliseconds(), Turns: len(a.order)}
 	out.Earlier = a.earlier(clock.Now(), c.cfg.VersionTimeout)
 	out.Turn = max(slices.Index(a.order, agent.EngineAddr), 0)
--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -135,7 +135,7 @@
 		c.updateWithheld()
 		<-changed
 		got, _ := c.Assignment(assignAgent)
-		assert.Equal(t, got.Withheld, fails == 2)
+		assert.Equal(t, got.PiecesUnreadable, fails == 2)
 		assert.Equal(t, got.Entry, "entry-1")
 	}
 	_, changed := c.Assignment(assignAgent)
--- a/sidecar/plan_test.go
+++ b/sidecar/plan_test.go
@@ -261,9 +261,9 @@
 	assert.Equal(t, as.pending(1)[1], announcedVersion{version: 3, announced: start})
 	assert.Equal(t, len(as.pending(2)), 1)
 	assert.Equal(t, len(as.pending(3)), 0)
-	two.Entry, two.Withheld = "a", true
+	two.Entry, two.PiecesUnreadable = "a", true
 	as = as.merge(start, two)
-	two.Entry, two.Withheld = "b", false
+	two.Entry, two.PiecesUnreadable = "b", false
 	as = as.merge(start, two)
 	assert.Assert(t, as.withheld(), "one entry fails to read the version")
 	two.Entry = "a"
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -695,7 +695,7 @@
 func TestVersionWithheldByRemovedEntry(t *testing.T) {
 	s := New(Config{}, &fakeEngine{}, "engine", &fakeSource{}, func(peer.EngineState) {}, NewStats(metrics.NewRegistry()), logrus.New())
 	a := newAssignment(2, 0, 1)
-	a.Entry, a.Withheld = "entry-1", true
+	a.Entry, a.PiecesUnreadable = "entry-1", true
 	s.Assign(start, a)
 	assert.Assert(t, s.assigned().withheld())
 	s.RemoveEntry("entry-2")
--- a/sidecar/wanted.go
+++ b/sidecar/wanted.go
@@ -54,7 +54,7 @@
 		out.Turn, out.Turns = as.Turn, as.Turns // the entry does not know the engines yet
 	}
 	if a.Version == out.Version {
-		out.failing[a.Entry] = a.Withheld
+		out.failing[a.Entry] = a.PiecesUnreadable
 	}
 	for _, v := range append(a.Earlier, peer.AnnouncedVersion{Version: a.Version, AgeMs: a.AgeMs, AgeEstimated: a.AgeEstimated}) {
 		out.add(announcedVersion{v.Version, now.Add(-time.Duration(v.AgeMs) * time.Millisecond), v.AgeEstimated})
