--- a/control/gossip.go
+++ b/control/gossip.go
@@ -231,7 +231,7 @@
 			st.Pending = p.Revision
 		}
 		if r := n.fold.LastRejection(); r != nil {
-			st.Rejected, st.RejectedFor = r.Ref.Revision, r.Err.Error()
+			st.Rejected, st.RejectReason = r.Ref.Revision, r.Err.Error()
 		}
 		st.HeadAgeMs = clock.Since(n.proof).Milliseconds()
 		st.Reader, st.Awake, st.HostsSerial = n.reader, n.awake, n.view.Serial()
--- a/operator/status.go
+++ b/operator/status.go
@@ -119,7 +119,7 @@
 	}
 	return HostStatus{Host: h.Host, Domain: h.Domain, Role: h.Role, State: state, Reached: true,
 		Incarnation: h.Incarnation, Format: h.Format, Revision: h.Revision, Digest: h.Digest.Short(),
-		Pending: h.Pending, Rejected: h.Rejected, RejectedFor: h.RejectedFor, HeadAgeMs: h.HeadAgeMs,
+		Pending: h.Pending, Rejected: h.Rejected, RejectedFor: h.RejectReason, HeadAgeMs: h.HeadAgeMs,
 		Reader: h.Reader, Awake: h.Awake, Leaving: h.Leaving, Service: h.Target.Service, Ready: h.Target.Ready,
 		Version: h.Target.Version, Running: h.Target.Running, Queued: h.Target.Queued,
 		WeightsHave: h.Target.WeightsHave, WeightsWant: h.Target.WeightsWant}
--- a/peer/control.go
+++ b/peer/control.go
@@ -100,7 +100,7 @@
 	Digest      digest.Digest
 	Pending     uint64 // highest revision with missing parts; 0 if none
 	Rejected    uint64 // highest rejected revision above the one in force; 0 if none
-	RejectedFor string
+	RejectReason string
 	HeadAgeMs   int64
 	Reader      bool
 	Awake       bool
