--- a/command/platform.go
+++ b/command/platform.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := telemetry.TameLibraries(log); err != nil {
+	if err := telemetry.ConfigureGoZero(log); err != nil {
 		return nil, err
 	}
 	if s.Limits.MemoryMB > 0 {
--- a/command/run.go
+++ b/command/run.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		return err
 	}
-	return telemetry.TameLibraries(l)
+	return telemetry.ConfigureGoZero(l)
 }
 
 // unknownCommand runs when no command was named, or one that does not exist.
--- a/command/springgate.go
+++ b/command/springgate.go
@@ -95,7 +95,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return l, telemetry.TameLibraries(l)
+	return l, telemetry.ConfigureGoZero(l)
 }
 
 func (o *common) clients() (*configservice.Client, *hostlist.Client) {
@@ -327,7 +327,7 @@
 			if err != nil {
 				return err
 			}
-			if err := telemetry.TameLibraries(log); err != nil {
+			if err := telemetry.ConfigureGoZero(log); err != nil {
 				return err
 			}
 			if fleetFile != "" {
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -55,7 +55,7 @@
 func (f *simFleet) start(t testing.TB, nodes, listed, domains int) {
 	log, err := telemetry.NewLogger(io.Discard, "error", telemetry.FormatText)
 	assert.NilError(t, err)
-	assert.NilError(t, telemetry.TameLibraries(log))
+	assert.NilError(t, telemetry.ConfigureGoZero(log))
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
 	for i := range nodes {
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -68,7 +68,7 @@
 	var err error
 	f.log, err = telemetry.NewLogger(io.Discard, "error", telemetry.FormatText)
 	assert.NilError(t, err)
-	assert.NilError(t, telemetry.TameLibraries(f.log))
+	assert.NilError(t, telemetry.ConfigureGoZero(f.log))
 	f.platform, err = standin.NewPlatform(loopback)
 	assert.NilError(t, err)
 	f.origin, err = standin.NewSource(loopback, 0)
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -58,11 +58,11 @@
 	return l.WithField(partField, part)
 }
 
-// TameLibraries turns off the statistics logger of go-zero, sends its log to l
+// ConfigureGoZero turns off the statistics logger of go-zero, sends its log to l
 // at debug level and lifts its limit on how long a process may live after
 // SIGTERM. The library sets its log up once, when its first server is made;
 // doing that here first keeps our writer in place.
-func TameLibraries(l *logrus.Logger) error {
+func ConfigureGoZero(l *logrus.Logger) error {
 	proc.SetTimeToForceQuit(forceQuitAfter)
 	if err := logx.SetUp(logx.LogConf{}); err != nil {
 		return err
