--- a/peer/control.go
+++ b/peer/control.go
@@ -91,22 +91,22 @@
 
 // NodeStatus is the control-plane state of a process, for operators.
 type NodeStatus struct {
-	Host        string
-	Domain      string
-	Role        string
-	Incarnation uint64
-	Format      int // newest fleet file format that the process accepts
-	Revision    uint64
-	Digest      digest.Digest
-	Pending     uint64 // highest revision with missing parts; 0 if none
-	Rejected    uint64 // highest rejected revision above the one in force; 0 if none
+	Host         string
+	Domain       string
+	Role         string
+	Incarnation  uint64
+	Format       int // newest fleet file format that the process accepts
+	Revision     uint64
+	Digest       digest.Digest
+	Pending      uint64 // highest revision with missing parts; 0 if none
+	Rejected     uint64 // highest rejected revision above the one in force; 0 if none
 	RejectReason string
-	HeadAgeMs   int64
-	Reader      bool
-	Awake       bool
-	Leaving     bool
-	HostsSerial uint64
-	Target      Status // zero value for an entry
+	HeadAgeMs    int64
+	Reader       bool
+	Awake        bool
+	Leaving      bool
+	HostsSerial  uint64
+	Target       Status // zero value for an entry
 }
 
 // GetHistory asks for the hosts of the services under earlier revisions.
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -149,7 +149,7 @@
 	// Turn is the engine's position in the rollout order, counted from 0; Turns is the
 	// number of engines in that order.
 	Turn, Turns int
-	// PiecesUnreadable is true while the entry cannot read the pieces of the version.
+	// PiecesUnreadable is true while the entry fails to read pieces of the version.
 	PiecesUnreadable bool
 	// Earlier are the versions announced before, oldest first. Until all engines serve
 	// the newest version, the deadlines of the earlier ones apply as well.
