--- a/telemetry/async.go
+++ b/telemetry/async.go
@@ -8,36 +8,35 @@
 	"time"
 )
 
-// asyncLines is how many log lines of about 300 bytes may wait for the output,
-// 0.6 MB. Lines are gathered for asyncPause and written in one batch, so that at
-// most 640 KiB leave a second.
+// asyncQueueLines is the capacity of the queue in lines; a line has about 300 bytes, so
+// the queue takes about 0.6 MB. Lines are collected for asyncBatchDelay and written in
+// batches of about asyncBatchBytes, which limits the output to 640 KiB/s.
 const (
-	asyncLines = 2048
-	asyncPause = 100 * time.Millisecond
-	asyncBatch = 64 << 10
-	// asyncReserve is how many of the lines that may wait are kept for warnings
-	// and errors: a request that failed is asked about, one that was answered is
-	// not.
-	asyncReserve = asyncLines / 4
+	asyncQueueLines = 2048
+	asyncBatchDelay = 100 * time.Millisecond
+	asyncBatchBytes = 64 << 10
+	// asyncReservedLines is the part of the queue, in lines, reserved for warnings and errors:
+	// operators look for failed requests, not for answered ones.
+	asyncReservedLines = asyncQueueLines / 4
 )
 
-// AsyncWriter passes log lines on without ever blocking the caller. Lines that
-// do not fit are dropped and counted, and the count is logged.
+// AsyncWriter writes log lines to an output without blocking the caller. Lines that
+// do not fit into the queue are dropped and counted, and the count is logged.
 type AsyncWriter struct {
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewAsyncWriter starts a writer to w.
+// NewAsyncWriter returns a writer to w and starts its goroutine.
 func NewAsyncWriter(w io.Writer) *AsyncWriter {
-	a := &AsyncWriter{lines: make(chan []byte, asyncLines)}
+	a := &AsyncWriter{lines: make(chan []byte, asyncQueueLines)}
 	go a.run(w)
 	return a
 }
 
 // Write implements io.Writer.
 func (a *AsyncWriter) Write(p []byte) (int, error) {
-	if len(a.lines) >= asyncLines-asyncReserve && isInfo(p) {
+	if len(a.lines) >= asyncQueueLines-asyncReservedLines && isInfo(p) {
 		a.dropped.Add(1)
 		return len(p), nil
 	}
@@ -49,8 +48,8 @@
 	return len(p), nil
 }
 
-// infoLevels are how a line of level info or debug begins or names its level in
-// the formats of NewLogger.
+// infoLevels are the texts by which a line of level info or debug is recognised in the
+// formats of NewLogger.
 var infoLevels = [][]byte{[]byte(`"level":"info"`), []byte(`"level":"debug"`), []byte("level=info"), []byte("level=debug")}
 
 func isInfo(line []byte) bool {
@@ -62,28 +61,28 @@
 	return false
 }
 
-// Dropped returns how many lines were dropped.
+// Dropped returns the number of dropped lines.
 func (a *AsyncWriter) Dropped() int64 { return a.dropped.Load() }
 
 func (a *AsyncWriter) run(w io.Writer) {
 	var buf []byte
-	said := int64(0)
+	reported := int64(0)
 	for line := range a.lines {
 		buf = append(buf[:0], line...)
-		time.Sleep(asyncPause)
+		time.Sleep(asyncBatchDelay)
 		buf = a.drain(buf)
-		if n := a.dropped.Load(); n > said {
-			buf = fmt.Appendf(buf, "{\"level\":\"warning\",\"part\":\"log\",\"msg\":\"Lines dropped.\",\"dropped\":%d}\n", n-said)
-			said = n
+		if n := a.dropped.Load(); n > reported {
+			buf = fmt.Appendf(buf, "{\"level\":\"warning\",\"part\":\"log\",\"msg\":\"Lines dropped.\",\"dropped\":%d}\n", n-reported)
+			reported = n
 		}
-		// An output that fails has nowhere to be reported.
+		// There is no other output to which a write error could be reported.
 		_, _ = w.Write(buf)
 	}
 }
 
-// drain appends the lines that wait, up to the size of a batch.
+// drain appends queued lines until the batch is full or the queue is empty.
 func (a *AsyncWriter) drain(buf []byte) []byte {
-	for len(buf) < asyncBatch {
+	for len(buf) < asyncBatchBytes {
 		select {
 		case line := <-a.lines:
 			buf = append(buf, line...)
@@ -94,12 +93,12 @@
 	return buf
 }
 
-// Flush waits until the lines that are there now have been taken, at most for
-// limit.
+// Flush waits until the queue is empty, but not longer than limit, and then for the
+// batch in progress.
 func (a *AsyncWriter) Flush(limit time.Duration) {
 	deadline := time.Now().Add(limit)
 	for len(a.lines) > 0 && time.Now().Before(deadline) {
-		time.Sleep(asyncPause / 10)
+		time.Sleep(asyncBatchDelay / 10)
 	}
-	time.Sleep(asyncPause + asyncPause/2)
+	time.Sleep(asyncBatchDelay + asyncBatchDelay/2)
 }
--- a/telemetry/async_test.go
+++ b/telemetry/async_test.go
@@ -11,13 +11,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// An output that nobody reads never blocks those who log; lines are dropped,
-// counted, and the count is told once the output is read again.
+// An output that is not read must not block callers. Lines are dropped and counted, and
+// the count is logged once the output is read again.
 func TestAsyncWriterNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r, w := io.Pipe()
 		a := NewAsyncWriter(w)
-		for range 3 * asyncLines {
+		for range 3 * asyncQueueLines {
 			_, err := a.Write([]byte("{\"msg\":\"line\"}\n"))
 			assert.NilError(t, err)
 		}
@@ -48,18 +48,19 @@
 	})
 }
 
-// When lines must be dropped, those of requests that were answered go first.
-func TestFailuresAreLoggedFirst(t *testing.T) {
-	a := &AsyncWriter{lines: make(chan []byte, asyncLines)} // nobody reads
-	for range 2 * asyncLines {
+// Lines of level info are dropped before warnings, so that failed requests are still
+// logged under overload.
+func TestWarningsTakePrecedenceOverInfo(t *testing.T) {
+	a := &AsyncWriter{lines: make(chan []byte, asyncQueueLines)} // no reader
+	for range 2 * asyncQueueLines {
 		_, err := a.Write([]byte(`{"level":"info","msg":"Answered."}`))
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, len(a.lines), asyncLines-asyncReserve)
-	for range asyncReserve {
+	assert.Equal(t, len(a.lines), asyncQueueLines-asyncReservedLines)
+	for range asyncReservedLines {
 		_, err := a.Write([]byte(`{"level":"warning","msg":"Not answered."}`))
 		assert.NilError(t, err)
 	}
-	assert.Equal(t, len(a.lines), asyncLines)
-	assert.Equal(t, a.Dropped(), int64(asyncLines+asyncReserve))
+	assert.Equal(t, len(a.lines), asyncQueueLines)
+	assert.Equal(t, a.Dropped(), int64(asyncQueueLines+asyncReservedLines))
 }
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry sets up logging and metrics. Logs go through logrus with
-// one prefix per part; the logs of go-zero are turned into the same form.
+// Package telemetry sets up logging and metrics. Logs are written with logrus and carry
+// the name of the component; the logs of go-zero are redirected to the same output.
 package telemetry
 
 import (
@@ -17,23 +17,25 @@
 	"github.com/zeromicro/go-zero/core/stat"
 )
 
-// Log formats accepted by Setup.
+// Log formats accepted by NewLogger.
 const (
 	FormatText = "text"
 	FormatJSON = "json"
 )
 
-// jsonTime has milliseconds, so that lines of several processes can be ordered.
+// jsonTime has millisecond resolution, so that log lines of several processes can be
+// ordered.
 const jsonTime = "2006-01-02T15:04:05.000Z07:00"
 
-// partField is the log field that carries the part's prefix.
+// partField is the log field for the name of the component.
 const partField = "part"
 
-// forceQuitAfter replaces the 5.5 s after which go-zero kills its process on
-// SIGTERM. Shutdown is bounded by our own drain time instead.
+// forceQuitAfter replaces the default of 5.5 s after which go-zero kills its process on
+// SIGTERM. Shutdown is bounded by the drain timeout instead.
 const forceQuitAfter = 365 * 24 * time.Hour
 
-// NewLogger returns a logger that writes to w. Level and format are checked.
+// NewLogger returns a logger that writes to w. It returns an error if the level or the
+// format is invalid.
 func NewLogger(w io.Writer, level, format string) (*logrus.Logger, error) {
 	l := logrus.New()
 	l.SetOutput(w)
@@ -53,15 +55,15 @@
 	return l, nil
 }
 
-// Part returns an entry whose messages carry the prefix of one part.
+// Part returns a log entry whose records carry the name of a component.
 func Part(l logrus.FieldLogger, part string) *logrus.Entry {
 	return l.WithField(partField, part)
 }
 
-// ConfigureGoZero turns off the statistics logger of go-zero, sends its log to l
-// at debug level and lifts its limit on how long a process may live after
-// SIGTERM. The library sets its log up once, when its first server is made;
-// doing that here first keeps our writer in place.
+// ConfigureGoZero disables the statistics logger of go-zero, sends its log to l at
+// debug level and removes its limit on the time between SIGTERM and process exit. The
+// library sets up its log only once, when its first server is created; setting it up
+// before that keeps our writer in place.
 func ConfigureGoZero(l *logrus.Logger) error {
 	proc.SetTimeToForceQuit(forceQuitAfter)
 	if err := logx.SetUp(logx.LogConf{}); err != nil {
@@ -77,7 +79,7 @@
 	return nil
 }
 
-// lineWriter passes lines of the library's log on at debug level.
+// lineWriter logs each line of go-zero's log at debug level.
 type lineWriter struct{ entry *logrus.Entry }
 
 func (w *lineWriter) Write(p []byte) (int, error) {
@@ -85,13 +87,13 @@
 	return len(p), nil
 }
 
-// Reasons counts refusals and retries by reason.
+// Reasons counts refused and retried requests by reason.
 type Reasons struct {
 	refused map[outcome.Reason]metrics.Counter
 	retried map[outcome.Reason]metrics.Counter
 }
 
-// NewReasons registers one refusal and one retry counter for each reason.
+// NewReasons registers one counter of refusals and one of retries for each reason.
 func NewReasons(r metrics.Registry) *Reasons {
 	s := &Reasons{refused: map[outcome.Reason]metrics.Counter{}, retried: map[outcome.Reason]metrics.Counter{}}
 	for _, i := range outcome.All() {
@@ -113,7 +115,7 @@
 	}
 }
 
-// WriteText writes the registry in the Prometheus text format.
+// WriteText writes the metrics of a registry in the Prometheus text format.
 func WriteText(w io.Writer, r metrics.Registry) {
 	var lines []string
 	r.Each(func(name string, v any) {
