--- a/settings/settings.go
+++ b/settings/settings.go
@@ -30,18 +30,18 @@
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(s.Name, "-", "_"))
 }
 
-// Fault is one setting that is not allowed.
-type Fault struct {
+// ValidationError is one setting that is not allowed.
+type ValidationError struct {
 	Flag, Env, Value, Want string
 }
 
 // Error names the flag, its variable, the value and what is allowed.
-func (f Fault) Error() string {
+func (f ValidationError) Error() string {
 	return fmt.Sprintf("--%s (%s): %q: want %s", f.Flag, f.Env, f.Value, f.Want)
 }
 
 // Faults are all settings that are not allowed.
-type Faults []Fault
+type Faults []ValidationError
 
 // Error returns one line for each fault.
 func (f Faults) Error() string {
@@ -79,7 +79,7 @@
 	for _, x := range s.list {
 		v := c.String(x.Name)
 		if x.parse(v) != nil {
-			faults = append(faults, Fault{Flag: x.Name, Env: x.Env(), Value: v, Want: x.Want})
+			faults = append(faults, ValidationError{Flag: x.Name, Env: x.Env(), Value: v, Want: x.Want})
 		}
 	}
 	if len(faults) > 0 {
