--- a/settings/settings.go
+++ b/settings/settings.go
@@ -40,11 +40,11 @@
 	return fmt.Sprintf("--%s (%s): %q: want %s", f.Flag, f.Env, f.Value, f.Want)
 }
 
-// Faults are all settings that are not allowed.
-type Faults []ValidationError
+// ValidationErrors are all settings that are not allowed.
+type ValidationErrors []ValidationError
 
 // Error returns one line for each fault.
-func (f Faults) Error() string {
+func (f ValidationErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, x := range f {
 		lines[i] = x.Error()
@@ -53,7 +53,7 @@
 }
 
 // ExitCode makes the program end with status 2.
-func (f Faults) ExitCode() int { return 2 }
+func (f ValidationErrors) ExitCode() int { return 2 }
 
 // Set is the settings of one command.
 type Set struct{ list []*Setting }
@@ -75,7 +75,7 @@
 
 // Load parses all settings. On failure the error is a Faults.
 func (s *Set) Load(c *cli.Command) error {
-	var faults Faults
+	var faults ValidationErrors
 	for _, x := range s.list {
 		v := c.String(x.Name)
 		if x.parse(v) != nil {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -51,7 +51,7 @@
 func TestAllFaultsAtOnce(t *testing.T) {
 	t.Setenv("SPRINGGATE_LOG_LEVEL", "loud")
 	_, err := load("--config-url", "ftp://x", "--listen", "nowhere", "--notice", "2h", "--subset", "1", "--max-body", "many", "--on", "perhaps")
-	faults, ok := err.(Faults)
+	faults, ok := err.(ValidationErrors)
 	assert.Assert(t, ok, "%v", err)
 	assert.Equal(t, len(faults), 8)
 	assert.Equal(t, faults.ExitCode(), 2)
