--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings checks the settings of a program as a whole. Each setting
-// is a flag and an environment variable; all faults are listed at once.
+// Package settings parses and validates the settings of a command. Each setting is
+// a flag and an environment variable; all invalid settings are reported together.
 package settings
 
 import (
@@ -16,34 +16,34 @@
 // EnvPrefix is the prefix of all environment variables.
 const EnvPrefix = "SPRINGGATE_"
 
-// Setting is one checked setting.
+// Setting is one setting with its validation.
 type Setting struct {
 	Name  string
 	Usage string
-	Want  string // what is allowed, for faults and help
+	Want  string // allowed values, for errors and help
 	value string
 	parse func(string) error
 }
 
-// Env returns the environment variable of the setting.
+// Env returns the name of the setting's environment variable.
 func (s *Setting) Env() string {
 	return EnvPrefix + strings.ToUpper(strings.ReplaceAll(s.Name, "-", "_"))
 }
 
-// ValidationError is one setting that is not allowed.
+// ValidationError reports one setting with an invalid value.
 type ValidationError struct {
 	Flag, Env, Value, Want string
 }
 
-// Error names the flag, its variable, the value and what is allowed.
+// Error returns the flag, its environment variable, the value and the allowed values.
 func (f ValidationError) Error() string {
 	return fmt.Sprintf("--%s (%s): %q: want %s", f.Flag, f.Env, f.Value, f.Want)
 }
 
-// ValidationErrors are all settings that are not allowed.
+// ValidationErrors are the errors of all invalid settings.
 type ValidationErrors []ValidationError
 
-// Error returns one line for each fault.
+// Error returns one line for each invalid setting.
 func (f ValidationErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, x := range f {
@@ -52,18 +52,18 @@
 	return strings.Join(lines, "\n")
 }
 
-// ExitCode makes the program end with status 2.
+// ExitCode returns the exit status of the program, 2.
 func (f ValidationErrors) ExitCode() int { return 2 }
 
-// Set is the settings of one command.
+// Set holds the settings of one command.
 type Set struct{ list []*Setting }
 
 func (s *Set) add(name, usage, want, def string, parse func(string) error) {
 	s.list = append(s.list, &Setting{Name: name, Usage: usage, Want: want, value: def, parse: parse})
 }
 
-// Flags returns the flags for urfave/cli. They are texts, so that Load can
-// check all of them and not only the first.
+// Flags returns the flags for urfave/cli. All of them are string flags, so that Load
+// can report every invalid value: urfave/cli stops at the first one.
 func (s *Set) Flags() []cli.Flag {
 	flags := make([]cli.Flag, len(s.list))
 	for i, x := range s.list {
@@ -73,7 +73,7 @@
 	return flags
 }
 
-// Load parses all settings. On failure the error is a Faults.
+// Load parses and validates all settings. Its error is a ValidationErrors.
 func (s *Set) Load(c *cli.Command) error {
 	var faults ValidationErrors
 	for _, x := range s.list {
@@ -88,18 +88,19 @@
 	return nil
 }
 
-// errWant marks a value that is not allowed; the fault says what is.
-var errWant = fmt.Errorf("settings: not allowed")
+// errInvalid marks an invalid value. It is never shown: the ValidationError names the
+// allowed values.
+var errInvalid = fmt.Errorf("settings: not allowed")
 
-// check turns a condition into an error.
+// check returns errInvalid unless ok is true.
 func check(ok bool) error {
 	if !ok {
-		return errWant
+		return errInvalid
 	}
 	return nil
 }
 
-// Text adds a text setting. A required one may not be empty.
+// Text adds a string setting. A required one must not be empty.
 func (s *Set) Text(p *string, name, usage, def string, required bool) {
 	want := "a text"
 	if required {
@@ -111,7 +112,7 @@
 	})
 }
 
-// Choice adds a setting with a fixed list of values.
+// Choice adds a setting with a fixed set of values.
 func (s *Set) Choice(p *string, name, usage, def string, allowed ...string) {
 	s.add(name, usage, "one of "+strings.Join(allowed, ", "), def, func(v string) error {
 		*p = v
@@ -120,17 +121,17 @@
 				return nil
 			}
 		}
-		return errWant
+		return errInvalid
 	})
 }
 
-// List adds names that are separated by commas. parse returns an error if one is
-// not allowed.
+// List adds a setting that is a comma-separated list of names. parse returns an error if a
+// name is not allowed.
 func (s *Set) List(name, usage string, allowed []string, parse func(string) error) {
 	s.add(name, usage, "none or some of "+strings.Join(allowed, ","), "", parse)
 }
 
-// Address adds a listen address.
+// Address adds a listen address. An address that is not required may be empty.
 func (s *Set) Address(p *string, name, usage, def string, required bool) {
 	want := "host:port"
 	if !required {
@@ -150,7 +151,7 @@
 	})
 }
 
-// URL adds the base URL of another system.
+// URL adds a base URL.
 func (s *Set) URL(p *string, name, usage, def string) {
 	s.add(name, usage, "http:// or https:// and a host", def, func(v string) error {
 		*p = strings.TrimSuffix(v, "/")
@@ -162,7 +163,7 @@
 	})
 }
 
-// Duration adds a time.
+// Duration adds a duration from lo to hi.
 func (s *Set) Duration(p *time.Duration, name, usage string, def, lo, hi time.Duration) {
 	s.add(name, usage, fmt.Sprintf("a duration from %s to %s", lo, hi), def.String(), func(v string) error {
 		d, err := time.ParseDuration(v)
@@ -174,7 +175,7 @@
 	})
 }
 
-// Int adds a whole number.
+// Int adds an integer from lo to hi.
 func (s *Set) Int(p *int, name, usage string, def, lo, hi int) {
 	s.add(name, usage, fmt.Sprintf("a whole number from %d to %d", lo, hi), strconv.Itoa(def), func(v string) error {
 		n, err := strconv.Atoi(v)
@@ -186,13 +187,13 @@
 	})
 }
 
-// byteUnits are the units of a size, longest first.
+// byteUnits are the size suffixes. Longer suffixes precede those that they end in.
 var byteUnits = []struct {
 	suffix string
 	factor int64
 }{{"KiB", 1 << 10}, {"MiB", 1 << 20}, {"GiB", 1 << 30}, {"B", 1}, {"", 1}}
 
-// Bytes adds a size such as 64MiB.
+// Bytes adds a size in bytes from lo to hi, such as 64MiB.
 func (s *Set) Bytes(p *int64, name, usage, def string, lo, hi int64) {
 	want := fmt.Sprintf("a size such as 64MiB, from %d to %d bytes", lo, hi)
 	s.add(name, usage, want, def, func(v string) error {
@@ -216,14 +217,14 @@
 			return 0, err
 		}
 		if n > (1<<62)/u.factor {
-			return 0, errWant
+			return 0, errInvalid
 		}
 		return n * u.factor, nil
 	}
-	return 0, errWant
+	return 0, errInvalid
 }
 
-// Bool adds a switch that is given as true or false.
+// Bool adds a setting that is true or false.
 func (s *Set) Bool(p *bool, name, usage string, def bool) {
 	s.add(name, usage, "true or false", strconv.FormatBool(def), func(v string) error {
 		b, err := strconv.ParseBool(v)
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -48,13 +48,13 @@
 	assert.Equal(t, v.n, 9)
 }
 
-func TestAllFaultsAtOnce(t *testing.T) {
+func TestAllInvalidSettingsAreReported(t *testing.T) {
 	t.Setenv("SPRINGGATE_LOG_LEVEL", "loud")
 	_, err := load("--config-url", "ftp://x", "--listen", "nowhere", "--notice", "2h", "--subset", "1", "--max-body", "many", "--on", "perhaps")
-	faults, ok := err.(ValidationErrors)
+	invalid, ok := err.(ValidationErrors)
 	assert.Assert(t, ok, "%v", err)
-	assert.Equal(t, len(faults), 8)
-	assert.Equal(t, faults.ExitCode(), 2)
+	assert.Equal(t, len(invalid), 8)
+	assert.Equal(t, invalid.ExitCode(), 2)
 	for _, want := range []string{
 		`--host (SPRINGGATE_HOST): "": want a text that is not empty`,
 		`--log-level (SPRINGGATE_LOG_LEVEL): "loud": want one of info, debug`,
