--- a/settings/settings.go
+++ b/settings/settings.go
@@ -90,7 +90,7 @@
 
 // errInvalid marks an invalid value. It is never shown: the ValidationError names the
 // allowed values.
-var errInvalid = fmt.Errorf("settings: not allowed")
+var errInvalid = fmt.Errorf("settings: invalid value")
 
 // check returns errInvalid unless ok is true.
 func check(ok bool) error {
@@ -102,9 +102,9 @@
 
 // Text adds a string setting. A required one must not be empty.
 func (s *Set) Text(p *string, name, usage, def string, required bool) {
-	want := "a text"
+	want := "a string"
 	if required {
-		want = "a text that is not empty"
+		want = "a non-empty string"
 	}
 	s.add(name, usage, want, def, func(v string) error {
 		*p = v
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -56,7 +56,7 @@
 	assert.Equal(t, len(invalid), 8)
 	assert.Equal(t, invalid.ExitCode(), 2)
 	for _, want := range []string{
-		`--host (SPRINGGATE_HOST): "": want a text that is not empty`,
+		`--host (SPRINGGATE_HOST): "": want a non-empty string`,
 		`--log-level (SPRINGGATE_LOG_LEVEL): "loud": want one of info, debug`,
 		`--subset (SPRINGGATE_SUBSET): "1": want a whole number from 2 to 100`,
 		`--max-body (SPRINGGATE_MAX_BODY): "many": want a size such as 64MiB`,
