--- a/agent/run.go
+++ b/agent/run.go
@@ -192,7 +192,7 @@
 func (a *Agent) failureReason(ctx context.Context) outcome.Reason {
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return outcome.DeadlineExceededRan
+		return outcome.DeadlineExceededRunning
 	case ctx.Err() != nil:
 		return outcome.CallerLeft
 	}
--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -35,9 +35,9 @@
 	TeamLimit        Reason = "team-limit"
 	TeamRate         Reason = "team-rate"
 	DeadlineExceeded Reason = "deadline"
-	// DeadlineExceededRan means that the deadline passed while the request
+	// DeadlineExceededRunning means that the deadline passed while the request
 	// may have been running.
-	DeadlineExceededRan Reason = "deadline-running"
+	DeadlineExceededRunning Reason = "deadline-running"
 	Fenced              Reason = "fenced"
 	Duplicate           Reason = "duplicate-attempt"
 	KeyInvalid          Reason = "key-invalid"
@@ -88,7 +88,7 @@
 	{TeamLimit, NotRun, http.StatusTooManyRequests, true, "The team has used its share of the target."},
 	{TeamRate, NotRun, http.StatusTooManyRequests, false, "The team is above its request rate."},
 	{DeadlineExceeded, NotRun, http.StatusGatewayTimeout, false, "The deadline cannot be met."},
-	{DeadlineExceededRan, Unknown, http.StatusGatewayTimeout, false, "The deadline passed while the request may have run."},
+	{DeadlineExceededRunning, Unknown, http.StatusGatewayTimeout, false, "The deadline passed while the request may have run."},
 	{Fenced, NotRun, http.StatusServiceUnavailable, true, "The attempt was fenced before it arrived."},
 	{Duplicate, Unknown, http.StatusConflict, false, "The attempt was received before."},
 	{KeyInvalid, NotRun, http.StatusBadRequest, false, "The idempotency key is not a UUID of version 7 from the past."},
--- a/submission/submission.go
+++ b/submission/submission.go
@@ -305,7 +305,7 @@
 	case choosing, backingOff:
 		return m.finishUnplaced(outcome.DeadlineExceeded, 0)
 	}
-	return m.finish(outcome.Unknown, outcome.DeadlineExceededRan)
+	return m.finish(outcome.Unknown, outcome.DeadlineExceededRunning)
 }
 
 // Abandon ends the submission on the caller's side, for instance because the
