--- a/operator/admin.go
+++ b/operator/admin.go
@@ -11,7 +11,7 @@
 	"github.com/zeromicro/go-zero/rest"
 )
 
-// Paths of the interface for balancers and operators.
+// Paths of the interface for load balancers and operators.
 const (
 	PathHealth  = "/healthz"
 	PathReady   = "/readyz"
@@ -24,8 +24,8 @@
 // Routes returns the routes for health, readiness and metrics.
 func Routes(ready func() bool, reg metrics.Registry) []rest.Route {
 	return []rest.Route{
-		{Method: http.MethodGet, Path: PathHealth, Handler: func(w http.ResponseWriter, _ *http.Request) { answer(w, true) }},
-		{Method: http.MethodGet, Path: PathReady, Handler: func(w http.ResponseWriter, _ *http.Request) { answer(w, ready()) }},
+		{Method: http.MethodGet, Path: PathHealth, Handler: func(w http.ResponseWriter, _ *http.Request) { writeCheckResult(w, true) }},
+		{Method: http.MethodGet, Path: PathReady, Handler: func(w http.ResponseWriter, _ *http.Request) { writeCheckResult(w, ready()) }},
 		{Method: http.MethodGet, Path: PathMetrics, Handler: func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 			telemetry.WriteText(w, reg)
@@ -33,7 +33,7 @@
 	}
 }
 
-func answer(w http.ResponseWriter, ok bool) {
+func writeCheckResult(w http.ResponseWriter, ok bool) {
 	if !ok {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
 		return
@@ -41,7 +41,7 @@
 	_, _ = w.Write([]byte("ok\n"))
 }
 
-// ServeAdmin serves Routes on addr. The result stops the server.
+// ServeAdmin serves Routes on addr. The returned function stops the server.
 func ServeAdmin(addr string, ready func() bool, reg metrics.Registry) (stop func(), err error) {
 	server, err := rest.NewServer(rest.RestConf{})
 	if err != nil {
--- a/operator/status.go
+++ b/operator/status.go
@@ -1,5 +1,5 @@
-// Package operator is the interface towards operators: the status document
-// and how it is shown.
+// Package operator implements the interface for operators: the admin routes, the
+// status document and its output as JSON and as a table.
 package operator
 
 import (
@@ -19,10 +19,10 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// Bounds of a collection.
+// Limits of Collect.
 const (
-	CollectTimeout = 3 * time.Second
-	collectAtOnce  = 64
+	CollectTimeout     = 3 * time.Second
+	collectConcurrency = 64
 )
 
 // HostStatus is the state of one host.
@@ -36,7 +36,7 @@
 	Format      int    `json:"format,omitempty"`
 	Revision    uint64 `json:"revision"`
 	Digest      string `json:"digest,omitempty"`
-	Lag         uint64 `json:"lag"` // revisions behind the highest seen
+	Lag         uint64 `json:"lag"` // revisions behind the highest one in force on any host
 	Pending     uint64 `json:"pending,omitempty"`
 	Rejected    uint64 `json:"rejected,omitempty"`
 	RejectedFor string `json:"rejected_for,omitempty"`
@@ -53,25 +53,25 @@
 	WeightsWant int    `json:"weights_want,omitempty"`
 }
 
-// Status is the state of the fleet as one entry sees it.
+// Status is the state of the fleet as known to one entry.
 type Status struct {
 	Fleet    string       `json:"fleet"`
-	Revision uint64       `json:"revision"` // highest in force anywhere
+	Revision uint64       `json:"revision"` // highest one in force on any host
 	Hosts    []HostStatus `json:"hosts"`
 }
 
-// Collect asks many processes for their state, a bounded number at once.
-// Those that do not answer are left out.
-func Collect(ctx context.Context, addrs []string, ask func(context.Context, string) (*peer.NodeStatus, error)) []*peer.NodeStatus {
+// Collect requests the state of many processes with bounded concurrency. Processes
+// that do not answer are omitted.
+func Collect(ctx context.Context, addrs []string, query func(context.Context, string) (*peer.NodeStatus, error)) []*peer.NodeStatus {
 	var mu sync.Mutex
 	var out []*peer.NodeStatus
 	var wg sync.WaitGroup
-	slots := make(chan struct{}, collectAtOnce)
+	slots := make(chan struct{}, collectConcurrency)
 	for _, a := range addrs {
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			st, err := ask(ctx, a)
+			st, err := query(ctx, a)
 			if err != nil || st == nil {
 				return
 			}
@@ -84,7 +84,8 @@
 	return out
 }
 
-// NewStatus joins what hosts said about themselves with the members known.
+// NewStatus combines the states reported by hosts with the member list. Members that
+// reported nothing have only the fields known to this entry.
 func NewStatus(self *peer.NodeStatus, hosts []*peer.NodeStatus, s *control.Snapshot) Status {
 	st := Status{}
 	if f := s.Fleet(); f != nil {
@@ -130,10 +131,10 @@
 	w.Header().Set("Content-Type", "application/json")
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
-	_ = enc.Encode(st) // the operator may be gone
+	_ = enc.Encode(st) // the client may have disconnected
 }
 
-// WriteTable writes a status as a table for people.
+// WriteTable writes a status as a plain-text table.
 func WriteTable(w io.Writer, st Status) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "fleet %s\trevision %d\n", st.Fleet, st.Revision)
