--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,27 +1,27 @@
-// Package outcome names how a submission can end and why it was refused or
-// retried. Every layer that refuses work uses these constants, so that one
-// reason has one counter, one log value and one value in the caller's answer.
+// Package outcome defines the final results of a submission and the reasons for which it
+// is refused or retried. Every layer that refuses requests uses these constants, so that
+// each reason has one counter, one log value and one value in the answer to the caller.
 package outcome
 
 import "net/http"
 
-// Outcome is the final result of a submission as told to the caller.
+// Outcome is the final result of a submission as reported to the caller.
 type Outcome string
 
-// The three outcomes. Nothing else is ever reported.
+// The outcomes. No other value is reported.
 const (
-	// Completed means the whole answer of one target was delivered.
+	// Completed means that the complete answer of one target was delivered.
 	Completed Outcome = "completed"
-	// NotRun means the request is proven never to have run on any target.
+	// NotRun means that the request is proven not to have run on any target.
 	NotRun Outcome = "not-run"
-	// Unknown means the request may have run; the answer is not available.
+	// Unknown means that the request may have run; its answer is not available.
 	Unknown Outcome = "unknown"
 )
 
-// Reason says why a request was refused, retried or left unknown.
+// Reason is the cause of a refusal, a retry or an Unknown outcome.
 type Reason string
 
-// Reasons. Each is documented by its entry in the table below.
+// Reasons. Text in the table below describes each of them.
 const (
 	BadRequest       Reason = "bad-request"
 	NoService        Reason = "no-service"
@@ -38,40 +38,40 @@
 	// DeadlineExceededRunning means that the deadline passed while the request
 	// may have been running.
 	DeadlineExceededRunning Reason = "deadline-running"
-	Fenced              Reason = "fenced"
-	Duplicate           Reason = "duplicate-attempt"
-	KeyInvalid          Reason = "key-invalid"
-	KeyRunning          Reason = "key-running"
-	KeyMismatch         Reason = "key-mismatch"
-	KeyTooOld           Reason = "key-too-old"
-	KeyHomeMoved        Reason = "key-home-moved"
-	KeyAnswerGone       Reason = "key-answer-gone"
-	KeyTableFull        Reason = "key-table-full"
-	HomeUnreachable     Reason = "home-unreachable"
-	RetryBudget         Reason = "retry-budget"
-	ConnectFailed       Reason = "connect-failed"
-	ConnectionLost      Reason = "connection-lost"
-	IncarnationGone     Reason = "incarnation-gone"
-	TargetUnreachable   Reason = "target-unreachable"
-	TargetFailed        Reason = "target-failed"
-	Truncated           Reason = "truncated"
-	VersionMixed        Reason = "version-mixed"
-	BodyTooLarge        Reason = "body-too-large"
-	CallerLeft          Reason = "caller-left"
-	ShuttingDown        Reason = "shutting-down"
-	EntryFull           Reason = "entry-full"
+	Fenced                  Reason = "fenced"
+	Duplicate               Reason = "duplicate-attempt"
+	KeyInvalid              Reason = "key-invalid"
+	KeyRunning              Reason = "key-running"
+	KeyMismatch             Reason = "key-mismatch"
+	KeyTooOld               Reason = "key-too-old"
+	KeyHomeMoved            Reason = "key-home-moved"
+	KeyAnswerGone           Reason = "key-answer-gone"
+	KeyTableFull            Reason = "key-table-full"
+	HomeUnreachable         Reason = "home-unreachable"
+	RetryBudget             Reason = "retry-budget"
+	ConnectFailed           Reason = "connect-failed"
+	ConnectionLost          Reason = "connection-lost"
+	IncarnationGone         Reason = "incarnation-gone"
+	TargetUnreachable       Reason = "target-unreachable"
+	TargetFailed            Reason = "target-failed"
+	Truncated               Reason = "truncated"
+	VersionMixed            Reason = "version-mixed"
+	BodyTooLarge            Reason = "body-too-large"
+	CallerLeft              Reason = "caller-left"
+	ShuttingDown            Reason = "shutting-down"
+	EntryFull               Reason = "entry-full"
 )
 
 // Info describes one reason.
 type Info struct {
 	Reason Reason
-	// Outcome is what the caller is told when the submission ends with this reason.
+	// Outcome is reported to the caller if the submission ends with this reason.
 	Outcome Outcome
 	// Status is the HTTP status code of the caller's answer.
 	Status int
-	// Retryable is true when another host may accept the same request.
+	// Retryable is true if another host may accept the same request.
 	Retryable bool
-	// Text is one short sentence for the problem document.
+	// Text is the sentence in the problem document.
 	Text string
 }
 
@@ -113,7 +113,7 @@
 	{ShuttingDown, NotRun, http.StatusServiceUnavailable, true, "The entry is shutting down."},
 }
 
-// All returns every reason in a stable order.
+// All returns the descriptions of all reasons in a fixed order.
 func All() []Info { return append([]Info(nil), table...) }
 
 var byReason = func() map[Reason]Info {
@@ -124,8 +124,8 @@
 	return m
 }()
 
-// Lookup returns the description of a reason. An unknown reason is reported
-// as one whose outcome is Unknown, which is always truthful.
+// Lookup returns the description of a reason. An undefined reason has the outcome
+// Unknown, which claims nothing about whether the request ran.
 func Lookup(r Reason) Info {
 	if i, ok := byReason[r]; ok {
 		return i
--- a/outcome/outcome_test.go
+++ b/outcome/outcome_test.go
@@ -9,7 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Every reason stands in the table of the docs with its outcome and status.
+// The table in docs/REASONS.md must list every reason with its outcome, status and
+// whether it is retryable.
 func TestReasonsAreDocumented(t *testing.T) {
 	b, err := os.ReadFile("../docs/REASONS.md")
 	assert.NilError(t, err)
@@ -20,13 +21,13 @@
 		}
 	}
 	for _, i := range All() {
-		row := fmt.Sprintf("| `%s` | %s | %d | %s |", i.Reason, i.Outcome, i.Status, yes(i.Retryable))
+		row := fmt.Sprintf("| `%s` | %s | %d | %s |", i.Reason, i.Outcome, i.Status, yesNo(i.Retryable))
 		assert.Assert(t, strings.Contains(string(b), row), "missing: %s", row)
 	}
 	assert.Equal(t, rows, len(All()), "rows of the table")
 }
 
-func yes(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
