--- a/clock/clock.go
+++ b/clock/clock.go
@@ -52,9 +52,9 @@
 
 func init() { current.Store(newClock(kernel, time.Now)) }
 
-// ReadFrom reads other clocks until restore is called, for tests. timeOfDay goes on during
+// SetSource reads other clocks until restore is called, for tests. timeOfDay goes on during
 // a suspension.
-func ReadFrom(s Source, timeOfDay func() time.Time) (restore func()) {
+func SetSource(s Source, timeOfDay func() time.Time) (restore func()) {
 	old := current.Swap(newClock(s, timeOfDay))
 	return func() { current.Store(old) }
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -13,7 +13,7 @@
 // asleep makes the clock that of a machine, and returns what suspends it.
 func asleep(t *testing.T) (suspend func(time.Duration)) {
 	var slept atomic.Int64
-	t.Cleanup(ReadFrom(func() (boot, monotonic time.Duration) { return time.Duration(slept.Load()), 0 },
+	t.Cleanup(SetSource(func() (boot, monotonic time.Duration) { return time.Duration(slept.Load()), 0 },
 		func() time.Time { return time.Now().Add(time.Duration(slept.Load())).Round(0) }))
 	return func(d time.Duration) {
 		slept.Add(int64(d))
@@ -57,7 +57,7 @@
 func TestSuspensionIsFound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var slept atomic.Int64
-		t.Cleanup(ReadFrom(func() (boot, monotonic time.Duration) { return time.Duration(slept.Load()), 0 }, time.Now))
+		t.Cleanup(SetSource(func() (boot, monotonic time.Duration) { return time.Duration(slept.Load()), 0 }, time.Now))
 		began := Now()
 		slept.Store(int64(time.Minute))
 		time.Sleep(readEvery)
@@ -70,7 +70,7 @@
 func TestReadingsApart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var boot, monotonic time.Duration
-		t.Cleanup(ReadFrom(func() (time.Duration, time.Duration) { return boot, monotonic }, time.Now))
+		t.Cleanup(SetSource(func() (time.Duration, time.Duration) { return boot, monotonic }, time.Now))
 		boot, monotonic = time.Minute, time.Second
 		Wake()
 		began := Now()
--- a/clock/clocktest/clocktest.go
+++ b/clock/clocktest/clocktest.go
@@ -16,7 +16,7 @@
 // not run in parallel with others of their package.
 func New(t testing.TB) *Machine {
 	m := &Machine{}
-	t.Cleanup(clock.ReadFrom(func() (boot, monotonic time.Duration) { return time.Duration(m.slept.Load()), 0 }, m.TimeOfDay))
+	t.Cleanup(clock.SetSource(func() (boot, monotonic time.Duration) { return time.Duration(m.slept.Load()), 0 }, m.TimeOfDay))
 	return m
 }
 
