--- a/clock/clock.go
+++ b/clock/clock.go
@@ -59,8 +59,8 @@
 	return func() { current.Store(old) }
 }
 
-// Wake reads the clocks at once: the machine may have been suspended.
-func Wake() { current.Load().look(time.Now()) }
+// Refresh reads the clocks at once: the machine may have been suspended.
+func Refresh() { current.Load().look(time.Now()) }
 
 type processClock struct {
 	source    Source
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -17,7 +17,7 @@
 		func() time.Time { return time.Now().Add(time.Duration(slept.Load())).Round(0) }))
 	return func(d time.Duration) {
 		slept.Add(int64(d))
-		Wake()
+		Refresh()
 	}
 }
 
@@ -72,13 +72,13 @@
 		var boot, monotonic time.Duration
 		t.Cleanup(SetSource(func() (time.Duration, time.Duration) { return boot, monotonic }, time.Now))
 		boot, monotonic = time.Minute, time.Second
-		Wake()
+		Refresh()
 		began := Now()
 		monotonic += 40 * time.Millisecond // the second reading came late
-		Wake()
+		Refresh()
 		assert.Equal(t, Since(began), time.Duration(0))
 		boot, monotonic = boot+900*time.Microsecond, monotonic-40*time.Millisecond // the first one was
-		Wake()
+		Refresh()
 		assert.Equal(t, Since(began), time.Duration(0))
 	})
 }
--- a/clock/clocktest/clocktest.go
+++ b/clock/clocktest/clocktest.go
@@ -28,5 +28,5 @@
 // Suspend lets d pass while the machine is suspended.
 func (m *Machine) Suspend(d time.Duration) {
 	m.slept.Add(int64(d))
-	clock.Wake()
+	clock.Refresh()
 }
