--- a/clock/clock.go
+++ b/clock/clock.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// AtDate returns the time of this clock at a date that another process made, as the time of
+// FromWallTime returns the time of this clock at a date that another process made, as the time of
 // day is set now. It goes by how long ago that was, and so holds for dates of before a
 // suspension too.
-func AtDate(date time.Time) time.Time {
+func FromWallTime(date time.Time) time.Time {
 	return Now().Add(-current.Load().timeOfDay().Round(0).Sub(date))
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -47,8 +47,8 @@
 			at, date := Now(), time.Now().Round(0)
 			suspend(d)
 			time.Sleep(time.Second)
-			assert.Check(t, AtDate(date).Equal(at), "%v off", AtDate(date).Sub(at))
-			assert.Check(t, AtDate(date.Add(d+time.Second)).Equal(Now()), "now %v off", AtDate(date.Add(d+time.Second)).Sub(Now()))
+			assert.Check(t, FromWallTime(date).Equal(at), "%v off", FromWallTime(date).Sub(at))
+			assert.Check(t, FromWallTime(date.Add(d+time.Second)).Equal(Now()), "now %v off", FromWallTime(date.Add(d+time.Second)).Sub(Now()))
 		})
 	}
 }
--- a/httpclient/retryafter.go
+++ b/httpclient/retryafter.go
@@ -39,7 +39,7 @@
 	}
 	now, err := http.ParseTime(date)
 	if err != nil {
-		return min(max(clock.Until(clock.AtDate(at)), 0), MaxRetryAfter), true
+		return min(max(clock.Until(clock.FromWallTime(at)), 0), MaxRetryAfter), true
 	}
 	return min(max(at.Sub(now), 0), MaxRetryAfter), true
 }
