--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,16 +1,15 @@
-// Package clock reads the time by which ages, leases, fences and timeouts are measured: one
-// that goes on while the machine is suspended, and that steps of the time of day do not
-// move.
+// Package clock provides the clock by which ages, leases, fences and timeouts are measured.
+// It advances while the machine is suspended and is not affected by steps of the wall clock.
 //
-// The monotonic clock of package time stands still while a machine is suspended. What
-// begins before a suspension and is measured by it afterwards comes out too short by that,
-// for good: a copy looks young, a version seems named a moment ago, a lease seems held.
-// CLOCK_BOOTTIME goes on. Now is the time of package time moved on by how much further that
-// clock is.
+// The monotonic clock of package time stops while the machine is suspended. A duration that
+// begins before a suspension and is measured after it is too short by the length of the
+// suspension: a copy appears too fresh, a version appears recently announced, an expired
+// lease appears valid. CLOCK_BOOTTIME includes suspensions. Now returns the time of package
+// time plus the time by which CLOCK_BOOTTIME has advanced further than CLOCK_MONOTONIC.
 //
-// Times of this package are for differences between each other. For a date, an ID or a
-// token that another process compares with its time of day, time.Now is right; AtDate
-// takes the dates of others.
+// Times of this package may only be compared with each other. Use time.Now for dates, IDs
+// and tokens that another process compares with its wall clock, and FromWallTime to convert
+// wall-clock times received from other processes.
 package clock
 
 import (
@@ -20,26 +19,27 @@
 	"golang.org/x/sys/unix"
 )
 
-// readEvery is the least time between two readings of the two clocks, which are two calls
-// of the kernel, 0.4 µs each. For so long after a machine wakes, times may still be those of
-// before.
-const readEvery = 5 * time.Millisecond
+// minReadInterval is the least time between two readings of the kernel clocks, which cost
+// two system calls of 0.4 µs each. For this long after a resume, Now may not include the
+// suspension yet.
+const minReadInterval = 5 * time.Millisecond
 
-// least is the shortest suspension that counts. The two readings are some µs apart, and
-// more if the process is interrupted between them.
-const least = time.Millisecond
+// minSuspension is the shortest suspension that is detected. The two clocks are read some
+// µs apart, or more if the process is preempted between the two readings.
+const minSuspension = time.Millisecond
 
-// Source reads the clock that goes on during a suspension and then the one that does not,
-// in this order: what passes between the two makes a suspension look shorter, and the
-// longest that was found counts.
+// Source reads the clock that includes suspensions and then the one that does not. In this
+// order a delay between the two readings makes a suspension look shorter, which is harmless:
+// the longest one detected is used.
 type Source func() (boot, monotonic time.Duration)
 
-func kernel() (boot, monotonic time.Duration) {
-	return read(unix.CLOCK_BOOTTIME), read(unix.CLOCK_MONOTONIC)
+func kernelClocks() (boot, monotonic time.Duration) {
+	return readClock(unix.CLOCK_BOOTTIME), readClock(unix.CLOCK_MONOTONIC)
 }
 
-// read returns a clock of the kernel; both are there on each Linux that runs Go programs.
-func read(id int32) time.Duration {
+// readClock returns the time of a kernel clock. Both clocks exist on every Linux version
+// that Go supports.
+func readClock(id int32) time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(id, &ts); err != nil {
 		return 0
@@ -47,42 +47,42 @@
 	return time.Duration(ts.Nano())
 }
 
-// current is the one clock of the process.
+// current is the clock of the process.
 var current atomic.Pointer[processClock]
 
-func init() { current.Store(newClock(kernel, time.Now)) }
+func init() { current.Store(newClock(kernelClocks, time.Now)) }
 
-// SetSource reads other clocks until restore is called, for tests. timeOfDay goes on during
-// a suspension.
+// SetSource replaces the clocks that are read until restore is called, for tests. timeOfDay
+// returns the wall clock, which includes suspensions.
 func SetSource(s Source, timeOfDay func() time.Time) (restore func()) {
 	old := current.Swap(newClock(s, timeOfDay))
 	return func() { current.Store(old) }
 }
 
-// Refresh reads the clocks at once: the machine may have been suspended.
-func Refresh() { current.Load().look(time.Now()) }
+// Refresh reads the clocks immediately, to detect a suspension without delay.
+func Refresh() { current.Load().refresh(time.Now()) }
 
 type processClock struct {
-	source    Source
-	timeOfDay func() time.Time
-	atStart   time.Duration // how far the clocks were apart then
-	suspended atomic.Int64  // how much further they are now, in ns
-	readAt    atomic.Int64  // time of the last reading, in ns
-	timers    timers
+	source        Source
+	timeOfDay     func() time.Time
+	initialOffset time.Duration // offset between the two clocks when this clock was created
+	suspended     atomic.Int64  // total time of suspensions since then, in ns
+	readAt        atomic.Int64  // time of the last reading, in ns
+	timers        timers
 }
 
 func newClock(s Source, timeOfDay func() time.Time) *processClock {
 	boot, monotonic := s()
-	return &processClock{source: s, timeOfDay: timeOfDay, atStart: boot - monotonic}
+	return &processClock{source: s, timeOfDay: timeOfDay, initialOffset: boot - monotonic}
 }
 
-// epoch is what readings are counted from.
+// epoch is the zero of readAt.
 var epoch = time.Now()
 
 // Now returns the current time.
 func Now() time.Time { return current.Load().now() }
 
-// Since returns the time that has passed since a time of this clock.
+// Since returns the time elapsed since a time of this clock.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
 // Until returns the time until a time of this clock.
@@ -93,34 +93,36 @@
 	return now.Add(c.update(now))
 }
 
-// update returns for how long the machine has been suspended since the start.
+// update returns the total time of suspensions since the clock was created. It reads the
+// kernel clocks at most once in minReadInterval.
 func (c *processClock) update(now time.Time) time.Duration {
-	at, last := int64(now.Sub(epoch)), c.readAt.Load()
-	if passed := time.Duration(at - last); passed >= 0 && passed < readEvery || !c.readAt.CompareAndSwap(last, at) {
+	sinceEpoch, last := int64(now.Sub(epoch)), c.readAt.Load()
+	if elapsed := time.Duration(sinceEpoch - last); elapsed >= 0 && elapsed < minReadInterval || !c.readAt.CompareAndSwap(last, sinceEpoch) {
 		return time.Duration(c.suspended.Load())
 	}
-	return c.look(now)
+	return c.refresh(now)
 }
 
-// look reads the clocks.
-func (c *processClock) look(now time.Time) time.Duration {
+// refresh reads the kernel clocks and reschedules the timers after a suspension. It returns
+// the total time of suspensions.
+func (c *processClock) refresh(now time.Time) time.Duration {
 	boot, monotonic := c.source()
-	found := int64(boot - monotonic - c.atStart)
+	total := int64(boot - monotonic - c.initialOffset)
 	for {
 		old := c.suspended.Load()
-		if time.Duration(found-old) < least {
+		if time.Duration(total-old) < minSuspension {
 			return time.Duration(old)
 		}
-		if c.suspended.CompareAndSwap(old, found) {
-			c.timers.again(now.Add(time.Duration(found)))
-			return time.Duration(found)
+		if c.suspended.CompareAndSwap(old, total) {
+			c.timers.reschedule(now.Add(time.Duration(total)))
+			return time.Duration(total)
 		}
 	}
 }
 
-// FromWallTime returns the time of this clock at a date that another process made, as the time of
-// day is set now. It goes by how long ago that was, and so holds for dates of before a
-// suspension too.
+// FromWallTime converts a wall-clock time, for example one received from another process, to
+// a time of this clock. It subtracts the age of date by the current wall clock from Now, and
+// so is also correct for times before a suspension.
 func FromWallTime(date time.Time) time.Time {
 	return Now().Add(-current.Load().timeOfDay().Round(0).Sub(date))
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -10,40 +10,41 @@
 	"gotest.tools/v3/assert"
 )
 
-// asleep makes the clock that of a machine, and returns what suspends it.
-func asleep(t *testing.T) (suspend func(time.Duration)) {
-	var slept atomic.Int64
-	t.Cleanup(SetSource(func() (boot, monotonic time.Duration) { return time.Duration(slept.Load()), 0 },
-		func() time.Time { return time.Now().Add(time.Duration(slept.Load())).Round(0) }))
+// simulateSuspension replaces the clock sources and returns a function that simulates a
+// suspension of the machine.
+func simulateSuspension(t *testing.T) (suspend func(time.Duration)) {
+	var suspended atomic.Int64
+	t.Cleanup(SetSource(func() (boot, monotonic time.Duration) { return time.Duration(suspended.Load()), 0 },
+		func() time.Time { return time.Now().Add(time.Duration(suspended.Load())).Round(0) }))
 	return func(d time.Duration) {
-		slept.Add(int64(d))
+		suspended.Add(int64(d))
 		Refresh()
 	}
 }
 
-func TestNowGoesOnDuringASuspension(t *testing.T) {
+func TestNowIncludesSuspensions(t *testing.T) {
 	for _, d := range []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			suspend := asleep(t)
-			began := Now()
-			assert.Equal(t, time.Now(), began)
+			suspend := simulateSuspension(t)
+			start := Now()
+			assert.Equal(t, time.Now(), start)
 			time.Sleep(time.Second)
 			suspend(d)
-			assert.Equal(t, Since(began), time.Second+d)
-			assert.Equal(t, Until(began), -time.Second-d)
+			assert.Equal(t, Since(start), time.Second+d)
+			assert.Equal(t, Until(start), -time.Second-d)
 			suspend(d)
-			assert.Equal(t, Since(began), time.Second+2*d)
+			assert.Equal(t, Since(start), time.Second+2*d)
 		})
 	}
 }
 
-// An agent that knew the homes of keys since a moment, and whose machine was suspended
-// after it, dated that moment earlier by the suspension: it took keys of a time that it
-// knows nothing of, which may have run elsewhere, for new.
-func TestDateOfATimeBeforeASuspension(t *testing.T) {
+// Converting a wall-clock time from before a suspension must not shift it by the length of
+// the suspension. With such a shift an agent dated the start of its records of key homes
+// too early, and accepted as new idempotency keys that may have run on another host.
+func TestFromWallTimeBeforeASuspension(t *testing.T) {
 	for _, d := range []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			suspend := asleep(t)
+			suspend := simulateSuspension(t)
 			at, date := Now(), time.Now().Round(0)
 			suspend(d)
 			time.Sleep(time.Second)
@@ -53,39 +54,40 @@
 	}
 }
 
-// A suspension is found without a word, at a reading some ms later.
-func TestSuspensionIsFound(t *testing.T) {
+// A suspension is detected without a call of Refresh, at the first reading after
+// minReadInterval.
+func TestSuspensionIsDetectedWithoutRefresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var slept atomic.Int64
-		t.Cleanup(SetSource(func() (boot, monotonic time.Duration) { return time.Duration(slept.Load()), 0 }, time.Now))
-		began := Now()
-		slept.Store(int64(time.Minute))
-		time.Sleep(readEvery)
-		assert.Equal(t, Since(began), time.Minute+readEvery)
+		var suspended atomic.Int64
+		t.Cleanup(SetSource(func() (boot, monotonic time.Duration) { return time.Duration(suspended.Load()), 0 }, time.Now))
+		start := Now()
+		suspended.Store(int64(time.Minute))
+		time.Sleep(minReadInterval)
+		assert.Equal(t, Since(start), time.Minute+minReadInterval)
 	})
 }
 
-// Two readings are never at the same moment: the second one late makes no suspension, nor
-// ends one.
-func TestReadingsApart(t *testing.T) {
+// The two kernel clocks are not read at the same moment. A delay between the readings must
+// neither be taken for a suspension nor cancel a detected one.
+func TestDelayBetweenReadings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var boot, monotonic time.Duration
 		t.Cleanup(SetSource(func() (time.Duration, time.Duration) { return boot, monotonic }, time.Now))
 		boot, monotonic = time.Minute, time.Second
 		Refresh()
-		began := Now()
-		monotonic += 40 * time.Millisecond // the second reading came late
+		start := Now()
+		monotonic += 40 * time.Millisecond // delay before the second reading
 		Refresh()
-		assert.Equal(t, Since(began), time.Duration(0))
-		boot, monotonic = boot+900*time.Microsecond, monotonic-40*time.Millisecond // the first one was
+		assert.Equal(t, Since(start), time.Duration(0))
+		boot, monotonic = boot+900*time.Microsecond, monotonic-40*time.Millisecond // delay before the first reading, below minSuspension
 		Refresh()
-		assert.Equal(t, Since(began), time.Duration(0))
+		assert.Equal(t, Since(start), time.Duration(0))
 	})
 }
 
-func TestTimersFireOnTime(t *testing.T) {
+func TestTimersFireOnTimeAfterASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		suspend := asleep(t)
+		suspend := simulateSuspension(t)
 		var fired, stopped atomic.Bool
 		AfterFunc(5*time.Second, func() { fired.Store(true) })
 		AfterFunc(5*time.Second, func() { stopped.Store(true) }).Stop()
@@ -101,9 +103,9 @@
 		assert.Assert(t, fired.Load() && !stopped.Load())
 		<-timer.C
 		assert.ErrorIs(t, ctx.Err(), context.DeadlineExceeded)
-		began := time.Now()
+		start := time.Now()
 		<-later.C
-		assert.Equal(t, time.Since(began), time.Second)
+		assert.Equal(t, time.Since(start), time.Second)
 		assert.Assert(t, !reset.Stop(), "it has fired")
 	})
 }
@@ -145,15 +147,16 @@
 	})
 }
 
-// The kernel has both clocks, and they go on.
+// The kernel provides both clocks, and they advance.
 func TestKernel(t *testing.T) {
-	boot, monotonic := kernel()
+	boot, monotonic := kernelClocks()
 	assert.Assert(t, boot > 0 && monotonic > 0)
-	again, _ := kernel()
+	again, _ := kernelClocks()
 	assert.Assert(t, again >= boot)
 }
 
-// time.Now takes 107 ns and Now 133 ns; the two calls of the kernel, each 5 ms, 770 ns.
+// BenchmarkNow: time.Now takes 107 ns, Now 133 ns, and the two system calls, which are made
+// at most every 5 ms, 770 ns.
 func BenchmarkNow(b *testing.B) {
 	for b.Loop() {
 		Now()
@@ -168,6 +171,6 @@
 
 func BenchmarkKernel(b *testing.B) {
 	for b.Loop() {
-		kernel()
+		kernelClocks()
 	}
 }
--- a/clock/clocktest/clocktest.go
+++ b/clock/clocktest/clocktest.go
@@ -1,4 +1,4 @@
-// Package clocktest suspends the machine, as far as package clock can see, in tests.
+// Package clocktest simulates suspensions of the machine for package clock in tests.
 package clocktest
 
 import (
@@ -9,24 +9,24 @@
 	"github.com/springgate/springgate/clock"
 )
 
-// Machine is one that can be suspended.
-type Machine struct{ slept atomic.Int64 }
+// Machine simulates a machine that can be suspended.
+type Machine struct{ suspended atomic.Int64 }
 
-// New makes the process's clock that of a machine until the test ends. Tests that do so do
-// not run in parallel with others of their package.
+// New makes package clock read the clocks of a simulated machine until the test ends. Tests
+// that call it must not run in parallel with other tests of their package.
 func New(t testing.TB) *Machine {
 	m := &Machine{}
-	t.Cleanup(clock.SetSource(func() (boot, monotonic time.Duration) { return time.Duration(m.slept.Load()), 0 }, m.TimeOfDay))
+	t.Cleanup(clock.SetSource(func() (boot, monotonic time.Duration) { return time.Duration(m.suspended.Load()), 0 }, m.TimeOfDay))
 	return m
 }
 
-// TimeOfDay returns the time of day, which goes on during a suspension.
+// TimeOfDay returns the wall clock, which includes suspensions.
 func (m *Machine) TimeOfDay() time.Time {
-	return time.Now().Add(time.Duration(m.slept.Load())).Round(0)
+	return time.Now().Add(time.Duration(m.suspended.Load())).Round(0)
 }
 
-// Suspend lets d pass while the machine is suspended.
+// Suspend simulates a suspension of length d.
 func (m *Machine) Suspend(d time.Duration) {
-	m.slept.Add(int64(d))
+	m.suspended.Add(int64(d))
 	clock.Refresh()
 }
--- a/clock/timer.go
+++ b/clock/timer.go
@@ -6,33 +6,34 @@
 	"time"
 )
 
-// timers are those that wait. Timers of package time are late by a suspension; these are
-// set again when the clock is first read after it, which both programs do each 15 ms.
+// timers holds the pending timers. Timers of package time fire too late by the length of a
+// suspension; these are rescheduled when the clock is first read after it. Both programs
+// read the clock at least every 15 ms.
 type timers struct {
 	mu      sync.Mutex
-	waiting map[*Timer]struct{}
+	pending map[*Timer]struct{}
 }
 
 func (w *timers) add(t *Timer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.waiting == nil {
-		w.waiting = map[*Timer]struct{}{}
+	if w.pending == nil {
+		w.pending = map[*Timer]struct{}{}
 	}
-	w.waiting[t] = struct{}{}
+	w.pending[t] = struct{}{}
 }
 
 func (w *timers) remove(t *Timer) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	delete(w.waiting, t)
+	delete(w.pending, t)
 }
 
-// again sets all timers that wait by the time that it is now.
-func (w *timers) again(now time.Time) {
+// reschedule resets all pending timers for the current time now.
+func (w *timers) reschedule(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for t := range w.waiting {
+	for t := range w.pending {
 		t.mu.Lock()
 		if t.timer.Stop() {
 			t.timer.Reset(max(t.at.Sub(now), 0))
@@ -41,14 +42,14 @@
 	}
 }
 
-// Timer is a time.Timer by this package's clock.
+// Timer is a time.Timer that uses the clock of this package.
 type Timer struct {
-	C <-chan time.Time // nil of AfterFunc
+	C <-chan time.Time // nil if created by AfterFunc
 
-	all   *timers
-	mu    sync.Mutex
-	timer *time.Timer
-	at    time.Time
+	registry *timers
+	mu       sync.Mutex
+	timer    *time.Timer
+	at       time.Time
 }
 
 // NewTimer returns a timer that sends on C after d.
@@ -64,110 +65,112 @@
 	return t
 }
 
-// AfterFunc calls f on a goroutine of its own after d.
+// AfterFunc calls f in its own goroutine after d.
 func AfterFunc(d time.Duration, f func()) *Timer {
-	t := &Timer{at: Now().Add(d), all: &current.Load().timers}
+	t := &Timer{at: Now().Add(d), registry: &current.Load().timers}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.timer = time.AfterFunc(d, func() {
-		t.all.remove(t)
+		t.registry.remove(t)
 		f()
 	})
-	t.all.add(t)
+	t.registry.add(t)
 	return t
 }
 
-// Stop keeps the timer from firing and reports whether it did.
+// Stop prevents the timer from firing. It returns false if the timer has fired or was
+// stopped before.
 func (t *Timer) Stop() bool {
-	t.all.remove(t)
+	t.registry.remove(t)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.timer.Stop()
 }
 
-// Reset makes the timer fire after d. It must have been made by AfterFunc, or be stopped.
+// Reset makes the timer fire after d. The timer must have been created by AfterFunc or be
+// stopped.
 func (t *Timer) Reset(d time.Duration) {
-	at := Now().Add(d) // may set the timers again
+	at := Now().Add(d) // may reschedule all timers, so t.mu must not be held here
 	t.mu.Lock()
 	t.at = at
 	t.timer.Reset(d)
 	t.mu.Unlock()
-	t.all.add(t)
+	t.registry.add(t)
 }
 
-// WithTimeout is context.WithTimeout by this package's clock.
+// WithTimeout is context.WithTimeout with the clock of this package.
 func WithTimeout(parent context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	return WithDeadline(parent, Now().Add(d))
 }
 
-// WithDeadline is context.WithDeadline by this package's clock.
+// WithDeadline is context.WithDeadline with the clock of this package.
 func WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	if old, ok := parent.Deadline(); ok && old.Before(at) {
 		return context.WithCancel(parent)
 	}
-	c := &deadline{Context: parent, at: at, done: make(chan struct{})}
+	c := &deadlineContext{Context: parent, at: at, done: make(chan struct{})}
 	if Until(at) <= 0 {
-		c.end(context.DeadlineExceeded)
+		c.cancel(context.DeadlineExceeded)
 		return c, func() {}
 	}
-	stop := context.AfterFunc(parent, func() { c.end(parent.Err()) })
-	timer := AfterFunc(max(Until(at), 0), func() { c.end(context.DeadlineExceeded) })
+	stop := context.AfterFunc(parent, func() { c.cancel(parent.Err()) })
+	timer := AfterFunc(max(Until(at), 0), func() { c.cancel(context.DeadlineExceeded) })
 	return c, func() {
 		stop()
 		timer.Stop()
-		c.end(context.Canceled)
+		c.cancel(context.Canceled)
 	}
 }
 
-// deadline is a context that ends at a time.
-type deadline struct {
+// deadlineContext is a context with a deadline.
+type deadlineContext struct {
 	context.Context
 	at   time.Time
 	done chan struct{}
 
-	mu    sync.Mutex
-	err   error
-	after map[*func()]struct{}
+	mu        sync.Mutex
+	err       error
+	callbacks map[*func()]struct{}
 }
 
 // Deadline implements context.Context.
-func (c *deadline) Deadline() (time.Time, bool) { return c.at, true }
+func (c *deadlineContext) Deadline() (time.Time, bool) { return c.at, true }
 
 // Done implements context.Context.
-func (c *deadline) Done() <-chan struct{} { return c.done }
+func (c *deadlineContext) Done() <-chan struct{} { return c.done }
 
 // Err implements context.Context.
-func (c *deadline) Err() error {
+func (c *deadlineContext) Err() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.err
 }
 
-// AfterFunc is called by package context for what is derived from this one; without it
-// each derived context takes a goroutine.
-func (c *deadline) AfterFunc(f func()) (stop func() bool) {
+// AfterFunc is called by package context for contexts derived from this one. Without it
+// each derived context needs a goroutine.
+func (c *deadlineContext) AfterFunc(f func()) (stop func() bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
 		go f()
 		return func() bool { return false }
 	}
-	if c.after == nil {
-		c.after = map[*func()]struct{}{}
+	if c.callbacks == nil {
+		c.callbacks = map[*func()]struct{}{}
 	}
 	key := &f
-	c.after[key] = struct{}{}
+	c.callbacks[key] = struct{}{}
 	return func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		_, waits := c.after[key]
-		delete(c.after, key)
-		return waits
+		_, registered := c.callbacks[key]
+		delete(c.callbacks, key)
+		return registered
 	}
 }
 
-// end ends the context with the first reason.
-func (c *deadline) end(err error) {
+// cancel ends the context with err unless it has ended before.
+func (c *deadlineContext) cancel(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
@@ -175,8 +178,8 @@
 	}
 	c.err = err
 	close(c.done)
-	for f := range c.after {
+	for f := range c.callbacks {
 		go (*f)()
 	}
-	c.after = nil
+	c.callbacks = nil
 }
