--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -106,7 +106,7 @@
 		start := time.Now()
 		<-later.C
 		assert.Equal(t, time.Since(start), time.Second)
-		assert.Assert(t, !reset.Stop(), "it has fired")
+		assert.Assert(t, !reset.Stop(), "Stop returned true after the timer fired")
 	})
 }
 
