--- a/digest/digest.go
+++ b/digest/digest.go
@@ -1,4 +1,4 @@
-// Package digest holds the content digest that names fleet file parts,
+// Package digest implements the content digest that identifies fleet file parts,
 // manifests and weight chunks.
 package digest
 
@@ -16,8 +16,8 @@
 // Size is the length of a digest in bytes.
 const Size = 32
 
-// Digest is the BLAKE3 digest of a byte string. It was chosen by measurement,
-// see docs/design/spread.md.
+// Digest is the BLAKE3 digest of a byte string. docs/design/spread.md compares it with the
+// alternative.
 type Digest [Size]byte
 
 // Of returns the digest of b.
@@ -32,7 +32,7 @@
 // IsZero reports whether d is the zero value.
 func (d Digest) IsZero() bool { return d == Digest{} }
 
-// Parse reads the text form.
+// Parse parses the text form.
 func Parse(s string) (Digest, error) {
 	var d Digest
 	h, ok := strings.CutPrefix(s, Prefix)
--- a/digest/digest_test.go
+++ b/digest/digest_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// The digest of the empty string is published with the algorithm.
+// The expected value is the published BLAKE3 test vector for the empty string.
 func TestKnownValue(t *testing.T) {
 	assert.Equal(t, Of(nil).String(), Prefix+"af1349b9f5f9a1a6a0404dea36dcc9499bcb25c9adc112b7cc9a93cae41f3262")
 }
@@ -26,8 +26,7 @@
 	assert.Assert(t, Digest{}.IsZero())
 }
 
-// BenchmarkDigest compares the digest in use with the alternative that was
-// weighed.
+// BenchmarkDigest compares BLAKE3 with SHA-256.
 func BenchmarkDigest(b *testing.B) {
 	for _, size := range []int{256 << 10, 1 << 20, 8 << 20} {
 		data := make([]byte, size)
