--- a/loop/loop.go
+++ b/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop runs functions one after the other on one goroutine, which so
-// owns the state that they touch.
+// Package loop runs functions sequentially on one goroutine, so that the state they use
+// needs no lock.
 package loop
 
 import (
@@ -8,24 +8,24 @@
 	"github.com/pkg/errors"
 )
 
-// queueLength bounds the functions that wait. Callers block beyond it.
+// queueLength is the capacity of the queue. Post and Call block while it is full.
 const queueLength = 1024
 
-// ErrStopped is returned when the loop has ended.
+// ErrStopped is returned by Call if the loop has stopped.
 var ErrStopped = errors.New("loop: stopped")
 
-// Loop is a queue of functions for one goroutine.
+// Loop is a queue of functions that one goroutine runs.
 type Loop struct {
 	queue chan func()
 	done  chan struct{}
 }
 
-// New returns a loop that is not running yet.
+// New returns a loop; Run starts it.
 func New() *Loop {
 	return &Loop{queue: make(chan func(), queueLength), done: make(chan struct{})}
 }
 
-// Run executes functions until ctx is done.
+// Run runs the queued functions until ctx is done. Functions still queued then are dropped.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	for {
@@ -38,7 +38,7 @@
 	}
 }
 
-// Post queues f. After the loop has ended f is dropped.
+// Post queues f. If the loop has stopped, f is not run.
 func (l *Loop) Post(f func()) {
 	select {
 	case l.queue <- f:
@@ -46,7 +46,7 @@
 	}
 }
 
-// Call runs f on the loop and waits for it.
+// Call runs f on the loop and waits until it has returned.
 func (l *Loop) Call(f func()) error {
 	ran := make(chan struct{})
 	l.Post(func() {
--- a/loop/time.go
+++ b/loop/time.go
@@ -7,7 +7,7 @@
 	"github.com/springgate/springgate/clock"
 )
 
-// Sleep waits for d. It reports false if ctx ended first.
+// Sleep waits for d. It returns false if ctx ended first.
 func Sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -22,8 +22,8 @@
 	}
 }
 
-// Every runs f on the loop each d, one after the other, until ctx ends. A run
-// that is late is not made up for.
+// Every runs f on the loop at intervals of d until ctx ends. Runs do not overlap; intervals
+// missed during a slow run are skipped.
 func (l *Loop) Every(ctx context.Context, d time.Duration, f func()) {
 	t := time.NewTicker(d)
 	defer t.Stop()
