--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -314,7 +314,7 @@
 func (m *Mesh) told(msg *peer.Presences) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, p := range msg.Others {
+	for _, p := range msg.Entries {
 		m.members.ToldOf(p)
 	}
 	for _, addr := range msg.Addrs {
--- a/mesh/updates.go
+++ b/mesh/updates.go
@@ -71,10 +71,10 @@
 	chosen := chooseLinks(n.to, known)
 	for _, p := range live {
 		if slices.Contains(chosen, p.Addr) && n.isNew(p.Addr) {
-			msg.Others = append(msg.Others, p)
+			msg.Entries = append(msg.Entries, p)
 		}
 	}
-	if msg.Sender.Addr == "" && len(msg.Others) == 0 {
+	if msg.Sender.Addr == "" && len(msg.Entries) == 0 {
 		return nil
 	}
 	n.begun, n.saidLeaving = true, self.Leaving
--- a/mesh/updates_test.go
+++ b/mesh/updates_test.go
@@ -57,16 +57,16 @@
 	msg := n.next(self, all)
 	assert.Equal(t, msg.Sender.Addr, "self")
 	near := 0
-	for _, p := range msg.Others {
+	for _, p := range msg.Entries {
 		assert.Assert(t, p.Domain != "" && p.LinkMbps > 0)
 		if p.Domain == "d-1" {
 			near++
 		}
 	}
 	assert.Equal(t, near, 7)
-	assert.Assert(t, len(msg.Others) <= near+farLinks)
+	assert.Assert(t, len(msg.Entries) <= near+farLinks)
 	assert.Assert(t, n.next(self, all) == nil)
 	self.Leaving = true
 	msg = n.next(self, all)
-	assert.Assert(t, msg.Sender.Leaving && len(msg.Others) == 0)
+	assert.Assert(t, msg.Sender.Leaving && len(msg.Entries) == 0)
 }
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -57,7 +57,7 @@
 // peer discovers later follow in further messages; each entry is sent once.
 type Presences struct {
 	Sender Presence   // to agents: the sender; set in the first message, and again when the sender starts to leave
-	Others []Presence // to agents: the entries that they may link to
+	Entries []Presence // to agents: the entries that they may link to
 	Addrs  []string   // to entries: addresses of entries
 }
 
