--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -317,7 +317,7 @@
 	for _, p := range msg.Entries {
 		m.members.ToldOf(p)
 	}
-	for _, addr := range msg.Addrs {
+	for _, addr := range msg.EntryAddrs {
 		m.members.Told(addr)
 	}
 }
--- a/mesh/updates.go
+++ b/mesh/updates.go
@@ -48,10 +48,10 @@
 	msg := &peer.Presences{}
 	for _, p := range live {
 		if p.Addr != n.to.Addr && n.isNew(p.Addr) {
-			msg.Addrs = append(msg.Addrs, p.Addr)
+			msg.EntryAddrs = append(msg.EntryAddrs, p.Addr)
 		}
 	}
-	if len(msg.Addrs) == 0 {
+	if len(msg.EntryAddrs) == 0 {
 		return nil
 	}
 	return msg
--- a/mesh/updates_test.go
+++ b/mesh/updates_test.go
@@ -23,7 +23,7 @@
 	told := map[string]int{}
 	for k := range all {
 		if msg := n.next(self, all[:k+1]); msg != nil {
-			for _, addr := range msg.Addrs {
+			for _, addr := range msg.EntryAddrs {
 				told[addr]++
 			}
 		}
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -58,7 +58,7 @@
 type Presences struct {
 	Sender Presence   // to agents: the sender; set in the first message, and again when the sender starts to leave
 	Entries []Presence // to agents: the entries that they may link to
-	Addrs  []string   // to entries: addresses of entries
+	EntryAddrs  []string   // to entries: addresses of entries
 }
 
 // Kind implements Message.
