--- a/agent/holdings.go
+++ b/agent/holdings.go
@@ -73,7 +73,7 @@
 	if len(m.Bits) > 0 {
 		t.planner.PeerHolds(host, m.Bits)
 	} else {
-		t.planner.PeerGained(host, m.More)
+		t.planner.PeerGained(host, m.Added)
 	}
 	w.schedule(t)
 }
@@ -112,7 +112,7 @@
 		return nil
 	}
 	if sent > 0 {
-		return &peer.Have{Manifest: id, Count: count, More: more}
+		return &peer.Have{Manifest: id, Count: count, Added: more}
 	}
 	bits := make([]uint64, (count+wordBits-1)/wordBits)
 	for _, c := range more {
--- a/peer/control.go
+++ b/peer/control.go
@@ -46,7 +46,7 @@
 	Manifest digest.Digest
 	Count    int
 	Bits     []uint64
-	More     []uint32
+	Added     []uint32
 }
 
 // GetChunk asks for a chunk or a manifest by its digest. If Manifest is set, the
