--- a/operator/status.go
+++ b/operator/status.go
@@ -39,7 +39,7 @@
 	Lag         uint64 `json:"lag"` // revisions behind the highest one in force on any host
 	Pending     uint64 `json:"pending,omitempty"`
 	Rejected    uint64 `json:"rejected,omitempty"`
-	RejectedFor string `json:"rejected_for,omitempty"`
+	RejectReason string `json:"rejected_for,omitempty"`
 	HeadAgeMs   int64  `json:"head_age_ms"`
 	Reader      bool   `json:"reader,omitempty"`
 	Awake       bool   `json:"awake"`
@@ -120,7 +120,7 @@
 	}
 	return HostStatus{Host: h.Host, Domain: h.Domain, Role: h.Role, State: state, Reached: true,
 		Incarnation: h.Incarnation, Format: h.Format, Revision: h.Revision, Digest: h.Digest.Short(),
-		Pending: h.Pending, Rejected: h.Rejected, RejectedFor: h.RejectReason, HeadAgeMs: h.HeadAgeMs,
+		Pending: h.Pending, Rejected: h.Rejected, RejectReason: h.RejectReason, HeadAgeMs: h.HeadAgeMs,
 		Reader: h.Reader, Awake: h.Awake, Leaving: h.Leaving, Service: h.Target.Service, Ready: h.Target.Ready,
 		Version: h.Target.Version, Running: h.Target.Running, Queued: h.Target.Queued,
 		WeightsHave: h.Target.WeightsHave, WeightsWant: h.Target.WeightsWant}
@@ -149,7 +149,7 @@
 	}
 	for _, h := range st.Hosts {
 		if h.Rejected > 0 {
-			fmt.Fprintf(t, "%s rejected revision %d: %s\n", h.Host, h.Rejected, h.RejectedFor)
+			fmt.Fprintf(t, "%s rejected revision %d: %s\n", h.Host, h.Rejected, h.RejectReason)
 		}
 	}
 	return t.Flush()
