--- a/peer/control.go
+++ b/peer/control.go
@@ -41,12 +41,12 @@
 }
 
 // Have reports which chunks of a manifest the sender stores. Bits is a bitmap. If
-// Bits is empty, More lists the chunks added since the last message.
+// Bits is empty, Added lists the chunks added since the last message.
 type Have struct {
 	Manifest digest.Digest
 	Count    int
 	Bits     []uint64
-	Added     []uint32
+	Added    []uint32
 }
 
 // GetChunk asks for a chunk or a manifest by its digest. If Manifest is set, the
--- a/peer/meter.go
+++ b/peer/meter.go
@@ -12,7 +12,7 @@
 
 // Localities of two processes.
 const (
-	SameDomain Locality = iota // same failure domain
+	SameDomain Locality = iota
 	OtherDomain
 )
 
@@ -79,7 +79,8 @@
 	return nil
 }
 
-// kindName returns the name of a message kind in metrics.
+// kindName returns the name of a message kind in metrics. It is the name of the Go type of
+// the message, so renaming a message type renames its metric.
 func kindName(k Kind) string {
 	switch k {
 	case kindCredit:
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -56,9 +56,9 @@
 // Presences answers a Presence with the entries known to the peer. Entries that the
 // peer discovers later follow in further messages; each entry is sent once.
 type Presences struct {
-	Sender Presence   // to agents: the sender; set in the first message, and again when the sender starts to leave
-	Entries []Presence // to agents: the entries that they may link to
-	EntryAddrs  []string   // to entries: addresses of entries
+	Sender     Presence   // to agents: the sender; set in the first message, and again when the sender starts to leave
+	Entries    []Presence // to agents: the entries that they may link to
+	EntryAddrs []string   // to entries: addresses of entries
 }
 
 // Kind implements Message.
