--- a/operator/status.go
+++ b/operator/status.go
@@ -27,30 +27,30 @@
 
 // HostStatus is the state of one host.
 type HostStatus struct {
-	Host        string `json:"host"`
-	Domain      string `json:"failure_domain"`
-	Role        string `json:"role"`
-	State       string `json:"state"`
-	Reached     bool   `json:"reached"`
-	Incarnation uint64 `json:"incarnation,omitempty"`
-	Format      int    `json:"format,omitempty"`
-	Revision    uint64 `json:"revision"`
-	Digest      string `json:"digest,omitempty"`
-	Lag         uint64 `json:"lag"` // revisions behind the highest one in force on any host
-	Pending     uint64 `json:"pending,omitempty"`
-	Rejected    uint64 `json:"rejected,omitempty"`
+	Host         string `json:"host"`
+	Domain       string `json:"failure_domain"`
+	Role         string `json:"role"`
+	State        string `json:"state"`
+	Reached      bool   `json:"reached"`
+	Incarnation  uint64 `json:"incarnation,omitempty"`
+	Format       int    `json:"format,omitempty"`
+	Revision     uint64 `json:"revision"`
+	Digest       string `json:"digest,omitempty"`
+	Lag          uint64 `json:"lag"` // revisions behind the highest one in force on any host
+	Pending      uint64 `json:"pending,omitempty"`
+	Rejected     uint64 `json:"rejected,omitempty"`
 	RejectReason string `json:"rejected_for,omitempty"`
-	HeadAgeMs   int64  `json:"head_age_ms"`
-	Reader      bool   `json:"reader,omitempty"`
-	Awake       bool   `json:"awake"`
-	Leaving     bool   `json:"leaving,omitempty"`
-	Service     string `json:"service,omitempty"`
-	Ready       bool   `json:"ready,omitempty"`
-	Version     string `json:"version,omitempty"`
-	Running     int    `json:"running,omitempty"`
-	Queued      int    `json:"queued,omitempty"`
-	WeightsHave int    `json:"weights_have,omitempty"`
-	WeightsWant int    `json:"weights_want,omitempty"`
+	HeadAgeMs    int64  `json:"head_age_ms"`
+	Reader       bool   `json:"reader,omitempty"`
+	Awake        bool   `json:"awake"`
+	Leaving      bool   `json:"leaving,omitempty"`
+	Service      string `json:"service,omitempty"`
+	Ready        bool   `json:"ready,omitempty"`
+	Version      string `json:"version,omitempty"`
+	Running      int    `json:"running,omitempty"`
+	Queued       int    `json:"queued,omitempty"`
+	WeightsHave  int    `json:"weights_have,omitempty"`
+	WeightsWant  int    `json:"weights_want,omitempty"`
 }
 
 // Status is the state of the fleet as known to one entry.
