--- a/agent/fetch.go
+++ b/agent/fetch.go
@@ -65,7 +65,7 @@
 	kind := intent.Origin
 	switch f.Kind {
 	case spread.FromPeer:
-		return w.chunkFromPeer(ctx, f.Peer, &peer.GetChunk{Digest: want, Manifest: t.id, Index: f.Chunk, HoldMs: f.LongPollTimeout.Milliseconds()})
+		return w.chunkFromPeer(ctx, f.Peer, &peer.GetChunk{Digest: want, Manifest: t.id, Index: f.Chunk, WaitMs: f.LongPollTimeout.Milliseconds()})
 	case spread.FromStore:
 		kind = intent.Store
 	}
@@ -90,7 +90,7 @@
 		return nil, weightstore.ErrUnavailable
 	case b.Found:
 		return b.Data, nil
-	case b.Coming:
+	case b.Pending:
 		return nil, errComing
 	}
 	return nil, weightstore.ErrMissing
--- a/agent/holdings.go
+++ b/agent/holdings.go
@@ -73,7 +73,7 @@
 	if len(m.Bits) > 0 {
 		t.planner.PeerHolds(host, m.Bits)
 	} else {
-		t.planner.PeerGained(host, m.More)
+		t.planner.PeerGained(host, m.Added)
 	}
 	w.schedule(t)
 }
@@ -112,7 +112,7 @@
 		return nil
 	}
 	if sent > 0 {
-		return &peer.Have{Manifest: id, Count: count, More: more}
+		return &peer.Have{Manifest: id, Count: count, Added: more}
 	}
 	bits := make([]uint64, (count+wordBits-1)/wordBits)
 	for _, c := range more {
@@ -147,7 +147,7 @@
 		return
 	}
 	w.counters.served.Inc(int64(len(b)))
-	_ = s.SendLast(ctx, &peer.Blob{Found: b != nil, Coming: coming, Data: b})
+	_ = s.SendLast(ctx, &peer.Blob{Found: b != nil, Pending: coming, Data: b})
 }
 
 // recheckInterval is how often a held request is checked for whether the chunk is still
@@ -155,7 +155,7 @@
 const recheckInterval = time.Second
 
 func (w *weights) awaitChunk(ctx context.Context, m *peer.GetChunk) (b []byte, coming bool) {
-	limit := clock.NewTimer(time.Duration(m.HoldMs) * time.Millisecond)
+	limit := clock.NewTimer(time.Duration(m.WaitMs) * time.Millisecond)
 	defer limit.Stop()
 	for {
 		arrived := w.arrival(m)
--- a/agent/requests.go
+++ b/agent/requests.go
@@ -168,7 +168,7 @@
 
 func attemptOf(d *peer.Dispatch, deadline time.Time) intake.Attempt {
 	return intake.Attempt{ID: attemptID(d.Attempt), Incarnation: d.Incarnation, Service: d.Service, Team: d.Team,
-		Key: d.Key, Fingerprint: d.Print, Urgency: int(d.Urgency), Deadline: deadline}
+		Key: d.Key, Fingerprint: d.Fingerprint, Urgency: int(d.Urgency), Deadline: deadline}
 }
 
 // heldAnswer returns the answer of a finished attempt. If it is no longer held, it turns
@@ -266,7 +266,7 @@
 	case idempotency.Finished:
 		return peer.AttemptFinished
 	}
-	return peer.AttemptGone
+	return peer.AttemptAnswerDiscarded
 }
 
 // leave refuses all queued requests and all that arrive from now on.
--- a/command/platform.go
+++ b/command/platform.go
@@ -86,7 +86,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := telemetry.TameLibraries(log); err != nil {
+	if err := telemetry.ConfigureGoZero(log); err != nil {
 		return nil, err
 	}
 	if s.Limits.MemoryMB > 0 {
@@ -102,7 +102,7 @@
 	if role == roleEntry {
 		p.self.Addr = s.PeerAddr()
 	} else {
-		p.self.Service, p.self.Engine, p.self.Pieces = s.Service, s.EngineAddr, s.PeerAddr()
+		p.self.Service, p.self.EngineAddr, p.self.PiecesAddr = s.Service, s.EngineAddr, s.PeerAddr()
 	}
 	telemetry.Part(log, "main").WithFields(logrus.Fields{"version": Version, "role": role, "host": s.Host,
 		"failure_domain": s.Domain, "incarnation": p.self.Incarnation, "seeds": strings.Join(s.Seeds, ","),
--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -56,7 +56,7 @@
 func (f *simFleet) start(t testing.TB, nodes, listed, domains int) {
 	log, err := telemetry.NewLogger(io.Discard, "error", telemetry.FormatText)
 	assert.NilError(t, err)
-	assert.NilError(t, telemetry.TameLibraries(log))
+	assert.NilError(t, telemetry.ConfigureGoZero(log))
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
 	for i := range nodes {
@@ -96,7 +96,7 @@
 	meter := &peer.Meter{}
 	if f.memory != nil {
 		f.memory.listen(self.Host, self, h)
-		return self.Host, peer.NewPoolOver(f.memory.dial, self, h, meter)
+		return self.Host, peer.NewPoolWithDialer(f.memory.dial, self, h, meter)
 	}
 	srv, err := peer.Listen("127.0.0.1:0", self, h, meter)
 	assert.NilError(t, err)
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -176,7 +176,7 @@
 func (x *exchange) dispatchMessage() *peer.Dispatch {
 	return &peer.Dispatch{Attempt: x.attempt(), Incarnation: x.incarnation, Revision: x.entry.node.Snapshot().Revision(),
 		Service: x.svc.Name, Team: x.req.Team, Method: x.r.Method, URI: x.req.URI, Header: forwardedHeader(x.r),
-		Key: x.req.Key, Print: x.fingerprint, Repeatable: x.req.Repeatable, Urgency: uint8(x.req.Urgency),
+		Key: x.req.Key, Fingerprint: x.fingerprint, Repeatable: x.req.Repeatable, Urgency: uint8(x.req.Urgency),
 		TimeoutMs: clock.Until(x.deadline).Milliseconds(), HasBody: x.body.present(), BodyLength: x.body.length}
 }
 
@@ -278,7 +278,7 @@
 		return submission.FenceNotRun
 	case peer.AttemptRunning, peer.AttemptFinished:
 		return submission.FenceRunning
-	case peer.AttemptGone:
+	case peer.AttemptAnswerDiscarded:
 		return submission.FenceFailed
 	}
 	return submission.FenceGone
--- a/gateway/assign.go
+++ b/gateway/assign.go
@@ -31,7 +31,7 @@
 	var out []peer.AnnouncedVersion
 	for b := a.previous; b != nil && b.explicit && len(out) < maxEarlierVersions; b = b.previous {
 		if age := now.Sub(b.since); age < 2*timeout {
-			out = append(out, peer.AnnouncedVersion{Version: b.version, AgeMs: age.Milliseconds(), Guessed: b.guessed})
+			out = append(out, peer.AnnouncedVersion{Version: b.version, AgeMs: age.Milliseconds(), AgeEstimated: b.guessed})
 		}
 	}
 	slices.Reverse(out)
@@ -161,9 +161,9 @@
 	if a == nil || a.explicit && len(a.order) == 0 {
 		return nil, c.changed
 	}
-	out := &peer.Assignment{Entry: c.addr, Withheld: a.withheld, Model: a.model.Model, Version: a.version, Layers: a.model.Layers, Pieces: a.model.Chunks,
-		AgeMs: clock.Since(a.since).Milliseconds(), Guessed: a.guessed, TimeoutMs: c.cfg.VersionTimeout.Milliseconds(), Turns: len(a.order)}
+	out := &peer.Assignment{Entry: c.addr, PiecesUnreadable: a.withheld, Model: a.model.Model, Version: a.version, Layers: a.model.Layers, Pieces: a.model.Chunks,
+		AgeMs: clock.Since(a.since).Milliseconds(), AgeEstimated: a.guessed, TimeoutMs: c.cfg.VersionTimeout.Milliseconds(), Turns: len(a.order)}
 	out.Earlier = a.earlier(clock.Now(), c.cfg.VersionTimeout)
-	out.Turn = max(slices.Index(a.order, agent.Engine), 0)
+	out.Turn = max(slices.Index(a.order, agent.EngineAddr), 0)
 	return out, c.changed
 }
--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -24,7 +24,7 @@
 
 var (
 	assignModel = &fleet.EngineModel{Model: "m", Layers: 16, Chunks: 4}
-	assignAgent = peer.Presence{Service: "svc", Engine: "e-1"}
+	assignAgent = peer.Presence{Service: "svc", EngineAddr: "e-1"}
 )
 
 func newTestControl(relay Relay) *Control {
@@ -77,14 +77,14 @@
 		c.assignVersion("svc", assignModel, 2, time.Now(), true)
 		_, changed := c.Assignment(assignAgent)
 		for _, late := range []time.Duration{0, 20 * time.Millisecond} { // the later report changes nothing
-			c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.SeenVersion{
+			c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.ObservedVersion{
 				{Model: "m", Version: 2, AgeMs: (time.Since(announcedAt) - late).Milliseconds()}, {Model: "m", Version: 9, AgeMs: 1}}})
 		}
 		<-changed
 		got, _ := c.Assignment(assignAgent)
 		assert.Equal(t, got.AgeMs, int64(4600))
-		assert.Assert(t, !got.Guessed)
-		assert.DeepEqual(t, c.Announced(time.Now()), []peer.SeenVersion{{Model: "m", Version: 2, AgeMs: 4600}})
+		assert.Assert(t, !got.AgeEstimated)
+		assert.DeepEqual(t, c.Announced(time.Now()), []peer.ObservedVersion{{Model: "m", Version: 2, AgeMs: 4600}})
 		assert.Assert(t, c.canPick(services), "the timeout of version 2 has not expired yet")
 		time.Sleep(time.Until(announcedAt.Add(7100 * time.Millisecond)))
 		assert.Assert(t, !c.canPick(services), "no request is sent 0.9 s before the timeout of version 2 expires")
@@ -106,10 +106,10 @@
 		c.book = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 		c.assignVersion("svc", assignModel, 2, time.Now().Add(-8*time.Second), false)
 		assert.Equal(t, len(c.Announced(time.Now())), 0, "a guessed time must not be sent")
-		c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.SeenVersion{{Model: "m", Version: 2, AgeMs: 1500}}})
+		c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.ObservedVersion{{Model: "m", Version: 2, AgeMs: 1500}}})
 		got, _ := c.Assignment(assignAgent)
 		assert.Equal(t, got.AgeMs, int64(1500))
-		assert.Assert(t, !got.Guessed)
+		assert.Assert(t, !got.AgeEstimated)
 	})
 }
 
@@ -135,7 +135,7 @@
 		c.updateWithheld()
 		<-changed
 		got, _ := c.Assignment(assignAgent)
-		assert.Equal(t, got.Withheld, fails == 2)
+		assert.Equal(t, got.PiecesUnreadable, fails == 2)
 		assert.Equal(t, got.Entry, "entry-1")
 	}
 	_, changed := c.Assignment(assignAgent)
@@ -161,14 +161,14 @@
 	c.list = list
 	c.updateOrders()
 	<-changed
-	last, _ := c.Assignment(peer.Presence{Service: "svc", Engine: c.assignments["svc"].order[1]})
+	last, _ := c.Assignment(peer.Presence{Service: "svc", EngineAddr: c.assignments["svc"].order[1]})
 	assert.Equal(t, last.Turns, 2)
 	assert.Equal(t, last.Turn, 1)
 	// Engines that join get a position; agents of the others are not notified.
 	_, changed = c.Assignment(assignAgent)
 	c.list = append(c.list, &fleet.Instance{ID: "e-3", Addr: "e-3", Service: "svc"})
 	c.updateOrders()
-	joined, _ := c.Assignment(peer.Presence{Service: "svc", Engine: "e-3"})
+	joined, _ := c.Assignment(peer.Presence{Service: "svc", EngineAddr: "e-3"})
 	assert.Equal(t, joined.Turns, 3)
 	select {
 	case <-changed:
@@ -207,7 +207,7 @@
 		_, changed := c.Assignment(assignAgent)
 		report := func() {
 			now := time.Now()
-			c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.SeenVersion{
+			c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.ObservedVersion{
 				{Model: "m", Version: 3, AgeMs: now.Sub(third).Milliseconds()}, {Model: "m", Version: 2, AgeMs: now.Sub(second).Milliseconds()},
 				{Model: "other", Version: 2, AgeMs: 1}}})
 		}
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -27,8 +27,8 @@
 	loads := make(map[string]dispatch.Load, len(l.Targets))
 	shareSilence := !c.cfg.Off.Has(mechanism.SharedSilence)
 	for _, t := range l.Targets {
-		loads[t.Instance] = dispatch.Load{Requests: t.Requests, PendingPrefill: t.Unread}
-		c.book.SetResponsive(from, t.Instance, t.Heard && shareSilence)
+		loads[t.Instance] = dispatch.Load{Requests: t.Requests, PendingPrefill: t.PendingPrefill}
+		c.book.SetResponsive(from, t.Instance, t.Responsive && shareSilence)
 		if shareSilence && t.Silent && c.book.Suspect(clock.Now(), t.Instance) {
 			c.log.WithFields(logrus.Fields{"target": t.Instance, "peer": from}).Info("Another entry reports that the target is silent.")
 		}
@@ -51,7 +51,7 @@
 			continue
 		}
 		if c.book.MergeReport(clock.Now(), decoded) != (notice.Change{}) {
-			c.log.WithFields(logrus.Fields{"target": n.Instance, "peer": from, "limited": n.Limited, "limit": n.PerS, "leaving": n.Leaving}).Info("Notice of the target received from another entry.")
+			c.log.WithFields(logrus.Fields{"target": n.Instance, "peer": from, "limited": n.LimitDeclared, "limit": n.PerS, "leaving": n.Leaving}).Info("Notice of the target received from another entry.")
 		}
 	}
 }
@@ -72,25 +72,25 @@
 // EngineState implements mesh.Listener.
 func (c *Control) EngineState(agent peer.Presence, s *peer.EngineState) {
 	if s == nil {
-		c.log.WithField("addr", agent.Engine).Info("Agent no longer reachable.")
-		c.book.DeleteState(agent.Engine)
+		c.log.WithField("addr", agent.EngineAddr).Info("Agent no longer reachable.")
+		c.book.DeleteState(agent.EngineAddr)
 		c.setHolder(agent, peer.EngineState{})
 		return
 	}
 	c.setHolder(agent, *s)
 	c.log.WithFields(logrus.Fields{"addr": s.Addr, "model": s.Model, "version": s.Version, "loading": s.Loading}).Info("Engine state received.")
-	c.book.SetState(s.Addr, dispatch.EngineState{Version: s.Version, Loading: s.Loading, StartMs: s.Born})
+	c.book.SetState(s.Addr, dispatch.EngineState{Version: s.Version, Loading: s.Loading, StartMs: s.StartMs})
 }
 
 // setHolder records which version an agent's engine holds.
 func (c *Control) setHolder(agent peer.Presence, s peer.EngineState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s.Version == 0 || agent.Pieces == "" {
-		delete(c.holders, agent.Engine)
+	if s.Version == 0 || agent.PiecesAddr == "" {
+		delete(c.holders, agent.EngineAddr)
 		return
 	}
-	c.holders[agent.Engine] = holder{agent.Pieces, agent.Domain, s.Model, s.Version}
+	c.holders[agent.EngineAddr] = holder{agent.PiecesAddr, agent.Domain, s.Model, s.Version}
 }
 
 // Holders returns the agents of a failure domain whose engines hold a version.
@@ -114,7 +114,7 @@
 	out := make([]peer.TargetLoad, 0, len(own)+len(silent))
 	for id, l := range own {
 		_, isSilent := slices.BinarySearch(silent, id)
-		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, Unread: l.PendingPrefill, Silent: isSilent, Heard: heard[id]})
+		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, PendingPrefill: l.PendingPrefill, Silent: isSilent, Responsive: heard[id]})
 	}
 	for _, id := range silent {
 		if _, listed := own[id]; !listed {
--- a/mesh/crashes.go
+++ b/mesh/crashes.go
@@ -77,11 +77,11 @@
 	}
 	out := &peer.Crashes{}
 	for _, c := range n.Crashes {
-		out.Crashes = append(out.Crashes, peer.SeenCrash{Content: c.Content[:], Target: c.Incarnation.Target, Born: c.Incarnation.StartMs,
-			AgeMs: now.Sub(c.At).Milliseconds(), Host: c.Reporter, Void: c.Retracted})
+		out.Crashes = append(out.Crashes, peer.CrashReport{Content: c.Content[:], Target: c.Incarnation.Target, StartMs: c.Incarnation.StartMs,
+			AgeMs: now.Sub(c.At).Milliseconds(), Reporter: c.Reporter, Retracted: c.Retracted})
 	}
 	for _, s := range n.Survivals {
-		out.Survivals = append(out.Survivals, peer.SeenSurvival{Content: s.Content[:], AgeMs: now.Sub(s.At).Milliseconds()})
+		out.Survivals = append(out.Survivals, peer.SurvivalReport{Content: s.Content[:], AgeMs: now.Sub(s.At).Milliseconds()})
 	}
 	return out
 }
@@ -94,7 +94,7 @@
 			continue
 		}
 		n.Crashes = append(n.Crashes, quarantine.Crash{Content: quarantine.Fingerprint(c.Content),
-			Incarnation: quarantine.Incarnation{Target: c.Target, StartMs: c.Born}, At: now.Add(-fromMilliseconds(c.AgeMs)), Reporter: c.Host, Retracted: c.Void})
+			Incarnation: quarantine.Incarnation{Target: c.Target, StartMs: c.StartMs}, At: now.Add(-fromMilliseconds(c.AgeMs)), Reporter: c.Reporter, Retracted: c.Retracted})
 	}
 	for _, s := range msg.Survivals {
 		if len(s.Content) == len(quarantine.Fingerprint{}) {
--- a/mesh/crashes_test.go
+++ b/mesh/crashes_test.go
@@ -89,9 +89,9 @@
 	a := &entry{fleet: all, addr: "agent", frozen: make(chan struct{})}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	a.pool = peer.NewPoolOver(a.dial, peer.Hello{Host: "agent"}, nil, &peer.Meter{})
+	a.pool = peer.NewPoolWithDialer(a.dial, peer.Hello{Host: "agent"}, nil, &peer.Meter{})
 	crashes = quarantine.NewTable()
-	m := New(Options{Self: peer.Presence{Host: "agent", Domain: "a", Engine: "10.2.0.1:8000", Incarnation: 1},
+	m := New(Options{Self: peer.Presence{Host: "agent", Domain: "a", EngineAddr: "10.2.0.1:8000", Incarnation: 1},
 		Seeds: []string{all.all[0].addr}, Pool: a.pool, Log: log, Crashes: crashes,
 		OnAssignment: func(peer.Assignment) {}})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -138,6 +138,6 @@
 
 // Records without a valid content fingerprint are dropped.
 func TestCrashesWithoutValidContentAreDropped(t *testing.T) {
-	n := decodeCrashes(time.Now(), &peer.Crashes{Crashes: []peer.SeenCrash{{}, {Content: make([]byte, 99)}}, Survivals: []peer.SeenSurvival{{}}})
+	n := decodeCrashes(time.Now(), &peer.Crashes{Crashes: []peer.CrashReport{{}, {Content: make([]byte, 99)}}, Survivals: []peer.SurvivalReport{{}}})
 	assert.Assert(t, n.Empty())
 }
--- a/mesh/entries_test.go
+++ b/mesh/entries_test.go
@@ -141,7 +141,7 @@
 func (*entry) Assignment(peer.Presence) (*peer.Assignment, <-chan struct{}) { return nil, nil }
 
 // Announced implements Listener.
-func (*entry) Announced(time.Time) []peer.SeenVersion { return nil }
+func (*entry) Announced(time.Time) []peer.ObservedVersion { return nil }
 
 // Notices implements Listener.
 func (*entry) Notices() []peer.TargetNotice { return nil }
@@ -172,7 +172,7 @@
 	e.table = mirror.NewTable("")
 	e.view = &storeView{store: e.fleet.store, changed: make(chan struct{})}
 	hello := peer.Hello{Host: "host of " + e.addr}
-	e.pool = peer.NewPoolOver(e.dial, hello, e.serve, &peer.Meter{})
+	e.pool = peer.NewPoolWithDialer(e.dial, hello, e.serve, &peer.Meter{})
 	e.crashes = quarantine.NewTable()
 	m := New(Options{Self: peer.Presence{Host: hello.Host, Domain: "a", Addr: e.addr, Incarnation: e.starts},
 		Seeds: []string{e.fleet.all[0].addr}, Pool: e.pool, Listener: e, Table: e.table, Log: log, Crashes: e.crashes})
--- a/mesh/follow.go
+++ b/mesh/follow.go
@@ -195,6 +195,6 @@
 		}
 	}
 	return membership.First(domainRelayKey, readerCandidateAddrs(candidates, func(c readerCandidate) bool {
-		return inDomain(c) && !c.failing && c.linkMbps >= peer.FastShare*fastest
+		return inDomain(c) && !c.failing && c.linkMbps >= peer.FastLinkRatio*fastest
 	}))
 }
--- a/mesh/follow_test.go
+++ b/mesh/follow_test.go
@@ -209,7 +209,7 @@
 		time.Sleep(700 * time.Millisecond)
 		reply := answer(begun, b)
 		assert.Equal(t, reply.AgeMs, int64(1000))
-		assert.Equal(t, reply.HeldMs, int64(1000))
+		assert.Equal(t, reply.WaitedMs, int64(1000))
 	})
 }
 
--- a/mesh/forward.go
+++ b/mesh/forward.go
@@ -17,13 +17,13 @@
 
 // toRelayedState returns the form in which a report is forwarded.
 func toRelayedState(agent peer.Presence, s peer.EngineState) peer.RelayedState {
-	return peer.RelayedState{Engine: agent.Engine, Pieces: agent.Pieces, Domain: agent.Domain,
+	return peer.RelayedState{EngineAddr: agent.EngineAddr, PiecesAddr: agent.PiecesAddr, Domain: agent.Domain,
 		Incarnation: agent.Incarnation, State: s}
 }
 
 // fromRelayedState is the inverse of toRelayedState.
 func fromRelayedState(r peer.RelayedState) engineReport {
-	return engineReport{peer.Presence{Engine: r.Engine, Pieces: r.Pieces, Domain: r.Domain, Incarnation: r.Incarnation}, r.State}
+	return engineReport{peer.Presence{EngineAddr: r.EngineAddr, PiecesAddr: r.PiecesAddr, Domain: r.Domain, Incarnation: r.Incarnation}, r.State}
 }
 
 // forward handles a report that an agent sent to this entry. The report is forwarded to the
@@ -32,11 +32,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !s.Forward {
-		m.stopForwarding(from, agent.Engine)
+		m.stopForwarding(from, agent.EngineAddr)
 		return
 	}
 	r := toRelayedState(agent, s)
-	m.forwarded[agent.Engine] = forwardedReport{from, r}
+	m.forwarded[agent.EngineAddr] = forwardedReport{from, r}
 	m.broadcastReport(r)
 }
 
@@ -55,7 +55,7 @@
 		return
 	}
 	delete(m.forwarded, engine)
-	m.broadcastReport(peer.RelayedState{Engine: engine, Gone: true})
+	m.broadcastReport(peer.RelayedState{EngineAddr: engine, Withdrawn: true})
 }
 
 func (m *Mesh) broadcastReport(r peer.RelayedState) {
@@ -75,15 +75,15 @@
 
 // reportsMessage returns a message with the reports to be forwarded, ordered by engine.
 func reportsMessage(pending map[string]peer.RelayedState) *peer.EngineStates {
-	states := slices.SortedFunc(maps.Values(pending), func(a, b peer.RelayedState) int { return cmp.Compare(a.Engine, b.Engine) })
+	states := slices.SortedFunc(maps.Values(pending), func(a, b peer.RelayedState) int { return cmp.Compare(a.EngineAddr, b.EngineAddr) })
 	return &peer.EngineStates{States: states}
 }
 
 // receiveReports handles reports that another entry forwards.
 func (m *Mesh) receiveReports(from streamID, msg *peer.EngineStates) {
 	for _, r := range msg.States {
-		if r.Gone {
-			m.engines.remove(from, r.Engine)
+		if r.Withdrawn {
+			m.engines.remove(from, r.EngineAddr)
 			continue
 		}
 		m.engines.add(from, fromRelayedState(r))
--- a/mesh/link.go
+++ b/mesh/link.go
@@ -48,7 +48,7 @@
 	if l.relayed == nil {
 		l.relayed = map[string]peer.RelayedState{}
 	}
-	l.relayed[r.Engine] = r
+	l.relayed[r.EngineAddr] = r
 	l.signal()
 }
 
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -173,9 +173,9 @@
 	if old != nil && old.Incarnation == p.Incarnation {
 		x.clock = old.clock
 	}
-	x.clock = x.clock.observe(now, fromMilliseconds(p.Store.ClockMs))
+	x.clock = x.clock.observe(now, fromMilliseconds(p.Store.UptimeMs))
 	if p.Store.Known {
-		x.storeSeenAt = x.clock.at(fromMilliseconds(p.Store.ClockMs - p.Store.AgeMs))
+		x.storeSeenAt = x.clock.at(fromMilliseconds(p.Store.UptimeMs - p.Store.AgeMs))
 	}
 	m.byAddr[p.Addr] = x
 	return isNew && !p.Leaving
--- a/mesh/members_test.go
+++ b/mesh/members_test.go
@@ -96,7 +96,7 @@
 // presenceSeenAt returns a presence of an entry that saw the store when it sent this, at clock.
 func presenceSeenAt(clock time.Duration) peer.Presence {
 	p := presence("b:1", 1, 7)
-	p.Store = peer.StoreContact{Known: true, ClockMs: clock.Milliseconds()}
+	p.Store = peer.StoreStatus{Known: true, UptimeMs: clock.Milliseconds()}
 	return p
 }
 
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -28,7 +28,7 @@
 	// channel that is closed when that may have changed.
 	Assignment(agent peer.Presence) (*peer.Assignment, <-chan struct{})
 	// Announced returns the model versions that operators have recently named.
-	Announced(now time.Time) []peer.SeenVersion
+	Announced(now time.Time) []peer.ObservedVersion
 	// Notices returns the current notices of targets about themselves.
 	Notices() []peer.TargetNotice
 }
@@ -130,9 +130,9 @@
 
 // storeContact returns the revision of the own copy, and what the calls of this process
 // show about the store.
-func (m *Mesh) storeContact(now time.Time) (int64, peer.StoreContact) {
+func (m *Mesh) storeContact(now time.Time) (int64, peer.StoreStatus) {
 	at, revision := m.table.LastStoreRead()
-	c := peer.StoreContact{Known: !at.IsZero(), Failing: m.failing(), ClockMs: now.Sub(m.startedAt).Milliseconds()}
+	c := peer.StoreStatus{Known: !at.IsZero(), Failing: m.failing(), UptimeMs: now.Sub(m.startedAt).Milliseconds()}
 	if c.Known {
 		c.AgeMs = milliseconds(now.Sub(at))
 	}
@@ -204,7 +204,7 @@
 // wantedLinks returns the addresses of the entries that this process links to: all of them
 // for an entry, a few for an agent.
 func (m *Mesh) wantedLinks(now time.Time) []string {
-	if m.self.Engine == "" {
+	if m.self.EngineAddr == "" {
 		return m.members.Addrs()
 	}
 	return chooseLinks(m.self, m.members.Candidates(now))
@@ -316,10 +316,10 @@
 func (m *Mesh) addMembers(msg *peer.Presences) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, p := range msg.Others {
+	for _, p := range msg.Entries {
 		m.members.AddFromPeer(p)
 	}
-	for _, addr := range msg.Addrs {
+	for _, addr := range msg.EntryAddrs {
 		m.members.AddAddr(addr)
 	}
 }
@@ -342,8 +342,8 @@
 			far = append(far, p)
 		}
 	}
-	out := membership.Rank(key, addrsOf(peer.Fast(near)), n)
-	return append(out, membership.Rank(key, addrsOf(peer.Fast(far)), n-len(out))...)
+	out := membership.Rank(key, addrsOf(peer.FastLinks(near)), n)
+	return append(out, membership.Rank(key, addrsOf(peer.FastLinks(far)), n-len(out))...)
 }
 
 func addrsOf(list []peer.Presence) []string {
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -42,7 +42,7 @@
 	hello, meter := peer.Hello{Host: name}, &peer.Meter{}
 	self := peer.Presence{Host: name, Domain: "a", Incarnation: incarnation}
 	if agent {
-		self.Engine = "engine-of-" + name
+		self.EngineAddr = "engine-of-" + name
 	} else {
 		server, err := peer.Listen("127.0.0.1:0", hello, n.serve, meter)
 		assert.NilError(t, err)
@@ -113,14 +113,14 @@
 func (n *node) EntryLost(string) { n.update(func() {}) }
 
 func (n *node) EngineState(agent peer.Presence, s *peer.EngineState) {
-	n.update(func() { n.engines[agent.Engine] = s })
+	n.update(func() { n.engines[agent.EngineAddr] = s })
 }
 
 func (n *node) Assignment(peer.Presence) (*peer.Assignment, <-chan struct{}) {
 	return &peer.Assignment{Model: "m", Version: 7}, make(chan struct{})
 }
 
-func (*node) Announced(time.Time) []peer.SeenVersion { return nil }
+func (*node) Announced(time.Time) []peer.ObservedVersion { return nil }
 
 func (n *node) Notices() []peer.TargetNotice {
 	var out []peer.TargetNotice
--- a/mesh/reports.go
+++ b/mesh/reports.go
@@ -40,7 +40,7 @@
 
 // add records a report and returns whether it is now the one in effect.
 func (e engineReports) add(from streamID, rep engineReport) bool {
-	engine := rep.agent.Engine
+	engine := rep.agent.EngineAddr
 	old, known := e.newest(engine)
 	if e[engine] == nil {
 		e[engine] = map[streamID]engineReport{}
--- a/mesh/role_test.go
+++ b/mesh/role_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func contactOf(age time.Duration) peer.StoreContact {
-	return peer.StoreContact{Known: true, AgeMs: age.Milliseconds()}
+func contactOf(age time.Duration) peer.StoreStatus {
+	return peer.StoreStatus{Known: true, AgeMs: age.Milliseconds()}
 }
 
 // A copy is confirmed only by entries that saw the store themselves, and only if it reaches
--- a/mesh/serve.go
+++ b/mesh/serve.go
@@ -29,7 +29,7 @@
 		}
 		m.handle(id, first, msg)
 	}
-	m.agentStreamEnded(id, first.Engine)
+	m.agentStreamEnded(id, first.EngineAddr)
 	m.engines.removeStream(id)
 }
 
--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -56,7 +56,7 @@
 			m.self.Addr = fmt.Sprintf("10.1.0.%d:8000", i)
 			c.byAddr[m.self.Addr] = m
 		} else {
-			m.self.Engine, m.self.Pieces, m.self.Service = fmt.Sprint("engine-", i), fmt.Sprint("pieces-", i), "s"
+			m.self.EngineAddr, m.self.PiecesAddr, m.self.Service = fmt.Sprint("engine-", i), fmt.Sprint("pieces-", i), "s"
 		}
 		c.members = append(c.members, m)
 	}
@@ -70,7 +70,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	hello := peer.Hello{Host: m.self.Host, Domain: m.self.Domain}
-	m.pool = peer.NewPoolOver(m.dial, hello, m.serve, m.meter)
+	m.pool = peer.NewPoolWithDialer(m.dial, hello, m.serve, m.meter)
 	o := Options{Self: m.self, Pool: m.pool, Log: log}
 	for _, seed := range m.fleet.members[:3] {
 		o.Seeds = append(o.Seeds, seed.self.Addr)
@@ -93,7 +93,7 @@
 	m.locked(func() { m.down = false })
 	go m.mesh.Run(ctx, loads)
 	if m.self.Addr == "" {
-		m.mesh.PublishEngineState(peer.EngineState{Addr: m.self.Engine, Model: "m", Version: 1})
+		m.mesh.PublishEngineState(peer.EngineState{Addr: m.self.EngineAddr, Model: "m", Version: 1})
 	}
 }
 
@@ -141,15 +141,15 @@
 // Methods of Listener.
 func (*process) Loads(string, *peer.Loads)              {}
 func (*process) EntryLost(string)                       {}
-func (*process) Announced(time.Time) []peer.SeenVersion { return nil }
+func (*process) Announced(time.Time) []peer.ObservedVersion { return nil }
 func (*process) Notices() []peer.TargetNotice           { return nil }
 func (m *process) EngineState(a peer.Presence, s *peer.EngineState) {
 	m.locked(func() {
 		if s == nil {
-			delete(m.engines, a.Engine)
+			delete(m.engines, a.EngineAddr)
 			return
 		}
-		m.engines[a.Engine] = *s
+		m.engines[a.EngineAddr] = *s
 	})
 }
 func (m *process) Assignment(peer.Presence) (*peer.Assignment, <-chan struct{}) {
@@ -175,7 +175,7 @@
 }
 
 // sent returns what all processes sent over a border.
-func (c *processes) sent(b peer.Border) (bytes, messages int64) {
+func (c *processes) sent(b peer.Locality) (bytes, messages int64) {
 	for _, m := range c.members {
 		n, k := m.meter.SentAll(b)
 		bytes, messages = bytes+n, messages+k
@@ -190,7 +190,7 @@
 	for _, m := range c.members[:c.entries] {
 		m.locked(func() {
 			for _, agent := range c.members[c.entries:] {
-				if !m.down && m.engines[agent.self.Engine].Version != version {
+				if !m.down && m.engines[agent.self.EngineAddr].Version != version {
 					missing++
 				}
 			}
@@ -201,7 +201,7 @@
 
 func (c *processes) publish(version int) {
 	for _, agent := range c.members[c.entries:] {
-		agent.mesh.PublishEngineState(peer.EngineState{Addr: agent.self.Engine, Model: "m", Version: version})
+		agent.mesh.PublishEngineState(peer.EngineState{Addr: agent.self.EngineAddr, Model: "m", Version: version})
 	}
 }
 
@@ -305,7 +305,7 @@
 		time.Sleep(200 * time.Millisecond)
 		for _, m := range c.members[:c.entries] {
 			m.locked(func() {
-				_, known := m.engines[gone.self.Engine]
+				_, known := m.engines[gone.self.EngineAddr]
 				assert.Assert(t, !known)
 				assert.Equal(t, len(m.engines), 4)
 			})
@@ -320,9 +320,9 @@
 	c := startFleet(members/4, members-members/4)
 	defer c.stop()
 	time.Sleep(4 * time.Second)
-	first, messages = c.sent(peer.Far)
+	first, messages = c.sent(peer.OtherDomain)
 	time.Sleep(4 * time.Second)
-	all, _ := c.sent(peer.Far)
+	all, _ := c.sent(peer.OtherDomain)
 	assert.Equal(t, c.missingReports(1), 0)
 	n := int64(members)
 	return first / n, (all - first) / n, messages / n
--- a/mesh/updates.go
+++ b/mesh/updates.go
@@ -36,7 +36,7 @@
 
 // next returns what has not been announced on the stream yet, or nil.
 func (u *memberUpdates) next(self peer.Presence, live []peer.Presence) *peer.Presences {
-	if u.to.Engine == "" {
+	if u.to.EngineAddr == "" {
 		return u.forEntry(self, live)
 	}
 	return u.forAgent(self, live)
@@ -51,10 +51,10 @@
 	msg := &peer.Presences{}
 	for _, p := range live {
 		if p.Addr != u.to.Addr && u.markAnnounced(p.Addr) {
-			msg.Addrs = append(msg.Addrs, p.Addr)
+			msg.EntryAddrs = append(msg.EntryAddrs, p.Addr)
 		}
 	}
-	if len(msg.Addrs) == 0 {
+	if len(msg.EntryAddrs) == 0 {
 		return nil
 	}
 	return msg
@@ -73,10 +73,10 @@
 	chosen := chooseLinks(u.to, known)
 	for _, p := range live {
 		if slices.Contains(chosen, p.Addr) && u.markAnnounced(p.Addr) {
-			msg.Others = append(msg.Others, p)
+			msg.Entries = append(msg.Entries, p)
 		}
 	}
-	if msg.Sender.Addr == "" && len(msg.Others) == 0 {
+	if msg.Sender.Addr == "" && len(msg.Entries) == 0 {
 		return nil
 	}
 	u.senderSent, u.leavingSent = true, self.Leaving
@@ -99,7 +99,7 @@
 	if !ok {
 		return
 	}
-	if to.Engine != "" {
+	if to.EngineAddr != "" {
 		go m.sendAssignments(ctx, s, to)
 		go m.sendCrashesToAgent(ctx, s)
 	}
--- a/mesh/updates_test.go
+++ b/mesh/updates_test.go
@@ -23,7 +23,7 @@
 	announced := map[string]int{}
 	for k := range all {
 		if msg := n.next(self, all[:k+1]); msg != nil {
-			for _, addr := range msg.Addrs {
+			for _, addr := range msg.EntryAddrs {
 				announced[addr]++
 			}
 		}
@@ -53,21 +53,21 @@
 // needs to choose among them.
 func TestAgentLearnsTheEntriesToLinkTo(t *testing.T) {
 	all := presencesOf(35)
-	n := newMemberUpdates(peer.Presence{Host: "agent", Domain: "d-1", Engine: "engine"}, false)
+	n := newMemberUpdates(peer.Presence{Host: "agent", Domain: "d-1", EngineAddr: "engine"}, false)
 	self := peer.Presence{Addr: "self", Domain: "d-0"}
 	msg := n.next(self, all)
 	assert.Equal(t, msg.Sender.Addr, "self")
 	near := 0
-	for _, p := range msg.Others {
+	for _, p := range msg.Entries {
 		assert.Assert(t, p.Domain != "" && p.LinkMbps > 0)
 		if p.Domain == "d-1" {
 			near++
 		}
 	}
 	assert.Equal(t, near, 7)
-	assert.Assert(t, len(msg.Others) <= near+farLinks)
+	assert.Assert(t, len(msg.Entries) <= near+farLinks)
 	assert.Assert(t, n.next(self, all) == nil)
 	self.Leaving = true
 	msg = n.next(self, all)
-	assert.Assert(t, msg.Sender.Leaving && len(msg.Others) == 0)
+	assert.Assert(t, msg.Sender.Leaving && len(msg.Entries) == 0)
 }
--- a/peer/meter_test.go
+++ b/peer/meter_test.go
@@ -10,9 +10,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Bytes are counted by kind of message and by whether the other side stands in the same
-// failure domain.
-func TestMeterTellsKindsAndBordersApart(t *testing.T) {
+// Sent bytes are counted by message kind and by whether the peer is in the same failure
+// domain.
+func TestMeterCountsByKindAndLocality(t *testing.T) {
 	meter := &Meter{}
 	for domain, calls := range map[string]int{"a": 1, "b": 3} {
 		near, far := net.Pipe()
@@ -32,12 +32,12 @@
 		c.Close()
 		(<-accepted).Close()
 	}
-	nearBytes, near := meter.Sent(Near, kindGetPiece)
-	farBytes, far := meter.Sent(Far, kindGetPiece)
+	nearBytes, near := meter.Sent(SameDomain, kindGetPiece)
+	farBytes, far := meter.Sent(OtherDomain, kindGetPiece)
 	assert.Equal(t, near, int64(1))
 	assert.Equal(t, far, int64(3))
 	assert.Equal(t, farBytes, 3*nearBytes)
-	all, _ := meter.SentAll(Far)
+	all, _ := meter.SentAll(OtherDomain)
 	assert.Assert(t, all >= farBytes)
 
 	r := metrics.NewRegistry()
@@ -45,5 +45,5 @@
 	gauge, ok := r.Get("peer.sent_bytes.far.GetPiece").(metrics.Gauge)
 	assert.Assert(t, ok)
 	assert.Equal(t, gauge.Value(), farBytes)
-	r.Each(func(name string, _ any) { assert.Assert(t, !strings.HasSuffix(name, "."), "a kind without a name") })
+	r.Each(func(name string, _ any) { assert.Assert(t, !strings.HasSuffix(name, "."), "unnamed message kind") })
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -48,15 +48,15 @@
 	assert.Equal(t, v.n, 9)
 }
 
-func TestAllFaultsAtOnce(t *testing.T) {
+func TestAllInvalidSettingsAreReported(t *testing.T) {
 	t.Setenv("SPRINGGATE_LOG_LEVEL", "loud")
 	_, err := load("--config-url", "ftp://x", "--listen", "nowhere", "--notice", "2h", "--subset", "1", "--max-body", "many", "--on", "perhaps")
-	faults, ok := err.(Faults)
+	invalid, ok := err.(ValidationErrors)
 	assert.Assert(t, ok, "%v", err)
-	assert.Equal(t, len(faults), 8)
-	assert.Equal(t, faults.ExitCode(), 2)
+	assert.Equal(t, len(invalid), 8)
+	assert.Equal(t, invalid.ExitCode(), 2)
 	for _, want := range []string{
-		`--host (SPRINGGATE_HOST): "": want a text that is not empty`,
+		`--host (SPRINGGATE_HOST): "": want a non-empty string`,
 		`--log-level (SPRINGGATE_LOG_LEVEL): "loud": want one of info, debug`,
 		`--subset (SPRINGGATE_SUBSET): "1": want a whole number from 2 to 100`,
 		`--max-body (SPRINGGATE_MAX_BODY): "many": want a size such as 64MiB`,
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -613,7 +613,7 @@
 		})
 		s.Assign(time.Now(), thirdAfterSecond())
 		time.Sleep(200 * time.Millisecond)
-		assert.Equal(t, published().Born, int64(2000))
+		assert.Equal(t, published().StartMs, int64(2000))
 		time.Sleep(12 * time.Second)
 		assert.Equal(t, published().Version, 3)
 		assert.Assert(t, !e.loadedInvalid)
@@ -695,7 +695,7 @@
 func TestVersionWithheldByRemovedEntry(t *testing.T) {
 	s := New(Config{}, &fakeEngine{}, "engine", &fakeSource{}, func(peer.EngineState) {}, NewStats(metrics.NewRegistry()), logrus.New())
 	a := newAssignment(2, 0, 1)
-	a.Entry, a.Withheld = "entry-1", true
+	a.Entry, a.PiecesUnreadable = "entry-1", true
 	s.Assign(start, a)
 	assert.Assert(t, s.assigned().withheld())
 	s.RemoveEntry("entry-2")
