--- a/soak/facts.go
+++ b/soak/facts.go
@@ -69,7 +69,7 @@
 }
 
 // facts returns what was noted, with what targets saw of the requests.
-func (n *notes) facts(runs *fake.Runs) Facts {
+func (n *notes) facts(runs *fake.RequestLog) Facts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	crashes := map[string][]time.Duration{}
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -52,7 +52,7 @@
 	rng     *rand.Rand
 	store   *fake.Store
 	origin  *fake.Origin
-	runs    *fake.Runs
+	runs    *fake.RequestLog
 	entries []*Process
 	agents  []*Process
 	engines []*fake.Target
