--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -100,7 +100,7 @@
 
 // newFleet starts the stand-ins and the programs.
 func newFleet(cfg Config) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), runs: fake.NewRuns(), notes: newNotes(),
+	f := &Fleet{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), runs: fake.NewRequestLog(), notes: newNotes(),
 		troubled: map[*fake.Target]time.Time{}}
 	var err error
 	if f.store, err = fake.NewStore(); err != nil {
