--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -277,7 +277,7 @@
 func (f *Fleet) troubledSince(id string, since time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, instance := range f.runs.Of(id) {
+	for _, instance := range f.runs.Executions(id) {
 		if f.runs.Crashed(instance) {
 			return true
 		}
