--- a/soak/facts.go
+++ b/soak/facts.go
@@ -86,7 +86,7 @@
 	for _, x := range runs.Rests() {
 		rests[x.Life] = append(rests[x.Life], Rest{x.Request, x.At.Sub(n.start), x.Rest})
 	}
-	return Facts{Rests: rests, Limits: slices.Clone(n.limits), Arrivals: arrivals, Runs: runs.AllExecutions(), Reached: runs.Reached(), Configs: maps.Clone(n.configs), Leaving: maps.Clone(n.leaving), Crashes: crashes, Late: runs.Late()}
+	return Facts{Rests: rests, Limits: slices.Clone(n.limits), Arrivals: arrivals, Runs: runs.AllExecutions(), Reached: runs.Reached(), Configs: maps.Clone(n.configs), Leaving: maps.Clone(n.leaving), Crashes: crashes, Late: runs.Delays()}
 }
 
 // leavingSince returns the first time since when one of the instances that a request
