--- a/soak/facts.go
+++ b/soak/facts.go
@@ -83,7 +83,7 @@
 		arrivals[a.Life] = append(arrivals[a.Life], Arrival{a.Request, a.At.Sub(n.start)})
 	}
 	rests := map[string][]Rest{}
-	for _, x := range runs.Rests() {
+	for _, x := range runs.Backoffs() {
 		rests[x.Life] = append(rests[x.Life], Rest{x.Request, x.At.Sub(n.start), x.Rest})
 	}
 	return Facts{Rests: rests, Limits: slices.Clone(n.limits), Arrivals: arrivals, Runs: runs.AllExecutions(), Reached: runs.Reached(), Configs: maps.Clone(n.configs), Leaving: maps.Clone(n.leaving), Crashes: crashes, Late: runs.Delays()}
