--- a/soak/facts.go
+++ b/soak/facts.go
@@ -84,7 +84,7 @@
 	}
 	rests := map[string][]Rest{}
 	for _, x := range runs.Backoffs() {
-		rests[x.Life] = append(rests[x.Life], Rest{x.Request, x.At.Sub(n.start), x.Duration})
+		rests[x.Incarnation] = append(rests[x.Incarnation], Rest{x.Request, x.At.Sub(n.start), x.Duration})
 	}
 	return Facts{Rests: rests, Limits: slices.Clone(n.limits), Arrivals: arrivals, Runs: runs.AllExecutions(), Reached: runs.Reached(), Configs: maps.Clone(n.configs), Leaving: maps.Clone(n.leaving), Crashes: crashes, Late: runs.Delays()}
 }
