--- a/soak/facts.go
+++ b/soak/facts.go
@@ -80,7 +80,7 @@
 	}
 	arrivals := map[string][]Arrival{}
 	for _, a := range runs.Arrivals() {
-		arrivals[a.Life] = append(arrivals[a.Life], Arrival{a.Request, a.At.Sub(n.start)})
+		arrivals[a.Incarnation] = append(arrivals[a.Incarnation], Arrival{a.Request, a.At.Sub(n.start)})
 	}
 	rests := map[string][]Rest{}
 	for _, x := range runs.Backoffs() {
