--- a/soak/leaving.go
+++ b/soak/leaving.go
@@ -32,7 +32,7 @@
 	life := t.SayLeaving()
 	f.logf("%s says that it leaves, listed as ready for %v", life, after.Round(time.Millisecond))
 	time.Sleep(after)
-	if t.Life() != life {
+	if t.Incarnation() != life {
 		return
 	}
 	t.Leave()
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -54,7 +54,7 @@
 	life := t.SayLimit(strconv.FormatFloat(perS, 'f', -1, 64))
 	f.logf("%s names a limit of %v/s for %v", life, perS, d.Round(time.Millisecond))
 	time.Sleep(d)
-	if t.Life() == life && !f.targetTroubledSince(t, began) {
+	if t.Incarnation() == life && !f.targetTroubledSince(t, began) {
 		f.notes.limited(LimitSpan{Life: life, From: from, To: f.notes.now(), PerS: perS})
 	}
 }
--- a/soak/rest.go
+++ b/soak/rest.go
@@ -28,7 +28,7 @@
 		t, rest, d := targets[i], pick(rng, []float64{0.8, 2, 3}), between(rng, restFrom, restTo)
 		asking.Go(func() {
 			f.troubleTarget(t, d+aftermath)
-			f.logf("%s turns requests away and asks for %v s of rest for %v", t.Life(), rest, d.Round(time.Millisecond))
+			f.logf("%s turns requests away and asks for %v s of rest for %v", t.Incarnation(), rest, d.Round(time.Millisecond))
 			t.AskRest(rest)
 			time.Sleep(d)
 			t.AskRest(0)
