--- a/soak/limit.go
+++ b/soak/limit.go
@@ -41,7 +41,7 @@
 			for range limitSteps {
 				f.nameLimit(t, pick(own, []float64{0, 0.2, 1, 3, 10}), between(own, limitFrom, limitTo))
 			}
-			t.SayLimit("")
+			t.AdvertiseLimit("")
 		})
 	}
 	naming.Wait()
@@ -51,7 +51,7 @@
 // not judged: what is held up on the way to it arrives at once.
 func (f *Fleet) nameLimit(t *fake.Target, perS float64, d time.Duration) {
 	began, from := time.Now(), f.notes.now()
-	life := t.SayLimit(strconv.FormatFloat(perS, 'f', -1, 64))
+	life := t.AdvertiseLimit(strconv.FormatFloat(perS, 'f', -1, 64))
 	f.logf("%s names a limit of %v/s for %v", life, perS, d.Round(time.Millisecond))
 	time.Sleep(d)
 	if t.Incarnation() == life && !f.targetTroubledSince(t, began) {
