--- a/soak/leaving.go
+++ b/soak/leaving.go
@@ -29,7 +29,7 @@
 }
 
 func (f *Fleet) leaveUnlisted(t *fake.Target, after time.Duration) {
-	life := t.SayLeaving()
+	life := t.AdvertiseLeaving()
 	f.logf("%s says that it leaves, listed as ready for %v", life, after.Round(time.Millisecond))
 	time.Sleep(after)
 	if t.Incarnation() != life {
