--- a/soak/rest.go
+++ b/soak/rest.go
@@ -29,9 +29,9 @@
 		asking.Go(func() {
 			f.troubleTarget(t, d+aftermath)
 			f.logf("%s turns requests away and asks for %v s of rest for %v", t.Incarnation(), rest, d.Round(time.Millisecond))
-			t.AskRest(rest)
+			t.SetRetryAfter(rest)
 			time.Sleep(d)
-			t.AskRest(0)
+			t.SetRetryAfter(0)
 		})
 	}
 	asking.Wait()
