--- a/soak/leaving.go
+++ b/soak/leaving.go
@@ -35,7 +35,7 @@
 	if t.Incarnation() != life {
 		return
 	}
-	t.Leave()
+	t.StartDraining()
 	f.notes.leaves(life)
 	time.Sleep(leaveFrom)
 	f.troubleTarget(t, aftermath)
--- a/soak/long.go
+++ b/soak/long.go
@@ -109,7 +109,7 @@
 // targetLeaves makes a target say that it leaves, serve on and be replaced.
 func targetLeaves(f *Fleet, rng *rand.Rand, _ time.Duration) {
 	t, d := pick(rng, f.targets()), between(rng, leaveFrom, leaveTo)
-	instance := t.Leave()
+	instance := t.StartDraining()
 	f.notes.leaves(instance)
 	f.logf("%s leaves for %v", instance, d.Round(time.Millisecond))
 	time.Sleep(d)
@@ -166,7 +166,7 @@
 // leaveAmid makes a target leave after a time, serve on until another and be replaced.
 func (f *Fleet) leaveAmid(t *fake.Target, after time.Duration, silent bool, until time.Time) {
 	time.Sleep(after)
-	leave, how := t.Leave, "leaves"
+	leave, how := t.StartDraining, "leaves"
 	if silent {
 		leave, how = t.Vanish, "leaves without a word"
 	}
