--- a/soak/long.go
+++ b/soak/long.go
@@ -168,7 +168,7 @@
 	time.Sleep(after)
 	leave, how := t.StartDraining, "leaves"
 	if silent {
-		leave, how = t.Vanish, "leaves without a word"
+		leave, how = t.Unlist, "leaves without a word"
 	}
 	instance := leave()
 	f.notes.leaves(instance)
