--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -328,7 +328,7 @@
 	load.Wait()
 	r := &Result{Unserved: unserved, Faults: faults}
 	for _, e := range f.engines {
-		r.Mixed = append(r.Mixed, e.Mixed()...)
+		r.Mixed = append(r.Mixed, e.MixedLoads()...)
 	}
 	for _, p := range slices.Concat(f.entries, f.agents) {
 		r.OwnExits += p.OwnExits()
