--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -128,7 +128,7 @@
 			cfg.LateFrom, cfg.LateTo = lateFrom, lateTo
 		}
 		var linkErr error
-		cfg.Listed = func(own string) string {
+		cfg.AdvertisedAddr = func(own string) string {
 			if way, linkErr = NewLink(own); linkErr != nil {
 				return own
 			}
