--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -135,7 +135,7 @@
 			return way.Addr()
 		}
 		if i%2 == 0 { // before the others stands something that takes connections meanwhile
-			cfg.Down = func(down bool) { way.SetDown(down) }
+			cfg.OnDown = func(down bool) { way.SetDown(down) }
 		}
 		t, err := fake.NewTarget(cfg, f.store, f.runs, f.origin)
 		if err != nil {
