--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -123,7 +123,7 @@
 		// Every other target starts again under its ID.
 		cfg := fake.TargetConfig{Service: plainService, Domain: domains[i%len(domains)], KeepID: i%2 == 1}
 		if i < f.cfg.Engines {
-			cfg.Service, cfg.Model, cfg.Holds = engineService, model, 1
+			cfg.Service, cfg.Model, cfg.InitialVersion = engineService, model, 1
 			cfg.RequireFencing = i%2 == 0
 			cfg.LateFrom, cfg.LateTo = lateFrom, lateTo
 		}
