--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -125,7 +125,7 @@
 		if i < f.cfg.Engines {
 			cfg.Service, cfg.Model, cfg.InitialVersion = engineService, model, 1
 			cfg.RequireFencing = i%2 == 0
-			cfg.MinOrderDelay, cfg.LateTo = lateFrom, lateTo
+			cfg.MinOrderDelay, cfg.MaxOrderDelay = lateFrom, lateTo
 		}
 		var linkErr error
 		cfg.AdvertisedAddr = func(own string) string {
