--- a/soak/faults.go
+++ b/soak/faults.go
@@ -63,7 +63,7 @@
 				continue
 			}
 			f.troubleTarget(t, d+aftermath)
-			flags = append(flags, pick(rng, []*atomic.Bool{&t.Faults.Truncate, &t.Faults.ExtraResponse, &t.Faults.Full, &t.Faults.Fail}))
+			flags = append(flags, pick(rng, []*atomic.Bool{&t.Faults.Truncate, &t.Faults.ExtraResponse, &t.Faults.Refuse, &t.Faults.Fail}))
 		}
 		setAll(flags, true)
 		time.Sleep(d)
