--- a/soak/long.go
+++ b/soak/long.go
@@ -123,7 +123,7 @@
 	var flags []*atomic.Bool
 	for _, e := range f.engines {
 		if rng.IntN(2) == 0 {
-			flags = append(flags, &e.Faults.Late)
+			flags = append(flags, &e.Faults.DelayOrders)
 		}
 	}
 	setAll(flags, true)
