--- a/soak/faults.go
+++ b/soak/faults.go
@@ -53,7 +53,7 @@
 		defer f.contact.regain()
 		f.store.SetMode([]fake.StoreMode{fake.StoreBusy, fake.StoreReset, fake.StoreSlow}[rng.IntN(3)])
 		time.Sleep(d)
-		f.store.SetMode(fake.StoreWorks)
+		f.store.SetMode(fake.StoreHealthy)
 	}},
 	{"store's history", func(f *Fleet, _ *rand.Rand, _ time.Duration) { f.store.Forget() }},
 	{"target's answers", func(f *Fleet, rng *rand.Rand, d time.Duration) {
--- a/soak/long.go
+++ b/soak/long.go
@@ -158,7 +158,7 @@
 		f.store.Forget()
 	})
 	time.Sleep(time.Until(end))
-	f.store.SetMode(fake.StoreWorks)
+	f.store.SetMode(fake.StoreHealthy)
 	f.contact.regain()
 	leaving.Wait()
 }
