--- a/soak/long.go
+++ b/soak/long.go
@@ -141,7 +141,7 @@
 	targets := append(slices.Clone(f.engines), f.plains[1:]...) // one plain target stays
 	var leaving sync.WaitGroup
 	f.contact.lose()
-	f.store.SetMode(fake.StoreUneven)
+	f.store.SetMode(fake.StoreReorder)
 	end := time.Now().Add(overtakenFor)
 	f.nextVersion()
 	for _, i := range rng.Perm(len(targets))[:len(targets)/leaversOf] {
