--- a/soak/faults.go
+++ b/soak/faults.go
@@ -55,7 +55,7 @@
 		time.Sleep(d)
 		f.store.SetMode(fake.StoreHealthy)
 	}},
-	{"store's history", func(f *Fleet, _ *rand.Rand, _ time.Duration) { f.store.Forget() }},
+	{"store's history", func(f *Fleet, _ *rand.Rand, _ time.Duration) { f.store.Compact() }},
 	{"target's answers", func(f *Fleet, rng *rand.Rand, d time.Duration) {
 		var flags []*atomic.Bool
 		for _, t := range f.targets() {
--- a/soak/long.go
+++ b/soak/long.go
@@ -155,7 +155,7 @@
 	})
 	leaving.Go(func() {
 		time.Sleep(forgetAfter)
-		f.store.Forget()
+		f.store.Compact()
 	})
 	time.Sleep(time.Until(end))
 	f.store.SetMode(fake.StoreHealthy)
