--- a/soak/callers.go
+++ b/soak/callers.go
@@ -103,7 +103,7 @@
 	// The call goes on when the load ends: each must come to its end.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	r, err := fake.NewRequest(c.entry.node.Callers, hostName, k.path, fake.Call{ID: a.ID, Key: secret, Within: callWithin, Prompt: 100, Body: body})
+	r, err := fake.NewRequest(c.entry.node.Callers, hostName, k.path, fake.Call{ID: a.ID, Key: secret, Timeout: callWithin, Prompt: 100, Body: body})
 	a.Sent = c.fleet.notes.now()
 	if err == nil {
 		var resp *http.Response
