--- a/soak/callers.go
+++ b/soak/callers.go
@@ -140,7 +140,7 @@
 	default:
 		b, err := io.ReadAll(resp.Body)
 		a.Cut = err != nil
-		if err == nil && string(b) != fake.Body(a.ID) {
+		if err == nil && string(b) != fake.ResponseBody(a.ID) {
 			a.Fault = fmt.Sprintf("body %.40q", b)
 		}
 	}
