--- a/soak/callers.go
+++ b/soak/callers.go
@@ -164,12 +164,12 @@
 	}
 	if err := lines.Err(); err != nil {
 		a.Cut = true
-		if !errors.Is(err, io.ErrUnexpectedEOF) && next > fake.Events {
+		if !errors.Is(err, io.ErrUnexpectedEOF) && next > fake.StreamEvents {
 			a.Cut = false // all events came; only the end of the connection was rough
 		}
 		return
 	}
-	if next <= fake.Events {
+	if next <= fake.StreamEvents {
 		a.Fault = fmt.Sprintf("stream looks complete after %d events", next-1)
 	}
 }
