--- a/httpclient/httpclient.go
+++ b/httpclient/httpclient.go
@@ -39,10 +39,10 @@
 	return httpc.NewServiceWithClient(name, &http.Client{Transport: Transport()})
 }
 
-// NewBrief is New for a server that counts the connections of all callers
+// NewShortIdle is New for a server that counts the connections of all callers
 // together: idle ones are closed soon, so that they do not keep others out.
 // Those of a host that loses power stay open there for long.
-func NewBrief(name string) httpc.Service {
+func NewShortIdle(name string) httpc.Service {
 	breaker.NoBreakerFor(name)
 	t := Transport()
 	t.DialContext = Dialer(briefDial).DialContext
