--- a/agent/fetch.go
+++ b/agent/fetch.go
@@ -111,7 +111,7 @@
 	if err == nil {
 		err = w.chunks.put(want, b)
 	}
-	var limited *httpclient.ErrLimited
+	var limited *httpclient.ThrottledError
 	switch {
 	case err == nil:
 		w.recordFetched(t, f, len(b), now)
--- a/httpclient/httpclient.go
+++ b/httpclient/httpclient.go
@@ -61,12 +61,12 @@
 	}
 }
 
-// ErrLimited is returned for status 429, and for 503 with Retry-After; it says how long to
+// ThrottledError is returned for status 429, and for 503 with Retry-After; it says how long to
 // wait.
-type ErrLimited struct{ RetryAfter time.Duration }
+type ThrottledError struct{ RetryAfter time.Duration }
 
 // Error implements error.
-func (e *ErrLimited) Error() string {
+func (e *ThrottledError) Error() string {
 	return "httpclient: limited, retry after " + e.RetryAfter.String()
 }
 
@@ -89,7 +89,7 @@
 		if !ok {
 			d = defaultRetryAfter
 		}
-		return nil, &ErrLimited{d}
+		return nil, &ThrottledError{d}
 	default:
 		return nil, errors.Wrapf(ErrStatus, "%d", resp.StatusCode)
 	}
--- a/httpclient/retryafter_test.go
+++ b/httpclient/retryafter_test.go
@@ -33,7 +33,7 @@
 		{http.StatusServiceUnavailable, "0.3", 300 * time.Millisecond},
 	} {
 		_, err := ReadAll(answer(c.status, c.value), 1)
-		var limited *ErrLimited
+		var limited *ThrottledError
 		assert.Assert(t, errors.As(err, &limited), "%d %q: %v", c.status, c.value, err)
 		assert.Equal(t, limited.RetryAfter, c.want, "%d %q", c.status, c.value)
 	}
--- a/weightstore/client.go
+++ b/weightstore/client.go
@@ -54,7 +54,7 @@
 		return nil, errors.Wrap(ErrUnavailable, err.Error())
 	}
 	b, err := httpclient.ReadAll(resp, limit)
-	var limited *httpclient.ErrLimited
+	var limited *httpclient.ThrottledError
 	switch {
 	case err == nil:
 		return b, nil
