--- a/httpclient/dialer.go
+++ b/httpclient/dialer.go
@@ -8,35 +8,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// Times after which a connection into silence is given up. A cut link answers
-// nothing, so without these a write or a wait would hang for minutes.
+// TCP timeouts after which a connection to an unresponsive peer is closed. If the link is
+// down, no reset arrives, so without these a write or read would hang for minutes.
 const (
-	// unackedTimeout is how long sent bytes may stay unacknowledged. It
-	// exceeds two retransmissions on a lossy link.
-	unackedTimeout = 3 * time.Second
-	probeIdle      = 2 * time.Second
-	probeInterval  = time.Second
-	probeCount     = 2
+	// userTimeout is how long sent data may remain unacknowledged (TCP_USER_TIMEOUT). It is
+	// longer than two retransmissions on a lossy link take.
+	userTimeout       = 3 * time.Second
+	keepAliveIdle     = 2 * time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 2
 )
 
-// Dialer returns a dialer that gives up after timeout and whose connections
-// notice a silent peer.
+// Dialer returns a dialer with the given timeout whose connections detect an unresponsive
+// peer.
 func Dialer(timeout time.Duration) *net.Dialer {
-	return &net.Dialer{Timeout: timeout, Control: limitSilence,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}}
+	return &net.Dialer{Timeout: timeout, Control: setUserTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}}
 }
 
-// ListenConfig returns a configuration whose accepted connections notice a
-// silent peer.
+// ListenConfig returns a listener configuration whose accepted connections detect an
+// unresponsive peer.
 func ListenConfig() net.ListenConfig {
-	return net.ListenConfig{Control: limitSilence,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount}}
+	return net.ListenConfig{Control: setUserTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}}
 }
 
-func limitSilence(_, _ string, c syscall.RawConn) error {
+func setUserTimeout(_, _ string, c syscall.RawConn) error {
 	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/httpclient/httpclient.go
+++ b/httpclient/httpclient.go
@@ -1,6 +1,6 @@
-// Package httpclient makes the HTTP clients for the peers of the system, on
-// go-zero's httpc. The library's circuit breaker is off, because it refuses
-// calls without our counters.
+// Package httpclient provides the HTTP clients for external services and engines, based on
+// go-zero's httpc. The library's circuit breaker is disabled because it rejects calls
+// without recording them in this project's counters.
 package httpclient
 
 import (
@@ -13,20 +13,20 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// Limits of the transport.
+// Transport settings.
 const (
 	dialTimeout      = 2 * time.Second
 	idleTimeout      = 90 * time.Second
 	idleConnsPerHost = 64
-	// briefIdle is how long a client made by NewBrief keeps an idle connection:
-	// enough for the next of several calls in a row.
-	briefIdle = 300 * time.Millisecond
-	// briefDial bounds its connection attempts; the longest way there and back
-	// takes 6 ms.
-	briefDial = 500 * time.Millisecond
+	// shortIdleTimeout is how long a client made by NewShortIdle keeps an idle connection:
+	// long enough for the next of several consecutive calls.
+	shortIdleTimeout = 300 * time.Millisecond
+	// shortIdleDialTimeout is the dial timeout of such a client; the longest round trip is
+	// 6 ms.
+	shortIdleDialTimeout = 500 * time.Millisecond
 )
 
-// Errors of a call.
+// Errors returned by ReadAll.
 var (
 	ErrTooLarge = errors.New("httpclient: answer over the size limit")
 	ErrNotFound = errors.New("httpclient: not found")
@@ -39,19 +39,19 @@
 	return httpc.NewServiceWithClient(name, &http.Client{Transport: Transport()})
 }
 
-// NewShortIdle is New for a server that counts the connections of all callers
-// together: idle ones are closed soon, so that they do not keep others out.
-// Those of a host that loses power stay open there for long.
+// NewShortIdle is like New, for a server that limits the total number of connections from
+// all clients: idle connections are closed early so that they do not exclude other clients.
+// The server keeps the connections of a host that loses power open for a long time.
 func NewShortIdle(name string) httpc.Service {
 	breaker.NoBreakerFor(name)
 	t := Transport()
-	t.DialContext = Dialer(briefDial).DialContext
-	t.IdleConnTimeout = briefIdle
+	t.DialContext = Dialer(shortIdleDialTimeout).DialContext
+	t.IdleConnTimeout = shortIdleTimeout
 	return httpc.NewServiceWithClient(name, &http.Client{Transport: t})
 }
 
-// Transport returns a transport that keeps connections, follows no proxy
-// settings and leaves bodies as they are.
+// Transport returns a transport that reuses connections, ignores proxy settings and does
+// not decompress bodies.
 func Transport() *http.Transport {
 	return &http.Transport{
 		DialContext:         Dialer(dialTimeout).DialContext,
@@ -61,8 +61,8 @@
 	}
 }
 
-// ThrottledError is returned for status 429, and for 503 with Retry-After; it says how long to
-// wait.
+// ThrottledError is returned for status 429 and for 503 with a Retry-After. RetryAfter is the
+// time to wait before the next call.
 type ThrottledError struct{ RetryAfter time.Duration }
 
 // Error implements error.
@@ -70,11 +70,11 @@
 	return "httpclient: limited, retry after " + e.RetryAfter.String()
 }
 
-// defaultRetryAfter is used if a 429 names no time.
+// defaultRetryAfter is used if a 429 has no valid Retry-After.
 const defaultRetryAfter = time.Second
 
-// ReadAll returns the body of a 200 answer of at most limit bytes and turns
-// other answers into errors. It closes the body.
+// ReadAll returns the body of a 200 response of at most limit bytes and returns an error for
+// any other response. It closes the body.
 func ReadAll(resp *http.Response, limit int64) ([]byte, error) {
 	defer resp.Body.Close()
 	switch resp.StatusCode {
--- a/httpclient/retryafter.go
+++ b/httpclient/retryafter.go
@@ -10,23 +10,25 @@
 	"github.com/springgate/springgate/clock"
 )
 
-// MaxRetryAfter is the longest Retry-After that is told apart.
+// MaxRetryAfter is the upper bound of the durations that RetryAfter returns; longer values
+// are capped.
 const MaxRetryAfter = 24 * time.Hour
 
-// RetryAfter returns the longest Retry-After of an answer (RFC 9110, 10.2.3), in seconds,
-// which may have a fraction, or up to a date. ok is false if there is none that is
-// readable. A date is by the server's own clock if it tells that.
+// RetryAfter returns the longest Retry-After of a response (RFC 9110, 10.2.3). A value is a
+// number of seconds, which may have a fraction, or a date. ok is false if there is no valid
+// value. A date is taken relative to the response's Date header if that is valid, and to the
+// local clock otherwise.
 func RetryAfter(h http.Header) (longest time.Duration, ok bool) {
 	for _, value := range h.Values("Retry-After") {
-		d, readable := delay(strings.TrimSpace(value), h.Get("Date"))
-		if readable {
+		d, valid := parseRetryAfter(strings.TrimSpace(value), h.Get("Date"))
+		if valid {
 			longest, ok = max(longest, d), true
 		}
 	}
 	return longest, ok
 }
 
-func delay(value, date string) (d time.Duration, ok bool) {
+func parseRetryAfter(value, date string) (d time.Duration, ok bool) {
 	if s, err := strconv.ParseFloat(value, 64); err == nil {
 		if math.IsNaN(s) || s < 0 {
 			return 0, false
--- a/httpclient/retryafter_test.go
+++ b/httpclient/retryafter_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func answer(status int, retryAfter string) *http.Response {
+func response(status int, retryAfter string) *http.Response {
 	h := http.Header{}
 	if retryAfter != "" {
 		h.Set("Retry-After", retryAfter)
@@ -19,8 +19,8 @@
 	return &http.Response{StatusCode: status, Header: h, Body: io.NopCloser(strings.NewReader(""))}
 }
 
-// A wait with a fraction, or beside 503, was not heard.
-func TestReadAllHeedsRetryAfter(t *testing.T) {
+// Guards against ignoring a Retry-After that has a fraction or comes with a 503.
+func TestReadAllReturnsRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		value  string
@@ -32,11 +32,11 @@
 		{http.StatusTooManyRequests, "soon", defaultRetryAfter},
 		{http.StatusServiceUnavailable, "0.3", 300 * time.Millisecond},
 	} {
-		_, err := ReadAll(answer(c.status, c.value), 1)
-		var limited *ThrottledError
-		assert.Assert(t, errors.As(err, &limited), "%d %q: %v", c.status, c.value, err)
-		assert.Equal(t, limited.RetryAfter, c.want, "%d %q", c.status, c.value)
+		_, err := ReadAll(response(c.status, c.value), 1)
+		var throttled *ThrottledError
+		assert.Assert(t, errors.As(err, &throttled), "%d %q: %v", c.status, c.value, err)
+		assert.Equal(t, throttled.RetryAfter, c.want, "%d %q", c.status, c.value)
 	}
-	_, err := ReadAll(answer(http.StatusServiceUnavailable, ""), 1)
+	_, err := ReadAll(response(http.StatusServiceUnavailable, ""), 1)
 	assert.ErrorIs(t, err, ErrStatus)
 }
