--- a/httpclient/httpclient.go
+++ b/httpclient/httpclient.go
@@ -28,7 +28,7 @@
 
 // Errors returned by ReadAll.
 var (
-	ErrTooLarge = errors.New("httpclient: answer over the size limit")
+	ErrTooLarge = errors.New("httpclient: response exceeds the size limit")
 	ErrNotFound = errors.New("httpclient: not found")
 	ErrStatus   = errors.New("httpclient: unexpected status")
 )
@@ -67,7 +67,7 @@
 
 // Error implements error.
 func (e *ThrottledError) Error() string {
-	return "httpclient: limited, retry after " + e.RetryAfter.String()
+	return "httpclient: throttled, retry after " + e.RetryAfter.String()
 }
 
 // defaultRetryAfter is used if a 429 has no valid Retry-After.
@@ -95,7 +95,7 @@
 	}
 	b, err := io.ReadAll(io.LimitReader(resp.Body, limit+1))
 	if err != nil {
-		return nil, errors.Wrap(err, "httpclient: read")
+		return nil, errors.Wrap(err, "httpclient: read response body")
 	}
 	if int64(len(b)) > limit {
 		return nil, ErrTooLarge
