--- a/hostlist/client.go
+++ b/hostlist/client.go
@@ -73,10 +73,10 @@
 }
 
 // New returns a client for the service at the base URL.
-func New(base string) *Client { return NewOver(httpclient.New("hostlist"), base) }
+func New(base string) *Client { return NewWithClient(httpclient.New("hostlist"), base) }
 
-// NewOver is New over another HTTP client.
-func NewOver(h httpc.Service, base string) *Client { return &Client{base: base, http: h} }
+// NewWithClient is New over another HTTP client.
+func NewWithClient(h httpc.Service, base string) *Client { return &Client{base: base, http: h} }
 
 // Read returns the published bytes of the list, or ErrUnchanged if its serial
 // number is after.
