--- a/hostlist/client.go
+++ b/hostlist/client.go
@@ -1,5 +1,6 @@
-// Package hostlist reads the platform's lagging list of live and leaving
-// hosts. The interface is described in docs/PLATFORM.md.
+// Package hostlist is a client for the platform's list of live and leaving
+// hosts, which may lag behind the actual state. The interface is described in
+// docs/PLATFORM.md.
 package hostlist
 
 import (
@@ -16,11 +17,11 @@
 )
 
 const (
-	maxList     = 16 << 20
-	callTimeout = 5 * time.Second
+	maxListBytes = 16 << 20
+	callTimeout  = 5 * time.Second
 )
 
-// Errors of the service.
+// Errors returned by Client.Read and Parse.
 var (
 	ErrUnchanged   = errors.New("hostlist: unchanged")
 	ErrUnavailable = errors.New("hostlist: unavailable")
@@ -36,13 +37,13 @@
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
-// List is the whole list. Serial grows with each change.
+// List is the complete list. Serial increases with each change.
 type List struct {
 	Serial uint64 `json:"serial"`
 	Hosts  []Host `json:"hosts"`
 }
 
-// Listed returns the hosts in the form that membership takes.
+// Listed converts the hosts to the form that package membership uses.
 func (l List) Listed() []membership.Listed {
 	out := make([]membership.Listed, len(l.Hosts))
 	for i, h := range l.Hosts {
@@ -52,7 +53,7 @@
 	return out
 }
 
-// Parse reads a list in its published form.
+// Parse decodes a published list. The error is ErrMalformed if it is invalid.
 func Parse(b []byte) (List, error) {
 	var l List
 	if err := json.Unmarshal(b, &l); err != nil {
@@ -66,7 +67,7 @@
 	return l, nil
 }
 
-// Client reads one host list.
+// Client reads the host list of one service.
 type Client struct {
 	base string
 	http httpc.Service
@@ -75,11 +76,11 @@
 // New returns a client for the service at the base URL.
 func New(base string) *Client { return NewWithClient(httpclient.New("hostlist"), base) }
 
-// NewWithClient is New over another HTTP client.
+// NewWithClient is like New, with the given HTTP client.
 func NewWithClient(h httpc.Service, base string) *Client { return &Client{base: base, http: h} }
 
-// Read returns the published bytes of the list, or ErrUnchanged if its serial
-// number is after.
+// Read returns the published bytes of the list, or ErrUnchanged if its serial number is still
+// after.
 func (c *Client) Read(ctx context.Context, after uint64) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -91,7 +92,7 @@
 		resp.Body.Close()
 		return nil, ErrUnchanged
 	}
-	b, err := httpclient.ReadAll(resp, maxList)
+	b, err := httpclient.ReadAll(resp, maxListBytes)
 	if err != nil {
 		return nil, errors.Wrap(ErrUnavailable, err.Error())
 	}
