--- a/hostlist/client.go
+++ b/hostlist/client.go
@@ -61,7 +61,7 @@
 	}
 	for _, h := range l.Hosts {
 		if h.Host == "" || h.Addr == "" {
-			return List{}, errors.Wrapf(ErrMalformed, "host %q at %q", h.Host, h.Addr)
+			return List{}, errors.Wrapf(ErrMalformed, "host %q with address %q: both must be set", h.Host, h.Addr)
 		}
 	}
 	return l, nil
