--- a/configservice/client.go
+++ b/configservice/client.go
@@ -36,10 +36,10 @@
 }
 
 // New returns a client for the service at the base URL.
-func New(base string) *Client { return NewOver(httpclient.New("configservice"), base) }
+func New(base string) *Client { return NewWithClient(httpclient.New("configservice"), base) }
 
-// NewOver is New over another HTTP client.
-func NewOver(h httpc.Service, base string) *Client { return &Client{base: base, http: h} }
+// NewWithClient is New over another HTTP client.
+func NewWithClient(h httpc.Service, base string) *Client { return &Client{base: base, http: h} }
 
 // Watch waits up to wait for a head other than after. It returns ErrUnchanged
 // if there was none. With a zero wait it is a read.
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -70,7 +70,7 @@
 // clients returns the clients of one node for the platform.
 func (m *memoryNet) clients() (*configservice.Client, *hostlist.Client) {
 	h := httpc.NewServiceWithClient("memory", &http.Client{Transport: m})
-	return configservice.NewOver(h, "http://platform"), hostlist.NewWithClient(h, "http://platform")
+	return configservice.NewWithClient(h, "http://platform"), hostlist.NewWithClient(h, "http://platform")
 }
 
 // RoundTrip implements http.RoundTripper. The call runs on the caller's goroutine.
