--- a/configservice/client.go
+++ b/configservice/client.go
@@ -25,7 +25,7 @@
 var (
 	ErrUnchanged   = errors.New("configservice: unchanged")
 	ErrUnavailable = errors.New("configservice: unavailable")
-	ErrNoPart      = errors.New("configservice: part not found")
+	ErrPartNotFound      = errors.New("configservice: part not found")
 	ErrBadPart     = errors.New("configservice: part does not match its digest")
 )
 
@@ -73,7 +73,7 @@
 	b, err := httpclient.ReadAll(resp, intent.MaxPart)
 	switch {
 	case errors.Is(err, httpclient.ErrNotFound):
-		return nil, ErrNoPart
+		return nil, ErrPartNotFound
 	case err != nil:
 		return nil, errors.Wrap(ErrUnavailable, err.Error())
 	case digest.Of(b) != d:
