--- a/configservice/client.go
+++ b/configservice/client.go
@@ -26,7 +26,7 @@
 	ErrUnchanged   = errors.New("configservice: unchanged")
 	ErrUnavailable = errors.New("configservice: unavailable")
 	ErrPartNotFound      = errors.New("configservice: part not found")
-	ErrBadPart     = errors.New("configservice: part does not match its digest")
+	ErrDigestMismatch     = errors.New("configservice: part does not match its digest")
 )
 
 // Client reads one configuration service.
@@ -77,7 +77,7 @@
 	case err != nil:
 		return nil, errors.Wrap(ErrUnavailable, err.Error())
 	case digest.Of(b) != d:
-		return nil, ErrBadPart
+		return nil, ErrDigestMismatch
 	}
 	return b, nil
 }
