--- a/configservice/client.go
+++ b/configservice/client.go
@@ -1,5 +1,6 @@
-// Package configservice reads the platform's configuration service, which can
-// only be read and watched. The interface is described in docs/PLATFORM.md.
+// Package configservice is a client for the platform's configuration service,
+// which supports reads and watches only. The interface is described in
+// docs/PLATFORM.md.
 package configservice
 
 import (
@@ -15,21 +16,21 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// maxHead bounds the size of a head in bytes.
-const maxHead = intent.MaxPart
+// maxHeadBytes is the maximum size of a head.
+const maxHeadBytes = intent.MaxPart
 
-// graceTime is added to the wait of a watch before the call is given up.
-const graceTime = 5 * time.Second
+// callTimeout bounds a call. A watch may take this much longer than its wait.
+const callTimeout = 5 * time.Second
 
-// Errors of the service.
+// Errors returned by Client.
 var (
-	ErrUnchanged   = errors.New("configservice: unchanged")
-	ErrUnavailable = errors.New("configservice: unavailable")
-	ErrPartNotFound      = errors.New("configservice: part not found")
-	ErrDigestMismatch     = errors.New("configservice: part does not match its digest")
+	ErrUnchanged      = errors.New("configservice: unchanged")
+	ErrUnavailable    = errors.New("configservice: unavailable")
+	ErrPartNotFound   = errors.New("configservice: part not found")
+	ErrDigestMismatch = errors.New("configservice: part does not match its digest")
 )
 
-// Client reads one configuration service.
+// Client reads from one configuration service.
 type Client struct {
 	base string
 	http httpc.Service
@@ -38,13 +39,13 @@
 // New returns a client for the service at the base URL.
 func New(base string) *Client { return NewWithClient(httpclient.New("configservice"), base) }
 
-// NewWithClient is New over another HTTP client.
+// NewWithClient is like New, with the given HTTP client.
 func NewWithClient(h httpc.Service, base string) *Client { return &Client{base: base, http: h} }
 
-// Watch waits up to wait for a head other than after. It returns ErrUnchanged
-// if there was none. With a zero wait it is a read.
+// Watch waits for a head that differs from after and returns ErrUnchanged if there is none
+// within the given wait. With a zero wait it is a plain read.
 func (c *Client) Watch(ctx context.Context, after intent.Ref, wait time.Duration) (intent.Head, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+graceTime)
+	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
 	url := fmt.Sprintf("%s/v1/head?revision=%d&digest=%s&wait_ms=%d", c.base, after.Revision, after.Digest, wait.Milliseconds())
 	resp, err := c.http.Do(ctx, http.MethodGet, url, nil)
@@ -55,16 +56,16 @@
 		resp.Body.Close()
 		return intent.Head{}, ErrUnchanged
 	}
-	b, err := httpclient.ReadAll(resp, maxHead)
+	b, err := httpclient.ReadAll(resp, maxHeadBytes)
 	if err != nil {
 		return intent.Head{}, errors.Wrap(ErrUnavailable, err.Error())
 	}
 	return intent.ParseHead(b)
 }
 
-// Part reads a part and checks it against its digest.
+// Part reads a part and verifies its digest.
 func (c *Client) Part(ctx context.Context, d digest.Digest) ([]byte, error) {
-	ctx, cancel := context.WithTimeout(ctx, graceTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	resp, err := c.http.Do(ctx, http.MethodGet, c.base+"/v1/parts/"+d.String(), nil)
 	if err != nil {
