--- a/agent/fetch.go
+++ b/agent/fetch.go
@@ -93,7 +93,7 @@
 	case b.Coming:
 		return nil, errComing
 	}
-	return nil, weightstore.ErrMissing
+	return nil, weightstore.ErrNotFound
 }
 
 // errComing is returned if the peer itself is still waiting for the chunk.
@@ -126,7 +126,7 @@
 		t.planner.Failed(now, f, spread.FaultLimited, limited.RetryAfter)
 	case errors.Is(err, errComing):
 		t.planner.Failed(now, f, spread.FaultComing, 0)
-	case errors.Is(err, weightstore.ErrMissing):
+	case errors.Is(err, weightstore.ErrNotFound):
 		t.planner.Failed(now, f, spread.FaultMissing, 0)
 	default:
 		w.counters.failed.Inc(1)
--- a/weightstore/client.go
+++ b/weightstore/client.go
@@ -18,7 +18,7 @@
 
 // Errors of a source.
 var (
-	ErrMissing     = errors.New("weightstore: not held by the source")
+	ErrNotFound     = errors.New("weightstore: not held by the source")
 	ErrUnavailable = errors.New("weightstore: unavailable")
 )
 
@@ -59,7 +59,7 @@
 	case err == nil:
 		return b, nil
 	case errors.Is(err, httpclient.ErrNotFound):
-		return nil, ErrMissing
+		return nil, ErrNotFound
 	case errors.As(err, &limited):
 		return nil, limited
 	}
