--- a/weightstore/client.go
+++ b/weightstore/client.go
@@ -1,5 +1,5 @@
-// Package weightstore reads the platform's weight store and origin, which
-// have the same interface. It is described in docs/PLATFORM.md.
+// Package weightstore is a client for the platform's weight store and weight
+// origin, which have the same interface. It is described in docs/PLATFORM.md.
 package weightstore
 
 import (
@@ -13,16 +13,16 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// maxManifest bounds a manifest in bytes.
-const maxManifest = 8 << 20
+// maxManifestBytes is the maximum size of a manifest.
+const maxManifestBytes = 8 << 20
 
-// Errors of a source.
+// Errors returned by Client.
 var (
 	ErrNotFound     = errors.New("weightstore: not held by the source")
 	ErrUnavailable = errors.New("weightstore: unavailable")
 )
 
-// Client reads one source.
+// Client reads from one source.
 type Client struct {
 	base string
 	http httpc.Service
@@ -36,32 +36,34 @@
 // Base returns the base URL of the source.
 func (c *Client) Base() string { return c.base }
 
-// Manifest reads the manifest with the given digest. The caller checks it.
+// Manifest returns the manifest with the given digest. The content is not verified; the
+// caller must do so.
 func (c *Client) Manifest(ctx context.Context, d digest.Digest) ([]byte, error) {
-	return c.get(ctx, "/v1/manifests/"+d.String(), maxManifest)
+	return c.get(ctx, "/v1/manifests/"+d.String(), maxManifestBytes)
 }
 
-// Chunk reads a chunk by its digest. The caller checks it.
+// Chunk returns the chunk with the given digest. The content is not verified; the caller
+// must do so.
 func (c *Client) Chunk(ctx context.Context, d digest.Digest) ([]byte, error) {
 	return c.get(ctx, "/v1/chunks/"+d.String(), spread.MaxChunk)
 }
 
-// get returns the content at path. A limit of the source is returned as
-// *httpclient.ErrLimited.
+// get returns the content at path. The error is *httpclient.ThrottledError if the source
+// throttles the call.
 func (c *Client) get(ctx context.Context, path string, limit int64) ([]byte, error) {
 	resp, err := c.http.Do(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
 		return nil, errors.Wrap(ErrUnavailable, err.Error())
 	}
 	b, err := httpclient.ReadAll(resp, limit)
-	var limited *httpclient.ThrottledError
+	var throttled *httpclient.ThrottledError
 	switch {
 	case err == nil:
 		return b, nil
 	case errors.Is(err, httpclient.ErrNotFound):
 		return nil, ErrNotFound
-	case errors.As(err, &limited):
-		return nil, limited
+	case errors.As(err, &throttled):
+		return nil, throttled
 	}
 	return nil, errors.Wrap(ErrUnavailable, err.Error())
 }
