--- a/weightstore/client.go
+++ b/weightstore/client.go
@@ -18,7 +18,7 @@
 
 // Errors returned by Client.
 var (
-	ErrNotFound     = errors.New("weightstore: not found at the source")
+	ErrNotFound    = errors.New("weightstore: not found at the source")
 	ErrUnavailable = errors.New("weightstore: unavailable")
 )
 
