--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -20,7 +20,7 @@
 func Replay[E any](t *testing.T, pattern string, minFiles int, start func(*testing.T) func(E)) {
 	files, err := filepath.Glob(pattern)
 	assert.NilError(t, err)
-	assert.Assert(t, len(files) >= minFiles, "%d traces", len(files))
+	assert.Assert(t, len(files) >= minFiles, "found only %d traces", len(files))
 	for _, name := range files {
 		t.Run(filepath.Base(name), func(t *testing.T) {
 			b, err := os.ReadFile(name)
