--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,4 +1,4 @@
-// Package fixedseed makes tests that use rapid give the same verdict each time.
+// Package fixedseed makes tests that use rapid deterministic.
 package fixedseed
 
 import (
@@ -11,11 +11,11 @@
 // seed is used unless -rapid.seed is given.
 const seed = 1
 
-// steps is the average length of a course of events.
+// steps is the average number of actions in a state machine test.
 const steps = 100
 
 // Main runs the tests with a fixed seed and the given number of checks. Flags
-// on the command line go first, so that a longer run needs no change:
+// on the command line take precedence, so that a longer run needs no code change:
 //
 //	go test ./submission -run Oracle -rapid.checks=100000 -rapid.seed=7
 func Main(m *testing.M, checks int) {
@@ -25,7 +25,7 @@
 	os.Exit(m.Run())
 }
 
-// set changes the default of a flag; flags are parsed afterwards.
+// set presets a flag. Flags are parsed afterwards, so the command line overrides it.
 func set(name string, value int) {
 	if err := flag.Set(name, strconv.Itoa(value)); err != nil {
 		panic(err)
