--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -71,7 +71,7 @@
 // clients returns platform clients for one node.
 func (m *memoryNet) clients() (*configservice.Client, *hostlist.Client) {
 	h := httpc.NewServiceWithClient("memory", &http.Client{Transport: m})
-	return configservice.NewOver(h, "http://platform"), hostlist.NewOver(h, "http://platform")
+	return configservice.NewWithClient(h, "http://platform"), hostlist.NewWithClient(h, "http://platform")
 }
 
 // RoundTrip implements http.RoundTripper. The call runs on the caller's goroutine.
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -103,7 +103,7 @@
 	// The call goes on when the load ends: each must come to its end.
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
 	defer cancel()
-	r, err := fake.NewRequest(c.entry.node.Callers, hostName, k.path, fake.Call{ID: a.ID, Key: secret, Within: callWithin, Prompt: 100, Body: body})
+	r, err := fake.NewRequest(c.entry.node.Callers, hostName, k.path, fake.Call{ID: a.ID, Key: secret, Timeout: callWithin, Prompt: 100, Body: body})
 	a.Sent = c.fleet.notes.now()
 	if err == nil {
 		var resp *http.Response
@@ -127,7 +127,7 @@
 func (c *caller) read(resp *http.Response, k kind, a *Attempt) {
 	defer resp.Body.Close()
 	a.Status = resp.StatusCode
-	a.SaidLeaving = fake.SaidLeaving(resp.Header)
+	a.SaidLeaving = fake.LeavingIncarnation(resp.Header)
 	signed := fake.Signed(resp.Header)
 	switch {
 	case resp.StatusCode/100 == 2 && !signed:
@@ -140,7 +140,7 @@
 	default:
 		b, err := io.ReadAll(resp.Body)
 		a.Cut = err != nil
-		if err == nil && string(b) != fake.Body(a.ID) {
+		if err == nil && string(b) != fake.ResponseBody(a.ID) {
 			a.Fault = fmt.Sprintf("body %.40q", b)
 		}
 	}
@@ -164,12 +164,12 @@
 	}
 	if err := lines.Err(); err != nil {
 		a.Cut = true
-		if !errors.Is(err, io.ErrUnexpectedEOF) && next > fake.Events {
+		if !errors.Is(err, io.ErrUnexpectedEOF) && next > fake.StreamEvents {
 			a.Cut = false // all events came; only the end of the connection was rough
 		}
 		return
 	}
-	if next <= fake.Events {
+	if next <= fake.StreamEvents {
 		a.Fault = fmt.Sprintf("stream looks complete after %d events", next-1)
 	}
 }
--- a/soak/facts.go
+++ b/soak/facts.go
@@ -69,7 +69,7 @@
 }
 
 // facts returns what was noted, with what targets saw of the requests.
-func (n *notes) facts(runs *fake.Runs) Facts {
+func (n *notes) facts(runs *fake.RequestLog) Facts {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	crashes := map[string][]time.Duration{}
@@ -80,13 +80,13 @@
 	}
 	arrivals := map[string][]Arrival{}
 	for _, a := range runs.Arrivals() {
-		arrivals[a.Life] = append(arrivals[a.Life], Arrival{a.Request, a.At.Sub(n.start)})
+		arrivals[a.Incarnation] = append(arrivals[a.Incarnation], Arrival{a.Request, a.At.Sub(n.start)})
 	}
 	rests := map[string][]Rest{}
-	for _, x := range runs.Rests() {
-		rests[x.Life] = append(rests[x.Life], Rest{x.Request, x.At.Sub(n.start), x.Rest})
+	for _, x := range runs.Backoffs() {
+		rests[x.Incarnation] = append(rests[x.Incarnation], Rest{x.Request, x.At.Sub(n.start), x.Duration})
 	}
-	return Facts{Rests: rests, Limits: slices.Clone(n.limits), Arrivals: arrivals, Runs: runs.All(), Reached: runs.Reached(), Configs: maps.Clone(n.configs), Leaving: maps.Clone(n.leaving), Crashes: crashes, Late: runs.Late()}
+	return Facts{Rests: rests, Limits: slices.Clone(n.limits), Arrivals: arrivals, Runs: runs.AllExecutions(), Reached: runs.Reached(), Configs: maps.Clone(n.configs), Leaving: maps.Clone(n.leaving), Crashes: crashes, Late: runs.Delays()}
 }
 
 // leavingSince returns the first time since when one of the instances that a request
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -53,9 +53,9 @@
 		defer f.contact.regain()
 		f.store.SetMode([]fake.StoreMode{fake.StoreBusy, fake.StoreReset, fake.StoreSlow}[rng.IntN(3)])
 		time.Sleep(d)
-		f.store.SetMode(fake.StoreWorks)
+		f.store.SetMode(fake.StoreHealthy)
 	}},
-	{"store's history", func(f *Fleet, _ *rand.Rand, _ time.Duration) { f.store.Forget() }},
+	{"store's history", func(f *Fleet, _ *rand.Rand, _ time.Duration) { f.store.Compact() }},
 	{"target's answers", func(f *Fleet, rng *rand.Rand, d time.Duration) {
 		var flags []*atomic.Bool
 		for _, t := range f.targets() {
@@ -63,7 +63,7 @@
 				continue
 			}
 			f.troubleTarget(t, d+aftermath)
-			flags = append(flags, pick(rng, []*atomic.Bool{&t.Faults.Truncate, &t.Faults.Extra, &t.Faults.Full, &t.Faults.Fail}))
+			flags = append(flags, pick(rng, []*atomic.Bool{&t.Faults.Truncate, &t.Faults.ExtraResponse, &t.Faults.Refuse, &t.Faults.Fail}))
 		}
 		setAll(flags, true)
 		time.Sleep(d)
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -52,7 +52,7 @@
 	rng     *rand.Rand
 	store   *fake.Store
 	origin  *fake.Origin
-	runs    *fake.Runs
+	runs    *fake.RequestLog
 	entries []*Process
 	agents  []*Process
 	engines []*fake.Target
@@ -100,7 +100,7 @@
 
 // newFleet starts the stand-ins and the programs.
 func newFleet(cfg Config) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), runs: fake.NewRuns(), notes: newNotes(),
+	f := &Fleet{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), runs: fake.NewRequestLog(), notes: newNotes(),
 		troubled: map[*fake.Target]time.Time{}}
 	var err error
 	if f.store, err = fake.NewStore(); err != nil {
@@ -123,19 +123,19 @@
 		// Every other target starts again under its ID.
 		cfg := fake.TargetConfig{Service: plainService, Domain: domains[i%len(domains)], KeepID: i%2 == 1}
 		if i < f.cfg.Engines {
-			cfg.Service, cfg.Model, cfg.Holds = engineService, model, 1
+			cfg.Service, cfg.Model, cfg.InitialVersion = engineService, model, 1
 			cfg.RequireFencing = i%2 == 0
-			cfg.LateFrom, cfg.LateTo = lateFrom, lateTo
+			cfg.MinOrderDelay, cfg.MaxOrderDelay = lateFrom, lateTo
 		}
 		var linkErr error
-		cfg.Listed = func(own string) string {
+		cfg.AdvertisedAddr = func(own string) string {
 			if way, linkErr = NewLink(own); linkErr != nil {
 				return own
 			}
 			return way.Addr()
 		}
 		if i%2 == 0 { // before the others stands something that takes connections meanwhile
-			cfg.Down = func(down bool) { way.SetDown(down) }
+			cfg.OnDown = func(down bool) { way.SetDown(down) }
 		}
 		t, err := fake.NewTarget(cfg, f.store, f.runs, f.origin)
 		if err != nil {
@@ -277,7 +277,7 @@
 func (f *Fleet) troubledSince(id string, since time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, instance := range f.runs.Of(id) {
+	for _, instance := range f.runs.Executions(id) {
 		if f.runs.Crashed(instance) {
 			return true
 		}
@@ -328,7 +328,7 @@
 	load.Wait()
 	r := &Result{Unserved: unserved, Faults: faults}
 	for _, e := range f.engines {
-		r.Mixed = append(r.Mixed, e.Mixed()...)
+		r.Mixed = append(r.Mixed, e.MixedLoads()...)
 	}
 	for _, p := range slices.Concat(f.entries, f.agents) {
 		r.OwnExits += p.OwnExits()
--- a/soak/leaving.go
+++ b/soak/leaving.go
@@ -29,13 +29,13 @@
 }
 
 func (f *Fleet) leaveUnlisted(t *fake.Target, after time.Duration) {
-	life := t.SayLeaving()
+	life := t.AdvertiseLeaving()
 	f.logf("%s says that it leaves, listed as ready for %v", life, after.Round(time.Millisecond))
 	time.Sleep(after)
-	if t.Life() != life {
+	if t.Incarnation() != life {
 		return
 	}
-	t.Leave()
+	t.StartDraining()
 	f.notes.leaves(life)
 	time.Sleep(leaveFrom)
 	f.troubleTarget(t, aftermath)
--- a/soak/long.go
+++ b/soak/long.go
@@ -109,7 +109,7 @@
 // targetLeaves makes a target say that it leaves, serve on and be replaced.
 func targetLeaves(f *Fleet, rng *rand.Rand, _ time.Duration) {
 	t, d := pick(rng, f.targets()), between(rng, leaveFrom, leaveTo)
-	instance := t.Leave()
+	instance := t.StartDraining()
 	f.notes.leaves(instance)
 	f.logf("%s leaves for %v", instance, d.Round(time.Millisecond))
 	time.Sleep(d)
@@ -123,7 +123,7 @@
 	var flags []*atomic.Bool
 	for _, e := range f.engines {
 		if rng.IntN(2) == 0 {
-			flags = append(flags, &e.Faults.Late)
+			flags = append(flags, &e.Faults.DelayOrders)
 		}
 	}
 	setAll(flags, true)
@@ -141,7 +141,7 @@
 	targets := append(slices.Clone(f.engines), f.plains[1:]...) // one plain target stays
 	var leaving sync.WaitGroup
 	f.contact.lose()
-	f.store.SetMode(fake.StoreUneven)
+	f.store.SetMode(fake.StoreReorder)
 	end := time.Now().Add(overtakenFor)
 	f.nextVersion()
 	for _, i := range rng.Perm(len(targets))[:len(targets)/leaversOf] {
@@ -155,10 +155,10 @@
 	})
 	leaving.Go(func() {
 		time.Sleep(forgetAfter)
-		f.store.Forget()
+		f.store.Compact()
 	})
 	time.Sleep(time.Until(end))
-	f.store.SetMode(fake.StoreWorks)
+	f.store.SetMode(fake.StoreHealthy)
 	f.contact.regain()
 	leaving.Wait()
 }
@@ -166,9 +166,9 @@
 // leaveAmid makes a target leave after a time, serve on until another and be replaced.
 func (f *Fleet) leaveAmid(t *fake.Target, after time.Duration, silent bool, until time.Time) {
 	time.Sleep(after)
-	leave, how := t.Leave, "leaves"
+	leave, how := t.StartDraining, "leaves"
 	if silent {
-		leave, how = t.Vanish, "leaves without a word"
+		leave, how = t.Unlist, "leaves without a word"
 	}
 	instance := leave()
 	f.notes.leaves(instance)
