--- a/command/gateway.go
+++ b/command/gateway.go
@@ -176,7 +176,9 @@
 func (e *entryProcess) EngineState(p peer.Presence, s *peer.EngineState) { e.control.EngineState(p, s) }
 
 // Announced implements mesh.Listener.
-func (e *entryProcess) Announced(now time.Time) []peer.ObservedVersion { return e.control.Announced(now) }
+func (e *entryProcess) Announced(now time.Time) []peer.ObservedVersion {
+	return e.control.Announced(now)
+}
 
 // Notices implements mesh.Listener.
 func (e *entryProcess) Notices() []peer.TargetNotice { return e.control.Notices() }
--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -139,10 +139,10 @@
 }
 
 // Methods of Listener.
-func (*process) Loads(string, *peer.Loads)              {}
-func (*process) EntryLost(string)                       {}
+func (*process) Loads(string, *peer.Loads)                  {}
+func (*process) EntryLost(string)                           {}
 func (*process) Announced(time.Time) []peer.ObservedVersion { return nil }
-func (*process) Notices() []peer.TargetNotice           { return nil }
+func (*process) Notices() []peer.TargetNotice               { return nil }
 func (m *process) EngineState(a peer.Presence, s *peer.EngineState) {
 	m.locked(func() {
 		if s == nil {
