--- a/command/agent.go
+++ b/command/agent.go
@@ -10,7 +10,7 @@
 	"github.com/urfave/cli/v3"
 )
 
-// NewAgent returns the command line of the agent program.
+// NewAgent returns the command line of springgate-agent.
 func NewAgent() *cli.Command {
 	return &cli.Command{
 		Name:                  "springgate-agent",
@@ -23,7 +23,7 @@
 }
 
 func agentServeCommand() *cli.Command {
-	var o common
+	var o commonOptions
 	var cfg agent.Config
 	var linkRate, answerMemory int64
 	var admin string
--- a/command/command_test.go
+++ b/command/command_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// run runs a command line and returns its exit status and output.
+// run executes a command line and returns its exit status and output.
 func run(t *testing.T, c *cli.Command, args ...string) (int, string) {
 	t.Helper()
 	var out bytes.Buffer
@@ -19,17 +19,17 @@
 	return Main(c, append([]string{c.Name}, args...)), out.String()
 }
 
-func write(t *testing.T, content string) string {
+func writeFleet(t *testing.T, content string) string {
 	t.Helper()
 	name := filepath.Join(t.TempDir(), "fleet.yaml")
 	assert.NilError(t, os.WriteFile(name, []byte(content), fileMode))
 	return name
 }
 
-const small = "format: 1\nfleet: f\nteams: [{name: default}]\nservices: [{name: s, kind: plain, hosts: [{domain: d, names: [h]}]}]\n"
+const smallFleet = "format: 1\nfleet: f\nteams: [{name: default}]\nservices: [{name: s, kind: plain, hosts: [{domain: d, names: [h]}]}]\n"
 
 func TestExitStatus(t *testing.T) {
-	good, bad := write(t, small), write(t, "format: 9\n")
+	good, bad := writeFleet(t, smallFleet), writeFleet(t, "format: 9\n")
 	for _, c := range []struct {
 		want int
 		args []string
@@ -46,9 +46,9 @@
 	assert.Equal(t, got, 2)
 }
 
-func TestPackWritesWhatIsPublished(t *testing.T) {
+func TestPackWritesHeadAndParts(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "packed")
-	got, out := run(t, NewSpringgate(), "pack", "--revision", "7", "--out", dir, write(t, small))
+	got, out := run(t, NewSpringgate(), "pack", "--revision", "7", "--out", dir, writeFleet(t, smallFleet))
 	assert.Equal(t, got, 0, out)
 	head, err := os.ReadFile(filepath.Join(dir, "head.json"))
 	assert.NilError(t, err)
@@ -59,7 +59,7 @@
 }
 
 func TestCheckShowsChanges(t *testing.T) {
-	got, out := run(t, NewSpringgate(), "check", write(t, small), write(t, strings.Replace(small, "names: [h]", "names: [h, i]", 1)))
+	got, out := run(t, NewSpringgate(), "check", writeFleet(t, smallFleet), writeFleet(t, strings.Replace(smallFleet, "names: [h]", "names: [h, i]", 1)))
 	assert.Equal(t, got, 0)
 	assert.Assert(t, strings.Contains(out, "services[s].hosts[i]: (absent) -> "), out)
 }
--- a/command/explain.go
+++ b/command/explain.go
@@ -15,20 +15,21 @@
 	"github.com/urfave/cli/v3"
 )
 
-// maxLogLine bounds one line of a log in bytes.
+// maxLogLine is the maximum length of a log line in bytes.
 const maxLogLine = 1 << 20
 
-// logLine is one structured line of any process's log.
+// logLine is one structured log line of a process.
 type logLine struct {
-	file   string
-	at     string // RFC 3339
-	order  int
-	part   string
-	text   string
-	fields map[string]any
+	file       string
+	timestamp  string // RFC 3339
+	lineNumber int
+	part       string
+	text       string
+	fields     map[string]any
 }
 
-// commonFields are shown in the line itself or say nothing about a request.
+// commonFields are not listed with the other fields: they are printed at the start of the
+// line, are the same in all lines (request) or say nothing about the request (level).
 var commonFields = []string{"time", "level", "msg", "part", "request"}
 
 func explainCommand() *cli.Command {
@@ -41,11 +42,11 @@
 		}}
 }
 
-// explain prints the lines of all files that name a request, by time.
+// explain prints the log lines of a request from all files in order of time.
 func explain(w io.Writer, id string, files []string) error {
 	var all []logLine
 	for _, name := range files {
-		lines, err := linesOf(name, id)
+		lines, err := readLines(name, id)
 		if err != nil {
 			return err
 		}
@@ -54,16 +55,18 @@
 	if len(all) == 0 {
 		return errors.Errorf("no line names request %s: it reached none of these processes, or the lines were dropped", id)
 	}
-	slices.SortStableFunc(all, func(a, b logLine) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.order, b.order)) })
+	slices.SortStableFunc(all, func(a, b logLine) int {
+		return cmp.Or(cmp.Compare(a.timestamp, b.timestamp), cmp.Compare(a.lineNumber, b.lineNumber))
+	})
 	for _, l := range all {
-		fmt.Fprintf(w, "%s %s %s: %s%s\n", l.at, l.file, l.part, l.text, fieldText(l.fields))
+		fmt.Fprintf(w, "%s %s %s: %s%s\n", l.timestamp, l.file, l.part, l.text, fieldText(l.fields))
 	}
 	return nil
 }
 
-// linesOf returns the lines of a file that name a request. What stands before
-// the JSON object of a line, such as a collector's prefix, is skipped.
-func linesOf(name, id string) ([]logLine, error) {
+// readLines returns the log lines of a request in a file. Text before the JSON object of a
+// line, such as the prefix of a log collector, is skipped.
+func readLines(name, id string) ([]logLine, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, errors.Wrap(err, "explain")
@@ -80,15 +83,16 @@
 		}
 		var fields map[string]any
 		if json.Unmarshal([]byte(text[start:]), &fields) != nil || fields["request"] != id {
-			continue // another program's line, or one that only resembles it
+			continue // a line of another program or of another request
 		}
-		out = append(out, logLine{file: name, at: fmt.Sprint(fields["time"]), order: n, part: fmt.Sprint(fields["part"]),
+		out = append(out, logLine{file: name, timestamp: fmt.Sprint(fields["time"]), lineNumber: n, part: fmt.Sprint(fields["part"]),
 			text: fmt.Sprint(fields["msg"]), fields: fields})
 	}
 	return out, errors.Wrap(s.Err(), "explain")
 }
 
-// fieldText returns the fields of a line by name.
+// fieldText returns the fields of a line as " name=value" pairs sorted by name, without
+// commonFields.
 func fieldText(fields map[string]any) string {
 	var names []string
 	for n := range fields {
--- a/command/explain_test.go
+++ b/command/explain_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestExplainOrdersTheLinesOfAllProcesses(t *testing.T) {
+func TestExplainSortsLinesOfAllProcesses(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
--- a/command/gateway.go
+++ b/command/gateway.go
@@ -22,7 +22,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// gatewayCommand runs an entry whose requests go straight to the targets.
+// gatewayCommand returns the command that runs an entry in gateway mode, in which requests
+// go directly to the targets instead of through their agents.
 func gatewayCommand() *cli.Command {
 	var f platformFlags
 	var contentKey string
@@ -39,22 +40,22 @@
 		}}
 }
 
-// entryProcess are the parts of an entry.
+// entryProcess holds the components of an entry.
 type entryProcess struct {
-	*onPlatform
+	*platformProcess
 	gateway  *gateway.Gateway
-	book     *dispatch.Balancer
+	balancer *dispatch.Balancer
 	conns    *targetconn.Pool
 	control  *gateway.Control
 	mesh     *mesh.Mesh
 	relay    *weights.Relay
-	homes    *mesh.Reserver
+	reserver *mesh.Reserver
 	follower *mirror.Follower
 	server   *gateway.Server
 }
 
 func runGateway(f platformFlags, contentKey string) error {
-	p, err := newOnPlatform(f, roleEntry)
+	p, err := newPlatformProcess(f, roleEntry)
 	if err != nil {
 		return err
 	}
@@ -75,33 +76,33 @@
 		return err
 	}
 	defer stopAdmin()
-	p.untilSignal()
+	p.waitForSignal()
 	e.mesh.Leave()
 	e.server.Drain()
-	p.stopped()
+	p.logStopped()
 	return nil
 }
 
-func newEntryProcess(p *onPlatform, off mechanism.Off, contentKey string) *entryProcess {
+func newEntryProcess(p *platformProcess, off mechanism.Off, contentKey string) *entryProcess {
 	s := p.settings
-	e := &entryProcess{onPlatform: p}
+	e := &entryProcess{platformProcess: p}
 	p.pool = peer.NewPool(p.hello(), e.servePeer, p.meter)
 	table := mirror.NewTable(platform.PrefixAll)
-	e.book = dispatch.NewBalancer(dispatch.Config{Off: off, Regions: s.Regions, VersionTimeout: s.VersionTimeout()}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
+	e.balancer = dispatch.NewBalancer(dispatch.Config{Off: off, Regions: s.Regions, VersionTimeout: s.VersionTimeout()}, rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())))
 	e.conns = targetconn.NewPool(targetconn.Config{})
 	crashes := quarantine.NewTable()
 	e.mesh = mesh.New(mesh.Options{Self: p.self, Seeds: s.Seeds, Pool: p.pool, Listener: e, Crashes: crashes,
 		Table: table, Log: telemetry.Part(p.log, "mesh"), Metrics: p.metrics})
-	e.homes = mesh.NewReserver(e.mesh, e.book, off)
-	e.gateway = gateway.New(gateway.Config{Off: off, Domain: s.Domain, Copy: copyOf(table), Crashes: crashes,
+	e.reserver = mesh.NewReserver(e.mesh, e.balancer, off)
+	e.gateway = gateway.New(gateway.Config{Off: off, Domain: s.Domain, Copy: mirrorState(table), Crashes: crashes,
 		Hasher: quarantine.NewHasher(contentKey), Host: p.self.Host, Probes: e.mesh.Probes, RetryRatio: budgetShare * s.Bounds.RetryBudgetRatio,
-		RetryBurst: budgetShare * s.Bounds.RetryBudgetExtra}, platform.Dialect{}, e.book, e.conns, e.homes,
+		RetryBurst: budgetShare * s.Bounds.RetryBudgetExtra}, platform.Dialect{}, e.balancer, e.conns, e.reserver,
 		gateway.NewStats(p.metrics), telemetry.Part(p.log, "gateway"))
 	e.follower = e.mesh.NewFollower(mirror.Config{}, platform.NewStore(s.Store.Addr), telemetry.Part(p.log, "mirror"))
 	e.relay = weights.NewRelay(weights.Config{Off: off}, p.self, e.mesh.Entries, e.holders, e.origin, platform.NewOrigin(), p.call,
 		telemetry.Part(p.log, "weights"))
 	e.control = gateway.NewControl(gateway.ControlOptions{Addr: p.self.Addr, Config: gateway.ControlConfig{Off: off, VersionTimeout: s.VersionTimeout()},
-		Gateway: e.gateway, Book: e.book, Decoder: platform.Decoder{}, Table: table,
+		Gateway: e.gateway, Book: e.balancer, Decoder: platform.Decoder{}, Table: table,
 		Outage: e.follower.Outage, Roster: gateway.Roster{Hold: rosterHold, CatchUp: rosterCatchUp}, Relay: e.relay,
 		Log: telemetry.Part(p.log, "control"), Metrics: p.metrics})
 	e.server = gateway.NewServer(gateway.ServerConfig{CallerAddr: s.Listen.Callers, ReadyAddr: s.Listen.Readiness,
@@ -109,8 +110,8 @@
 	return e
 }
 
-// copyOf returns what tells of the copy of the store in a table.
-func copyOf(t *mirror.Table) func() gateway.Copy {
+// mirrorState returns a function that reports the state of this entry's mirror of the store.
+func mirrorState(t *mirror.Table) func() gateway.Copy {
 	return func() gateway.Copy {
 		return gateway.Copy{Revision: t.Revision(), Age: clock.Since(t.ConfirmedAt())}
 	}
@@ -134,23 +135,23 @@
 	return nil
 }
 
-// sweep closes connections that are not needed and keeps the number of entries
-// up to date.
+// sweep periodically closes idle connections that are no longer needed and updates the
+// number of entries that share the retry budget.
 func (e *entryProcess) sweep(ctx context.Context) {
-	ticker := time.NewTicker(sweepEvery)
+	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ticker.C:
 			e.gateway.SetEntries(len(e.mesh.Entries()) + 1)
-			e.conns.Sweep(e.book.HasAddr)
+			e.conns.Sweep(e.balancer.HasAddr)
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// servePeer handles a stream that another process opened.
+// servePeer handles a stream opened by another process.
 func (e *entryProcess) servePeer(ctx context.Context, s *peer.Stream, first peer.Message) {
 	switch m := first.(type) {
 	case *peer.Presence:
@@ -158,13 +159,14 @@
 	case *peer.MirrorRead:
 		e.mesh.ServeMirror(ctx, s, m)
 	case *peer.Reserve:
-		e.homes.Serve(ctx, s, m)
+		e.reserver.Serve(ctx, s, m)
 	case *peer.GetManifest, *peer.GetPiece:
 		e.relay.Serve(ctx, s, first)
 	}
 }
 
-// The mesh's listener is the control, which is made after the mesh.
+// The listener of the mesh is the control. The methods below forward to it because the
+// control is created after the mesh.
 
 // Loads implements mesh.Listener.
 func (e *entryProcess) Loads(from string, l *peer.Loads) { e.control.Loads(from, l) }
--- a/command/platform.go
+++ b/command/platform.go
@@ -19,37 +19,37 @@
 	"github.com/springgate/springgate/telemetry"
 )
 
-// Roles of a process towards its peers.
+// Roles that a process announces to its peers.
 const (
 	roleEntry = "entry"
 	roleAgent = "agent"
 )
 
-// Constants of the processes on the platform.
+// Settings of processes on the platform.
 const (
-	// memoryShare is the part of the memory allowed that the runtime may use
-	// before it collects garbage eagerly; the rest is for the kernel's buffers
-	// and the program itself.
+	// memoryShare is the fraction of the process's memory limit that is set as the soft
+	// limit of the Go runtime; the rest is for kernel buffers and the program itself.
 	memoryShare = 0.6
-	// garbagePercent keeps the heap small: memory is paid for at its peak.
-	garbagePercent = 30
-	// logFlush bounds the wait for the last log lines at the end.
-	logFlush = 500 * time.Millisecond
-	// rosterHold is how long a target that vanished from the list is kept. It
-	// is under the 2 s in which a target that left may still get requests.
+	// gcPercent is lower than Go's default of 100 because memory is charged by its peak.
+	gcPercent = 30
+	// logFlushTimeout bounds the wait at exit for the last log lines to be written.
+	logFlushTimeout = 500 * time.Millisecond
+	// rosterHold is how long a target that disappeared from the list is retained. It must
+	// be less than the 2 s during which a target that left may still get requests.
 	rosterHold = 1300 * time.Millisecond
-	// rosterCatchUp is how long after an outage of the store targets may be
-	// missing from its list: they register again within about 2 s.
+	// rosterCatchUp is how long after an outage of the store running targets may be missing
+	// from its list: they register again within about 2 s.
 	rosterCatchUp = 2500 * time.Millisecond
-	// budgetShare is the part of the retry budget that entries use without
-	// knowing of each other's retries; the rest is for the error of that.
+	// budgetShare is the fraction of the retry budget that the entries use. Each spends its
+	// share without knowing of the others' retries; the rest covers the resulting error.
 	budgetShare = 0.8
-	// sweepEvery is the time between two looks at idle connections.
-	sweepEvery = time.Second
+	// sweepInterval is the time between two sweeps of idle connections.
+	sweepInterval = time.Second
 )
 
-// onPlatform is what both programs share when they run on the platform.
-type onPlatform struct {
+// platformProcess holds what entries and sidecars have in common when they run on the
+// platform.
+type platformProcess struct {
 	settings  *platform.Settings
 	log       *logrus.Logger
 	logWriter *telemetry.AsyncWriter
@@ -59,7 +59,8 @@
 	meter     *peer.Meter
 }
 
-// platformFlags are the own settings of the programs on the platform.
+// platformFlags holds the flags of the commands that run on the platform. All other settings
+// come from the platform's settings file.
 type platformFlags struct {
 	logLevel string
 	admin    string
@@ -75,8 +76,9 @@
 	s.Address(&f.admin, "admin-listen", "address of /healthz, /readyz and /metrics", "", false)
 }
 
-// newOnPlatform reads the settings and prepares logging. role is told to peers.
-func newOnPlatform(f platformFlags, role string) (*onPlatform, error) {
+// newPlatformProcess reads the settings and sets up logging, memory limits and metrics. role is
+// announced to peers.
+func newPlatformProcess(f platformFlags, role string) (*platformProcess, error) {
 	s, err := platform.LoadSettings()
 	if err != nil {
 		return nil, err
@@ -92,8 +94,8 @@
 	if s.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(memoryShare * float64(s.Limits.MemoryMB) * (1 << 20)))
 	}
-	debug.SetGCPercent(garbagePercent)
-	p := &onPlatform{settings: s, log: log, logWriter: out, metrics: metrics.NewRegistry(), meter: &peer.Meter{}}
+	debug.SetGCPercent(gcPercent)
+	p := &platformProcess{settings: s, log: log, logWriter: out, metrics: metrics.NewRegistry(), meter: &peer.Meter{}}
 	if err := p.meter.Register(p.metrics); err != nil {
 		return nil, err
 	}
@@ -110,26 +112,26 @@
 	return p, nil
 }
 
-func (p *onPlatform) hello() peer.Hello {
+func (p *platformProcess) hello() peer.Hello {
 	return peer.Hello{Host: p.self.Host, Incarnation: p.self.Incarnation, Role: p.self.Role, Domain: p.self.Domain}
 }
 
-// call asks another entry.
-func (p *onPlatform) call(ctx context.Context, addr string, m peer.Message) (peer.Message, error) {
+// call sends m to another entry and returns its answer.
+func (p *platformProcess) call(ctx context.Context, addr string, m peer.Message) (peer.Message, error) {
 	return p.pool.Call(ctx, addr, peer.Bulk, m)
 }
 
-// serveAdmin serves metrics, if an address is set.
-func (p *onPlatform) serveAdmin(f platformFlags, ready func() bool) (stop func(), err error) {
+// serveAdmin serves health checks and metrics if an address is set.
+func (p *platformProcess) serveAdmin(f platformFlags, ready func() bool) (stop func(), err error) {
 	if f.admin == "" {
 		return func() {}, nil
 	}
 	return operator.ServeAdmin(f.admin, ready, p.metrics)
 }
 
-// untilSignal waits for the signal to stop. A change of the settings is read
-// and logged; addresses stay as they are until the next start.
-func (p *onPlatform) untilSignal() {
+// waitForSignal returns on SIGTERM or SIGINT. On SIGHUP it reads the settings again and logs
+// the seeds; nothing else changes until the next start.
+func (p *platformProcess) waitForSignal() {
 	log := telemetry.Part(p.log, "main")
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -147,7 +149,7 @@
 	}
 }
 
-func (p *onPlatform) stopped() {
+func (p *platformProcess) logStopped() {
 	telemetry.Part(p.log, "main").WithField("log_lines_dropped", p.logWriter.Dropped()).Info("Stopped.")
-	p.logWriter.Flush(logFlush)
+	p.logWriter.Flush(logFlushTimeout)
 }
--- a/command/run.go
+++ b/command/run.go
@@ -11,11 +11,11 @@
 	"github.com/urfave/cli/v3"
 )
 
-// coder is an error with an exit status of its own.
-type coder interface{ ExitCode() int }
+// exitCoder is an error that determines the exit status.
+type exitCoder interface{ ExitCode() int }
 
-// Main runs a command line and returns the exit status: 0 for success, 2 for
-// settings or arguments that are not allowed, 1 for other failures.
+// Main runs a command line and returns the exit status: 0 for success, 2 for invalid
+// settings or arguments, 1 for other failures.
 func Main(c *cli.Command, args []string) int {
 	usage := false
 	c.ExitErrHandler = func(context.Context, *cli.Command, error) {}
@@ -23,7 +23,7 @@
 		usage = true
 		return err
 	}
-	setOnUsage(c, onUsage)
+	setUsageErrorHandler(c, onUsage)
 	if err := quietLibraries(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailure
@@ -33,7 +33,7 @@
 		return 0
 	}
 	fmt.Fprintf(os.Stderr, "%s: %s\n", c.Name, err)
-	var code coder
+	var code exitCoder
 	switch {
 	case usage:
 		return exitUsage
@@ -43,8 +43,8 @@
 	return exitFailure
 }
 
-// quietLibraries keeps the libraries' own logs out of commands that log
-// nothing; 'serve' then sets up its log as its settings say.
+// quietLibraries limits the libraries' own logs to errors, for commands that log nothing.
+// Commands with log settings set up logging again.
 func quietLibraries() error {
 	l, err := telemetry.NewLogger(os.Stderr, logrus.ErrorLevel.String(), telemetry.FormatText)
 	if err != nil {
@@ -53,7 +53,7 @@
 	return telemetry.TameLibraries(l)
 }
 
-// unknownCommand runs when no command was named, or one that does not exist.
+// unknownCommand runs if the command is missing or does not exist.
 func unknownCommand(_ context.Context, c *cli.Command) error {
 	if c.Args().Present() {
 		return cli.Exit(fmt.Sprintf("unknown command %q; see '%s --help'", c.Args().First(), c.Name), exitUsage)
@@ -61,9 +61,9 @@
 	return cli.ShowAppHelp(c)
 }
 
-func setOnUsage(c *cli.Command, f cli.OnUsageErrorFunc) {
+func setUsageErrorHandler(c *cli.Command, f cli.OnUsageErrorFunc) {
 	c.OnUsageError = f
 	for _, sub := range c.Commands {
-		setOnUsage(sub, f)
+		setUsageErrorHandler(sub, f)
 	}
 }
--- a/command/sidecar.go
+++ b/command/sidecar.go
@@ -17,7 +17,8 @@
 	"github.com/urfave/cli/v3"
 )
 
-// sidecarCommand runs an agent that only looks after the engine's weights.
+// sidecarCommand returns the command that runs the agent of gateway mode, which manages the
+// engine's weights and is not on the path of requests.
 func sidecarCommand() *cli.Command {
 	var f platformFlags
 	set := &settings.Set{}
@@ -32,7 +33,7 @@
 		}}
 }
 
-// entrySource reads weights from the entries.
+// entrySource fetches weights from the entries.
 type entrySource struct {
 	mesh *mesh.Mesh
 	call weights.PeerCall
@@ -40,34 +41,34 @@
 
 // Manifest implements sidecar.Source.
 func (e entrySource) Manifest(ctx context.Context, model string, version int) (*weights.Manifest, error) {
-	msg, err := e.ask(ctx, weights.ManifestKey(model, version), &peer.GetManifest{Model: model, Version: version})
+	msg, err := e.fetch(ctx, weights.ManifestKey(model, version), &peer.GetManifest{Model: model, Version: version})
 	if err != nil {
 		return nil, err
 	}
 	return weights.DecodeManifest(model, version, msg)
 }
 
-// sourcesAsked is how many entries are asked in turn.
-const sourcesAsked = 2
+// maxSources is the maximum number of entries tried in turn.
+const maxSources = 2
 
-// askTimeout bounds the question to one of them. The origin sends a whole
-// version in 2 s, and the host's own link takes as long.
-const askTimeout = 3 * time.Second
+// fetchTimeout bounds a request to one entry. The origin sends a complete version in 2 s,
+// and the link of the host takes as long.
+const fetchTimeout = 3 * time.Second
 
-// ask asks the entries nearby until one has an answer.
-func (e entrySource) ask(ctx context.Context, key string, q peer.Message) (peer.Message, error) {
+// fetch requests key from the nearest entries in turn until one provides it.
+func (e entrySource) fetch(ctx context.Context, key string, q peer.Message) (peer.Message, error) {
 	err := weights.ErrNoSource
-	for _, addr := range e.mesh.Nearest(key, sourcesAsked) {
+	for _, addr := range e.mesh.Nearest(key, maxSources) {
 		var msg peer.Message
-		if msg, err = e.askOne(ctx, addr, q); err == nil {
+		if msg, err = e.fetchFrom(ctx, addr, q); err == nil {
 			return msg, nil
 		}
 	}
 	return nil, err
 }
 
-func (e entrySource) askOne(ctx context.Context, addr string, q peer.Message) (peer.Message, error) {
-	ctx, cancel := clock.WithTimeout(ctx, askTimeout)
+func (e entrySource) fetchFrom(ctx context.Context, addr string, q peer.Message) (peer.Message, error) {
+	ctx, cancel := clock.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	msg, err := e.call(ctx, addr, q)
 	if err != nil {
@@ -81,7 +82,7 @@
 
 // Piece implements sidecar.Source.
 func (e entrySource) Piece(ctx context.Context, m *weights.Manifest, index int) ([]byte, error) {
-	msg, err := e.ask(ctx, weights.PieceKey(m.Model, m.Version, index), &peer.GetPiece{Model: m.Model, Version: m.Version, Index: index})
+	msg, err := e.fetch(ctx, weights.PieceKey(m.Model, m.Version, index), &peer.GetPiece{Model: m.Model, Version: m.Version, Index: index})
 	if err != nil {
 		return nil, err
 	}
@@ -93,7 +94,7 @@
 }
 
 func runSidecar(f platformFlags) error {
-	p, err := newOnPlatform(f, roleAgent)
+	p, err := newPlatformProcess(f, roleAgent)
 	if err != nil {
 		return err
 	}
@@ -119,7 +120,7 @@
 	defer stopAdmin()
 	go network.Run(ctx, nil)
 	go agent.Run(ctx)
-	p.untilSignal()
-	p.stopped()
+	p.waitForSignal()
+	p.logStopped()
 	return nil
 }
--- a/command/springgate.go
+++ b/command/springgate.go
@@ -1,4 +1,4 @@
-// Package command holds the command lines of the two programs.
+// Package command implements the command lines of springgate and springgate-agent.
 package command
 
 import (
@@ -31,13 +31,13 @@
 // Version is the release of both programs.
 const Version = "0.1.0"
 
-// Exit codes.
+// Exit statuses.
 const (
 	exitFailure = 1
 	exitUsage   = 2
 )
 
-// NewSpringgate returns the command line of the entry program.
+// NewSpringgate returns the command line of springgate.
 func NewSpringgate() *cli.Command {
 	return &cli.Command{
 		Name:                  "springgate",
@@ -59,8 +59,8 @@
 		}}
 }
 
-// common are the settings that both programs share.
-type common struct {
+// commonOptions holds the settings that the serve commands of both programs share.
+type commonOptions struct {
 	control              control.Config
 	configURL, hostsURL  string
 	logLevel, logFormat  string
@@ -75,7 +75,7 @@
 	maxWindow    = 24 * time.Hour
 )
 
-func (o *common) add(s *settings.Set) {
+func (o *commonOptions) add(s *settings.Set) {
 	s.Text(&o.control.Host, "host", "name of this host in the host list", "", true)
 	s.Text(&o.control.Domain, "failure-domain", "failure domain of this host", "", true)
 	s.Address(&o.control.Addr, "peer-listen", "address for the other processes of the system", "127.0.0.1:7101", true)
@@ -88,7 +88,7 @@
 	s.Choice(&o.logFormat, "log-format", "form of the log", telemetry.FormatText, telemetry.FormatText, telemetry.FormatJSON)
 }
 
-func (o *common) logger() (*logrus.Logger, error) {
+func (o *commonOptions) logger() (*logrus.Logger, error) {
 	o.control.HeartbeatInterval = o.heartbeat
 	o.control.HistoryRetention = idempotency.Config{KeyWindow: o.keyWindow}.History()
 	l, err := telemetry.NewLogger(os.Stderr, o.logLevel, o.logFormat)
@@ -98,18 +98,18 @@
 	return l, telemetry.TameLibraries(l)
 }
 
-func (o *common) clients() (*configservice.Client, *hostlist.Client) {
+func (o *commonOptions) clients() (*configservice.Client, *hostlist.Client) {
 	return configservice.New(o.configURL), hostlist.New(o.hostsURL)
 }
 
-// process is what both programs run.
+// process is an entry or an agent.
 type process interface {
 	Run(ctx context.Context)
 	Drain(ctx context.Context)
 }
 
-// runUntilSignal runs p. The first SIGTERM or SIGINT drains it; a second one
-// ends it at once.
+// runUntilSignal runs p. The first SIGTERM or SIGINT drains it; a second one stops it at
+// once.
 func runUntilSignal(ctx context.Context, p process) error {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
@@ -131,7 +131,7 @@
 }
 
 func serveCommand() *cli.Command {
-	var o common
+	var o commonOptions
 	var cfg entry.Config
 	var maxBody int64
 	set := &settings.Set{}
@@ -262,7 +262,7 @@
 	return errors.Wrap(os.WriteFile(dir+"/head.json", append(b, '\n'), fileMode), "pack")
 }
 
-// maxStatusSize bounds a status document in bytes.
+// maxStatusSize is the maximum size of a status document in bytes.
 const maxStatusSize = 64 << 20
 
 func statusCommand() *cli.Command {
--- a/command/standin.go
+++ b/command/standin.go
@@ -18,11 +18,11 @@
 	"github.com/urfave/cli/v3"
 )
 
-// republishEvery is how often the files are looked at for changes.
-const republishEvery = 500 * time.Millisecond
+// republishInterval is the time between two checks of the files for changes.
+const republishInterval = 500 * time.Millisecond
 
-// standinCommand runs stand-ins of the platform and the targets as a process
-// of their own, to try the real programs without a platform.
+// standinCommand returns the command that runs stand-ins for the platform and the targets in
+// a separate process, to try the real programs without a platform.
 func standinCommand() *cli.Command {
 	var o standinOptions
 	set := &settings.Set{}
@@ -51,6 +51,7 @@
 	size                           int64
 }
 
+// standinChunks is the maximum number of chunks per version.
 const standinChunks = 64
 
 func (o *standinOptions) run(ctx context.Context, c *cli.Command) error {
@@ -100,10 +101,11 @@
 	return nil
 }
 
-// publish publishes both files, and again whenever one has changed.
+// publish publishes the fleet file and the host list, and each of them again when it has
+// changed.
 func (o *standinOptions) publish(ctx context.Context, p *standin.Platform) error {
 	var lastFleet, lastHosts string
-	t := time.NewTicker(republishEvery)
+	t := time.NewTicker(republishInterval)
 	defer t.Stop()
 	for {
 		fleet, err := os.ReadFile(o.fleet)
