--- a/command/agent.go
+++ b/command/agent.go
@@ -14,7 +14,7 @@
 func NewAgent() *cli.Command {
 	return &cli.Command{
 		Name:                  "springgate-agent",
-		Usage:                 "the process beside one target: runs requests, holds weights, gives orders",
+		Usage:                 "agent that runs next to one target: runs requests, stores weights, sends load orders",
 		EnableShellCompletion: true,
 		Suggest:               true,
 		Action:                unknownCommand,
@@ -31,11 +31,11 @@
 	o.add(set)
 	set.URL(&cfg.TargetURL, "target-url", "base URL of the target on this host", "")
 	set.Address(&admin, "admin-listen", "address of /healthz, /readyz and /metrics", "", false)
-	set.Duration(&cfg.DrainTimeout, "drain-timeout", "longest wait for requests that run", 10*time.Minute, time.Second, maxWindow)
-	set.Duration(&cfg.ResumeGrace, "resume-grace", "how long a request goes on without its entry", 15*time.Second, time.Second, time.Hour)
-	set.Bytes(&answerMemory, "answer-memory", "memory for held answers", "32MiB", 0, 1<<40)
+	set.Duration(&cfg.DrainTimeout, "drain-timeout", "maximum wait for running requests", 10*time.Minute, time.Second, maxWindow)
+	set.Duration(&cfg.ResumeGrace, "resume-grace", "how long a running request continues while no entry is attached to it", 15*time.Second, time.Second, time.Hour)
+	set.Bytes(&answerMemory, "answer-memory", "memory for answers of finished requests", "32MiB", 0, 1<<40)
 	set.Bytes(&cfg.WeightMemory, "weight-memory", "memory for weight chunks", "1GiB", 1<<20, 1<<50)
-	set.Bytes(&linkRate, "link-rate", "bytes a second of weight transfer in each direction; 0 is no pacing", "0", 0, 1<<40)
+	set.Bytes(&linkRate, "link-rate", "limit on weight transfer in each direction, in bytes per second; 0 means no limit", "0", 0, 1<<40)
 	return &cli.Command{Name: "serve", Usage: "run the agent of one target", Flags: set.Flags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if err := set.Load(c); err != nil {
--- a/command/explain.go
+++ b/command/explain.go
@@ -33,10 +33,10 @@
 var commonFields = []string{"time", "level", "msg", "part", "request"}
 
 func explainCommand() *cli.Command {
-	return &cli.Command{Name: "explain", Usage: "print what logs say of one request, in order", ArgsUsage: "REQUEST-ID LOGFILE...",
+	return &cli.Command{Name: "explain", Usage: "print the log lines of one request from all log files, in order of time", ArgsUsage: "REQUEST-ID LOGFILE...",
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() < 2 {
-				return cli.Exit("explain: want a request's id and log files", exitUsage)
+				return cli.Exit("explain: expected a request ID and at least one log file", exitUsage)
 			}
 			return explain(c.Root().Writer, c.Args().First(), c.Args().Tail())
 		}}
@@ -53,7 +53,7 @@
 		all = append(all, lines...)
 	}
 	if len(all) == 0 {
-		return errors.Errorf("no line names request %s: it reached none of these processes, or the lines were dropped", id)
+		return errors.Errorf("no log line found for request %s: it reached none of these processes, or its lines were dropped", id)
 	}
 	slices.SortStableFunc(all, func(a, b logLine) int {
 		return cmp.Or(cmp.Compare(a.timestamp, b.timestamp), cmp.Compare(a.lineNumber, b.lineNumber))
--- a/command/explain_test.go
+++ b/command/explain_test.go
@@ -25,6 +25,6 @@
 	assert.NilError(t, explain(&out, "r1", []string{a, b}))
 	assert.Equal(t, out.String(), "2026-12-02T16:00:01Z "+b+" gateway: Trying again. sends=1\n"+
 		"2026-12-02T16:00:02Z "+a+" gateway: Not answered. reason=connection_lost status=502\n")
-	assert.ErrorContains(t, explain(&out, "r9", []string{a, b}), "no line names request r9")
+	assert.ErrorContains(t, explain(&out, "r9", []string{a, b}), "no log line found for request r9")
 	assert.Assert(t, explain(&out, "r1", []string{filepath.Join(dir, "none")}) != nil)
 }
--- a/command/gateway.go
+++ b/command/gateway.go
@@ -29,8 +29,8 @@
 	var contentKey string
 	set := &settings.Set{}
 	f.add(set)
-	set.Text(&contentKey, "content-key", "secret with which logs and peers name requests by their content; the same for all entries", "", false)
-	return &cli.Command{Name: "gateway", Usage: "run an entry on the platform that " + platform.SettingsVariable + " describes",
+	set.Text(&contentKey, "content-key", "secret key of the fingerprints that identify request content in logs and between peers; must be the same on all entries", "", false)
+	return &cli.Command{Name: "gateway", Usage: "run an entry on the platform, with the settings from the file that " + platform.SettingsVariable + " names",
 		Flags: set.Flags(),
 		Action: func(_ context.Context, c *cli.Command) error {
 			if err := set.Load(c); err != nil {
--- a/command/platform.go
+++ b/command/platform.go
@@ -68,8 +68,8 @@
 }
 
 func (f *platformFlags) add(s *settings.Set) {
-	s.Choice(&f.logLevel, "log-level", "least severe level that is logged", "info", "debug", "info", "warning", "error")
-	s.List("without", "mechanisms that are switched off, to measure what they are worth", mechanism.Names(), func(v string) (err error) {
+	s.Choice(&f.logLevel, "log-level", "minimum severity of log records", "info", "debug", "info", "warning", "error")
+	s.List("without", "mechanisms to disable, to measure their effect", mechanism.Names(), func(v string) (err error) {
 		f.off, err = mechanism.Parse(v)
 		return err
 	})
@@ -142,10 +142,10 @@
 		}
 		next, err := platform.LoadSettings()
 		if err != nil {
-			log.WithError(err).Error("Settings not readable, the last ones stay.")
+			log.WithError(err).Error("Failed to reload settings, keeping the previous ones.")
 			continue
 		}
-		log.WithField("seeds", strings.Join(next.Seeds, ",")).Info("Settings read again.")
+		log.WithField("seeds", strings.Join(next.Seeds, ",")).Info("Settings reloaded.")
 	}
 }
 
--- a/command/sidecar.go
+++ b/command/sidecar.go
@@ -23,7 +23,7 @@
 	var f platformFlags
 	set := &settings.Set{}
 	f.add(set)
-	return &cli.Command{Name: "sidecar", Usage: "run the agent beside an engine on the platform that " + platform.SettingsVariable + " describes",
+	return &cli.Command{Name: "sidecar", Usage: "run the agent next to an engine on the platform, with the settings from the file that " + platform.SettingsVariable + " names",
 		Flags: set.Flags(),
 		Action: func(_ context.Context, c *cli.Command) error {
 			if err := set.Load(c); err != nil {
--- a/command/springgate.go
+++ b/command/springgate.go
@@ -41,7 +41,7 @@
 func NewSpringgate() *cli.Command {
 	return &cli.Command{
 		Name:                  "springgate",
-		Usage:                 "weights to many hosts at once, and live requests to the same hosts",
+		Usage:                 "distribute model weights to many hosts and route live requests to the same hosts",
 		Description:           "Settings are flags or environment variables; 'serve --help' lists both.",
 		EnableShellCompletion: true,
 		Suggest:               true,
@@ -52,7 +52,7 @@
 }
 
 func versionCommand() *cli.Command {
-	return &cli.Command{Name: "version", Usage: "print the release",
+	return &cli.Command{Name: "version", Usage: "print the version",
 		Action: func(_ context.Context, c *cli.Command) error {
 			_, err := fmt.Fprintf(c.Root().Writer, "%s %s (fleet file format %d)\n", c.Root().Name, Version, intent.Format)
 			return err
@@ -78,14 +78,14 @@
 func (o *commonOptions) add(s *settings.Set) {
 	s.Text(&o.control.Host, "host", "name of this host in the host list", "", true)
 	s.Text(&o.control.Domain, "failure-domain", "failure domain of this host", "", true)
-	s.Address(&o.control.Addr, "peer-listen", "address for the other processes of the system", "127.0.0.1:7101", true)
+	s.Address(&o.control.Addr, "peer-listen", "listen address for the other processes of the system", "127.0.0.1:7101", true)
 	s.URL(&o.configURL, "config-url", "base URL of the configuration service", "")
 	s.URL(&o.hostsURL, "hosts-url", "base URL of the host list", "")
-	s.Duration(&o.heartbeat, "heartbeat", "time between two rounds of heartbeats", 500*time.Millisecond, minHeartbeat, maxHeartbeat)
-	s.Int(&o.control.FleetSize, "fleet-size", "processes that may start at once; spaces out their first reads", 50, 1, maxFleet)
+	s.Duration(&o.heartbeat, "heartbeat", "time between two heartbeats", 500*time.Millisecond, minHeartbeat, maxHeartbeat)
+	s.Int(&o.control.FleetSize, "fleet-size", "number of processes that may start at the same time; their first reads are spread out accordingly", 50, 1, maxFleet)
 	s.Duration(&o.keyWindow, "key-window", "how long an idempotency key is remembered", 10*time.Minute, time.Second, maxWindow)
-	s.Choice(&o.logLevel, "log-level", "least severe level that is logged", "info", "debug", "info", "warning", "error")
-	s.Choice(&o.logFormat, "log-format", "form of the log", telemetry.FormatText, telemetry.FormatText, telemetry.FormatJSON)
+	s.Choice(&o.logLevel, "log-level", "minimum severity of log records", "info", "debug", "info", "warning", "error")
+	s.Choice(&o.logFormat, "log-format", "log format", telemetry.FormatText, telemetry.FormatText, telemetry.FormatJSON)
 }
 
 func (o *commonOptions) logger() (*logrus.Logger, error) {
@@ -136,13 +136,13 @@
 	var maxBody int64
 	set := &settings.Set{}
 	o.add(set)
-	set.Address(&cfg.Listen, "listen", "address for callers", "127.0.0.1:8080", true)
-	set.Int(&cfg.Subset, "subset", "targets of a service that this entry keeps connections to", 64, 2, maxFleet)
-	set.Duration(&cfg.ShutdownDelay, "notice", "how long to go on serving once /readyz fails", 5*time.Second, 0, time.Hour)
-	set.Duration(&cfg.DrainTimeout, "drain-timeout", "longest wait for requests in flight", 10*time.Minute, time.Second, maxWindow)
-	set.Bytes(&maxBody, "max-body", "largest request body", "64MiB", 1, 1<<40)
-	set.Int(&cfg.MaxInflight, "max-inflight", "most requests in flight", 20000, 1, 10000000)
-	return &cli.Command{Name: "serve", Usage: "run an entry: take callers' requests", Flags: set.Flags(),
+	set.Address(&cfg.Listen, "listen", "listen address for callers", "127.0.0.1:8080", true)
+	set.Int(&cfg.Subset, "subset", "number of targets per service that this entry keeps connections to", 64, 2, maxFleet)
+	set.Duration(&cfg.ShutdownDelay, "notice", "how long to keep accepting requests after /readyz has started to fail", 5*time.Second, 0, time.Hour)
+	set.Duration(&cfg.DrainTimeout, "drain-timeout", "maximum wait for requests in flight", 10*time.Minute, time.Second, maxWindow)
+	set.Bytes(&maxBody, "max-body", "maximum size of a request body", "64MiB", 1, 1<<40)
+	set.Int(&cfg.MaxInflight, "max-inflight", "maximum number of requests in flight", 20000, 1, 10000000)
+	return &cli.Command{Name: "serve", Usage: "run an entry, which accepts requests from callers", Flags: set.Flags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if err := set.Load(c); err != nil {
 				return err
@@ -176,7 +176,7 @@
 		ArgsUsage: "FILE | OLD NEW",
 		Action: func(_ context.Context, c *cli.Command) error {
 			if n := c.Args().Len(); n < 1 || n > 2 {
-				return cli.Exit("check: want one fleet file, or an old and a new one", exitUsage)
+				return cli.Exit("check: expected one fleet file, or an old and a new one", exitUsage)
 			}
 			_, f, err := readFleet(c.Args().Get(0))
 			if err != nil {
@@ -219,10 +219,10 @@
 	set := &settings.Set{}
 	set.Int(&revision, "revision", "revision number; must be higher than any published", 0, 1, 1<<53)
 	set.Text(&dir, "out", "directory for head.json and parts/", "packed", true)
-	return &cli.Command{Name: "pack", Usage: "write what a pipeline publishes for a fleet file", ArgsUsage: "FILE", Flags: set.Flags(),
+	return &cli.Command{Name: "pack", Usage: "write the head and the parts of a fleet file for publication", ArgsUsage: "FILE", Flags: set.Flags(),
 		Action: func(_ context.Context, c *cli.Command) error {
 			if c.Args().Len() != 1 {
-				return cli.Exit("pack: want one fleet file", exitUsage)
+				return cli.Exit("pack: expected one fleet file", exitUsage)
 			}
 			if err := set.Load(c); err != nil {
 				return err
@@ -270,8 +270,8 @@
 	var asJSON bool
 	set := &settings.Set{}
 	set.URL(&url, "entry", "base URL of an entry", "http://127.0.0.1:8080")
-	set.Bool(&asJSON, "json", "print the status document itself", false)
-	return &cli.Command{Name: "status", Usage: "show every host: revision in force, lag, versions, load", Flags: set.Flags(),
+	set.Bool(&asJSON, "json", "print the status document as JSON", false)
+	return &cli.Command{Name: "status", Usage: "show the revision in force, lag, versions and load of every host", Flags: set.Flags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if err := set.Load(c); err != nil {
 				return err
@@ -286,7 +286,7 @@
 			}
 			var st operator.Status
 			if err := json.Unmarshal(b, &st); err != nil {
-				return errors.Wrap(err, "status: not a status document")
+				return errors.Wrap(err, "status: malformed status document")
 			}
 			return operator.WriteTable(c.Root().Writer, st)
 		}}
@@ -307,18 +307,18 @@
 	var seed int
 	var logLevel, fleetFile string
 	set := &settings.Set{}
-	set.Text(&fleetFile, "fleet", "fleet file whose hosts, teams and limits are run, in place of --hosts and --spread", "", false)
-	set.Int(&cfg.Hosts, "hosts", "engine hosts", 12, 1, 200)
-	set.Int(&cfg.Entries, "entries", "entries", 2, 1, 20)
+	set.Text(&fleetFile, "fleet", "fleet file with the hosts, teams and limits to run; replaces --hosts and --spread", "", false)
+	set.Int(&cfg.Hosts, "hosts", "number of engine hosts", 12, 1, 200)
+	set.Int(&cfg.Entries, "entries", "number of entries", 2, 1, 20)
 	set.Bytes(&cfg.Size, "size", "size of a version", "64MiB", 1<<16, 1<<30)
-	set.Choice(&cfg.Spread, "spread", "what to weigh more", string(intent.SpreadTime), string(intent.SpreadTime), string(intent.SpreadOriginBytes))
-	set.Int(&seed, "seed", "seed of content and load", 1, 0, 1<<53)
-	set.Duration(&cfg.Duration, "duration", "longest time for one version to reach all hosts; the link window is 0.4 of it", 40*time.Second, 5*time.Second, time.Hour)
-	set.Choice(&logLevel, "log-level", "least severe level that is logged", "error", "debug", "info", "warning", "error")
+	set.Choice(&cfg.Spread, "spread", "what weight distribution minimizes", string(intent.SpreadTime), string(intent.SpreadTime), string(intent.SpreadOriginBytes))
+	set.Int(&seed, "seed", "seed for the generated weights and requests", 1, 0, 1<<53)
+	set.Duration(&cfg.Duration, "duration", "maximum time for one version to reach all hosts; the link window is 0.4 of it", 40*time.Second, 5*time.Second, time.Hour)
+	set.Choice(&logLevel, "log-level", "minimum severity of log records", "error", "debug", "info", "warning", "error")
 	flags := append(set.Flags(),
 		&cli.BoolFlag{Name: "faults", Usage: "kill and restart an agent, corrupt chunks, take the platform down", Sources: cli.EnvVars(settings.EnvPrefix + "FAULTS")},
 		&cli.BoolFlag{Name: "json", Usage: "print the result as one JSON object on the last line", Sources: cli.EnvVars(settings.EnvPrefix + "JSON")})
-	return &cli.Command{Name: "demo", Usage: "run the main job on embedded stand-ins, on loopback", Flags: flags,
+	return &cli.Command{Name: "demo", Usage: "roll out a version under live requests, with embedded stand-ins on loopback", Flags: flags,
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if err := set.Load(c); err != nil {
 				return err
--- a/command/standin.go
+++ b/command/standin.go
@@ -31,10 +31,10 @@
 	set.Address(&o.platform, "platform-listen", "address of the configuration service and host list", "127.0.0.1:9000", true)
 	set.Address(&o.origin, "origin-listen", "address of the origin", "127.0.0.1:9001", true)
 	set.Int(&o.firstPort, "target-port", "first port of the targets", 9100, 1, 65000)
-	set.Int(&o.engines, "engines", "fake engines, on ports from target-port", 2, 0, 200)
-	set.Int(&o.plains, "plains", "fake plain services, on the ports after them", 1, 0, 200)
-	set.Bytes(&o.size, "size", "size of the two versions v1 and v2 that the origin has", "16MiB", 1<<16, 1<<30)
-	return &cli.Command{Name: "standin", Usage: "run stand-ins of the platform and targets, to try the real programs", Flags: set.Flags(),
+	set.Int(&o.engines, "engines", "number of fake engines, on ports from target-port", 2, 0, 200)
+	set.Int(&o.plains, "plains", "number of fake plain services, on the ports that follow", 1, 0, 200)
+	set.Bytes(&o.size, "size", "size of each of the two versions v1 and v2 at the origin", "16MiB", 1<<16, 1<<30)
+	return &cli.Command{Name: "standin", Usage: "run stand-ins for the platform and targets, to try the real programs without a platform", Flags: set.Flags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if err := set.Load(c); err != nil {
 				return err
