--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,5 +1,6 @@
-// Package demo runs the main job on embedded stand-ins, in one process on
-// loopback: live requests are answered while a new version reaches all hosts.
+// Package demo demonstrates the system in one process on loopback, with embedded stand-ins for
+// the platform and the targets: it rolls out a new version to all hosts while live requests are
+// being served, and measures both.
 package demo
 
 import (
@@ -33,30 +34,31 @@
 	Seed     uint64
 	Duration time.Duration
 	JSON     bool
-	Live     bool // redraw one line in place of printing many
-	// Fleet is a fleet file to run in place of a made-up one: its hosts, teams
-	// and limits, with the stand-ins' versions and sources. Hosts and Spread
-	// are then not used.
+	Live     bool // redraw one progress line instead of printing new ones
+	// Fleet replaces the default fleet if set. Its hosts, teams and limits are used, with
+	// the versions and sources of the stand-ins; Hosts and Spread are ignored.
 	Fleet *intent.Fleet
 }
 
-// Shape of the demonstration.
+// Parameters of the demonstration.
 const (
 	chunksPerVersion = 256
-	// windowPart is the part of the duration in which the origin's link
-	// carries originCopies and each host's link hostCopies.
-	windowPart   = 0.4
-	originCopies = 4
-	hostCopies   = 2
+	// linkWindowShare is the fraction of Config.Duration, the link window, in which the
+	// origin's link can carry originCopies copies of a version and each host's link
+	// hostCopies copies.
+	linkWindowShare = 0.4
+	originCopies    = 4
+	hostCopies      = 2
 
-	keyWindow  = 4 * time.Second
-	clockSkew  = 50 * time.Millisecond
-	loadTime   = 150 * time.Millisecond
-	beforeTime = 5 * time.Second
-	loopback   = "127.0.0.1:0"
+	keyWindow = 4 * time.Second
+	clockSkew = 50 * time.Millisecond
+	loadTime  = 150 * time.Millisecond
+	// baselineTime is how long requests are measured before the second version is published.
+	baselineTime = 5 * time.Second
+	loopback     = "127.0.0.1:0"
 )
 
-// host is one target host of the fleet.
+// host is one host of the fleet with its target and agent.
 type host struct {
 	name   string
 	domain string
@@ -66,7 +68,7 @@
 	stop   context.CancelFunc
 }
 
-// fleet is everything the demonstration runs.
+// fleet holds the stand-ins and the processes of the demonstration.
 type fleet struct {
 	cfg      Config
 	log      *logrus.Logger
@@ -77,23 +79,25 @@
 	entries  []*entry.Entry
 	names    []string // of the entries
 	versions map[digest.Digest]*spread.Manifest
-	window   time.Duration
-	layout   layout
+	// linkWindow is the time in which the links can carry originCopies and hostCopies.
+	linkWindow time.Duration
+	layout     layout
 }
 
-func (f *fleet) hostRate() float64 { return hostCopies * float64(f.cfg.Size) / f.window.Seconds() }
+// hostRate returns the rate of a host's link in bytes per second.
+func (f *fleet) hostRate() float64 { return hostCopies * float64(f.cfg.Size) / f.linkWindow.Seconds() }
 
-// bound is the least time in which the paced links can bring a version to n
-// hosts: no host receives faster than its link, the origin sends at least one
-// copy, and all links together carry n copies.
-func (f *fleet) bound() time.Duration {
+// lowerBound returns the minimum time in which the rate-limited links can distribute a version
+// to n hosts: no host receives faster than its link allows, the origin sends at least one copy,
+// and all links together carry n copies.
+func (f *fleet) lowerBound() time.Duration {
 	size, n := float64(f.cfg.Size), float64(f.cfg.Hosts)
-	up, origin := f.hostRate(), originCopies*float64(f.cfg.Size)/f.window.Seconds()
-	s := max(size/min(up, origin), size/origin, n*size/(origin+n*up))
+	host, origin := f.hostRate(), originCopies*float64(f.cfg.Size)/f.linkWindow.Seconds()
+	s := max(size/min(host, origin), size/origin, n*size/(origin+n*host))
 	return time.Duration(s * float64(time.Second))
 }
 
-// Run runs the demonstration and writes progress and results to out.
+// Run runs the demonstration and writes its progress and results to out.
 func Run(ctx context.Context, cfg Config, log *logrus.Logger, out io.Writer) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -103,12 +107,12 @@
 	}
 	cfg.Hosts = l.engines
 	f := &fleet{cfg: cfg, layout: l, log: log, runs: standin.NewRuns(), versions: map[digest.Digest]*spread.Manifest{},
-		window: time.Duration(float64(cfg.Duration) * windowPart)}
+		linkWindow: time.Duration(float64(cfg.Duration) * linkWindowShare)}
 	if err := f.start(ctx); err != nil {
 		return err
 	}
 	defer f.close()
-	show := &progress{out: out, fleet: f, live: cfg.Live}
+	p := &progress{out: out, fleet: f, live: cfg.Live}
 	if err := f.addAdapters(); err != nil {
 		return err
 	}
@@ -120,37 +124,37 @@
 	if err != nil {
 		return err
 	}
-	show.say("%d engine hosts, %d plain hosts, %d entries; version of %d bytes; link window %s",
-		cfg.Hosts, len(f.hosts)-cfg.Hosts, cfg.Entries, cfg.Size, f.window.Round(time.Millisecond))
+	p.printf("%d engine hosts, %d plain hosts, %d entries; version of %d bytes; link window %s",
+		cfg.Hosts, len(f.hosts)-cfg.Hosts, cfg.Entries, cfg.Size, f.linkWindow.Round(time.Millisecond))
 	f.platform.Publish(f.layout.file(first, f.origin.URL()))
-	if _, err := f.awaitReplicas(ctx, show, f.layout.loadout(first), cfg.Duration); err != nil {
+	if _, err := f.awaitReplicas(ctx, p, f.layout.loadout(first), cfg.Duration); err != nil {
 		return err
 	}
-	return f.measure(ctx, show, second)
+	return f.measure(ctx, p, second)
 }
 
-// measure sends live requests, publishes the second version in mid-traffic
-// and reports.
-func (f *fleet) measure(ctx context.Context, show *progress, second digest.Digest) error {
+// measure sends live requests, publishes the second version while they are being served, and
+// prints the results.
+func (f *fleet) measure(ctx context.Context, p *progress, second digest.Digest) error {
 	load := newLoad(f)
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	go load.run(loadCtx)
-	show.load = load
-	show.say("All hosts serve version 1. Measuring for %s.", beforeTime)
-	show.wait(ctx, beforeTime)
+	p.load = load
+	p.printf("All hosts serve version 1. Measuring for %s.", baselineTime)
+	p.wait(ctx, baselineTime)
 
 	load.setPhase(during)
 	servedBefore := f.origin.Served()
-	began := time.Now()
+	start := time.Now()
 	revision := f.platform.Publish(f.layout.file(second, f.origin.URL()))
-	show.say("Revision %d with version 2 published.", revision)
+	p.printf("Revision %d with version 2 published.", revision)
 	inForce := make(chan time.Duration, 1)
-	go func() { inForce <- f.awaitRevision(ctx, revision, began) }()
+	go func() { inForce <- f.awaitRevision(ctx, revision, start) }()
 	if f.cfg.Faults {
-		go f.breakThings(ctx, show)
+		go f.injectFaults(ctx, p)
 	}
-	took, err := f.awaitReplicas(ctx, show, f.layout.loadout(second), f.cfg.Duration)
+	took, err := f.awaitReplicas(ctx, p, f.layout.loadout(second), f.cfg.Duration)
 	if err != nil {
 		return err
 	}
@@ -163,8 +167,8 @@
 	}
 	stopLoad()
 	load.wait()
-	load.judge(r)
-	return show.report(r)
+	load.evaluate(r)
+	return p.report(r)
 }
 
 func (f *fleet) start(ctx context.Context) error {
@@ -172,7 +176,7 @@
 	if f.platform, err = standin.NewPlatform(loopback); err != nil {
 		return err
 	}
-	if f.origin, err = standin.NewSource(loopback, originCopies*float64(f.cfg.Size)/f.window.Seconds()); err != nil {
+	if f.origin, err = standin.NewSource(loopback, originCopies*float64(f.cfg.Size)/f.linkWindow.Seconds()); err != nil {
 		return err
 	}
 	for _, spec := range f.layout.hosts {
@@ -270,7 +274,7 @@
 	f.origin.Close()
 }
 
-// addAdapters gives the origin the adapters that the fleet file names.
+// addAdapters adds generated content to the origin for the adapters of the fleet.
 func (f *fleet) addAdapters() error {
 	for i := range f.layout.fleet.Services {
 		svc := &f.layout.fleet.Services[i]
@@ -286,6 +290,8 @@
 	return nil
 }
 
+// addVersion adds a version with content generated from seed to the origin and returns the
+// digest of its manifest.
 func (f *fleet) addVersion(name string, seed uint64) (digest.Digest, error) {
 	size := int(f.cfg.Size)
 	chunk := (size + chunksPerVersion - 1) / chunksPerVersion
@@ -294,8 +300,8 @@
 	return id, err
 }
 
-// replicas counts the engines that serve a loadout, as the engines themselves
-// say.
+// replicas returns the number of engines that serve a loadout. It asks the stand-in engines,
+// not the system.
 func (f *fleet) replicas(loadout string) int {
 	n := 0
 	for _, h := range f.hosts[:f.cfg.Hosts] {
--- a/demo/layout.go
+++ b/demo/layout.go
@@ -11,16 +11,16 @@
 	"github.com/springgate/springgate/target"
 )
 
-// Shape of a made-up fleet.
+// Parameters of the default fleet.
 const (
-	madeUpPlains = 2
-	madeUpTeam   = "citizens"
-	adapterSize  = 1 << 20
-	// adapterChunks is into how many chunks an adapter is cut.
+	defaultPlains = 2
+	defaultTeam   = "citizens"
+	adapterSize   = 1 << 20 // bytes
+	// adapterChunks is the number of chunks per adapter.
 	adapterChunks = 16
 )
 
-var madeUpDomains = []string{"muscat", "sohar", "salalah"}
+var defaultDomains = []string{"muscat", "sohar", "salalah"}
 
 // hostSpec is one host to run.
 type hostSpec struct {
@@ -29,21 +29,21 @@
 	fenced bool
 }
 
-// layout is the fleet that is run: the hosts and the fleet file.
+// layout describes the fleet of the demonstration: its hosts and the content of its fleet file.
 type layout struct {
 	fleet   *intent.Fleet
-	engine  string // service that gets requests and new versions
-	plain   string // service that gets the other requests, "" if none
-	team    string
-	engines int        // hosts of that engine service
-	hosts   []hostSpec // those first
+	engine  string     // engine service that gets requests and new versions
+	plain   string     // plain service that gets the other requests, "" if none
+	team    string     // team of all requests
+	engines int        // number of hosts of the service engine
+	hosts   []hostSpec // hosts of the service engine first
 }
 
-// newLayout returns the layout of the fleet file given, or makes one up.
+// newLayout returns the layout of cfg.Fleet, or of the default fleet if that is nil.
 func newLayout(cfg Config) (layout, error) {
-	l := layout{fleet: cfg.Fleet, team: madeUpTeam}
+	l := layout{fleet: cfg.Fleet, team: defaultTeam}
 	if l.fleet == nil {
-		l.fleet = madeUp(cfg)
+		l.fleet = defaultFleet(cfg)
 	} else {
 		l.team = l.fleet.Teams[0].Name
 	}
@@ -73,16 +73,17 @@
 	return l, nil
 }
 
-func madeUp(cfg Config) *intent.Fleet {
+// defaultFleet returns a fleet of one engine service and one plain service.
+func defaultFleet(cfg Config) *intent.Fleet {
 	f := &intent.Fleet{Name: "demo", Teams: []intent.Team{{Name: "default", Weight: 1},
-		{Name: madeUpTeam, Weight: 4}, {Name: "disputes", Weight: 2}}}
+		{Name: defaultTeam, Weight: 4}, {Name: "disputes", Weight: 2}}}
 	engines := intent.Service{Name: "assistant", Kind: intent.Engine, Role: intent.Mixed, Model: intent.Version{Name: "wallet"},
 		Spread: intent.Spread(cfg.Spread), MaxUnavailable: max(1, cfg.Hosts/4), Fenced: true,
 		Limits: intent.Limits{Concurrency: 8, Queue: 64, Timeout: 20 * time.Second}}
 	plains := intent.Service{Name: "balances", Kind: intent.Plain,
 		Limits: intent.Limits{Concurrency: 32, Queue: 64, Timeout: 5 * time.Second}}
-	for i := range cfg.Hosts + madeUpPlains {
-		h := intent.HostRef{Name: fmt.Sprintf("host-%03d", i), Domain: madeUpDomains[i%len(madeUpDomains)]}
+	for i := range cfg.Hosts + defaultPlains {
+		h := intent.HostRef{Name: fmt.Sprintf("host-%03d", i), Domain: defaultDomains[i%len(defaultDomains)]}
 		if i < cfg.Hosts {
 			engines.Hosts = append(engines.Hosts, h)
 		} else {
@@ -93,7 +94,7 @@
 	return f
 }
 
-// domain is the failure domain of entry i.
+// domain returns the failure domain of entry i.
 func (l layout) domain(i int) string { return l.hosts[i%len(l.hosts)].Domain }
 
 // service returns the engine service with the given model.
@@ -107,13 +108,14 @@
 	return intent.Service{}
 }
 
-// loadout is what every engine of the service is to report for a model.
+// loadout returns the ID of the loadout that the engines of the service report once they serve
+// the model.
 func (l layout) loadout(model digest.Digest) string {
 	s := l.service(model)
 	return target.LoadoutOf(&s).ID()
 }
 
-// file returns the fleet file with the given model and the stand-in's origin.
+// file returns the fleet file with the given model and the URL of the origin.
 func (l layout) file(model digest.Digest, origin string) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "format: %d\nfleet: %s\nsources:\n  - {name: origin, kind: origin, url: %q}\nteams:\n", intent.Format, l.fleet.Name, origin)
--- a/demo/load.go
+++ b/demo/load.go
@@ -20,35 +20,36 @@
 	"github.com/springgate/springgate/standin"
 )
 
-// Shape of the load.
+// Parameters of the load.
 const (
-	callsPerHost = 4 // a second
+	callsPerHost = 4 // per second
 	callTimeout  = 20 * time.Second
-	tokens       = 12
+	tokens       = 12 // per streamed answer
 
-	histogramMax = int64(time.Minute / time.Microsecond)
-	histogramSig = 3
+	histogramMax    = int64(time.Minute / time.Microsecond)
+	histogramDigits = 3 // significant figures
 )
 
+// phase is the phase of the measurement in which a request is sent.
 type phase int32
 
 const (
-	before phase = iota
-	during
+	before phase = iota // before the second version is published
+	during              // while it is rolled out
 	phases
 )
 
-// call is one request and what its caller saw.
+// call is one request and its result as observed by the caller.
 type call struct {
 	id         string
 	repeatable bool
 	outcome    outcome.Outcome // empty if there was no answer
-	crossed    bool
-	mixed      bool
-	partial    bool // taken for whole, but is not
+	crossed    bool            // got tokens or the body of another call, or tokens out of order
+	mixed      bool            // got tokens of more than one version
+	partial    bool            // looked complete to the caller, but tokens were missing
 }
 
-// load sends live requests and judges the answers without help of the system.
+// load sends live requests and checks the answers independently of the system.
 type load struct {
 	fleet  *fleet
 	client *http.Client
@@ -57,7 +58,7 @@
 
 	mu    sync.Mutex
 	calls []*call
-	first [phases]*hdrhistogram.Histogram // time to first token, microseconds
+	ttft  [phases]*hdrhistogram.Histogram // time to first token in microseconds
 
 	completed, notRun, unknown atomic.Int64
 }
@@ -65,19 +66,19 @@
 func newLoad(f *fleet) *load {
 	l := &load{fleet: f, client: &http.Client{Timeout: callTimeout + 5*time.Second,
 		Transport: &http.Transport{MaxIdleConnsPerHost: 256}}}
-	for i := range l.first {
-		l.first[i] = hdrhistogram.New(1, histogramMax, histogramSig)
+	for i := range l.ttft {
+		l.ttft[i] = hdrhistogram.New(1, histogramMax, histogramDigits)
 	}
 	return l
 }
 
 func (l *load) setPhase(p phase) { l.phase.Store(int32(p)) }
 
-// run sends calls at a steady rate, whatever the answers do.
+// run sends calls at a constant rate, independently of the answers (open loop).
 func (l *load) run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(l.fleet.cfg.Seed, l.fleet.cfg.Seed))
-	gap := time.Second / time.Duration(callsPerHost*l.fleet.cfg.Hosts)
-	t := time.NewTicker(gap)
+	interval := time.Second / time.Duration(callsPerHost*l.fleet.cfg.Hosts)
+	t := time.NewTicker(interval)
 	defer t.Stop()
 	l.active.Add(1)
 	defer l.active.Done()
@@ -125,25 +126,25 @@
 	if err != nil {
 		return
 	}
-	began := time.Now()
+	start := time.Now()
 	resp, err := l.client.Do(r)
 	if err != nil {
-		return // no answer at all: lost
+		return // no answer: counted as lost
 	}
 	defer resp.Body.Close()
 	if resp.Header.Get("Content-Type") == caller.ProblemType {
-		l.refused(c, resp)
+		l.readProblem(c, resp)
 		return
 	}
 	if plain {
 		l.readPlain(c, resp)
 	} else {
-		l.readStream(c, resp, func() { l.sawFirst(p, time.Since(began)) })
+		l.readStream(c, resp, func() { l.recordFirstToken(p, time.Since(start)) })
 	}
 	l.count(c.outcome)
 }
 
-func (l *load) refused(c *call, resp *http.Response) {
+func (l *load) readProblem(c *call, resp *http.Response) {
 	var p caller.Problem
 	if json.NewDecoder(resp.Body).Decode(&p) == nil {
 		c.outcome = p.Outcome
@@ -162,23 +163,24 @@
 	}
 }
 
-func (l *load) sawFirst(p phase, d time.Duration) {
+func (l *load) recordFirstToken(p phase, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	_ = l.first[p].RecordValue(min(d.Microseconds(), histogramMax))
+	_ = l.ttft[p].RecordValue(min(d.Microseconds(), histogramMax))
 }
 
 func (l *load) readPlain(c *call, resp *http.Response) {
 	b, err := io.ReadAll(resp.Body)
 	c.outcome = outcome.Completed
 	if err != nil {
-		c.outcome = outcome.Unknown // aborted, and seen to be
+		c.outcome = outcome.Unknown // aborted, and the caller noticed
 		return
 	}
 	c.crossed = !strings.HasPrefix(string(b), c.id+" ")
 }
 
-// readStream reads the tokens of an engine and checks each of them.
+// readStream reads a streamed answer of an engine and checks each token. It calls first at the
+// first token.
 func (l *load) readStream(c *call, resp *http.Response, first func()) {
 	sc := bufio.NewScanner(resp.Body)
 	seen, done, version := 0, false, ""
@@ -204,15 +206,15 @@
 		seen++
 	}
 	if sc.Err() != nil {
-		c.outcome = outcome.Unknown // aborted, and seen to be
+		c.outcome = outcome.Unknown // aborted, and the caller noticed
 		return
 	}
 	c.outcome = outcome.Completed
 	c.partial = resp.StatusCode == http.StatusOK && (!done || seen != tokens)
 }
 
-// judge fills in what the callers and the stand-ins saw.
-func (l *load) judge(r *Result) {
+// evaluate adds the observations of the callers and the stand-ins to r.
+func (l *load) evaluate(r *Result) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r.Requests = len(l.calls)
@@ -238,12 +240,13 @@
 	for _, h := range l.fleet.hosts[:l.fleet.cfg.Hosts] {
 		r.Mixed += int(h.engine.Mixed())
 	}
-	r.FirstBefore = milliseconds(l.first[before])
-	r.FirstDuring = milliseconds(l.first[during])
+	r.FirstBefore = p99Milliseconds(l.ttft[before])
+	r.FirstDuring = p99Milliseconds(l.ttft[during])
 }
 
 const p99 = 99
 
-func milliseconds(h *hdrhistogram.Histogram) float64 {
+// p99Milliseconds returns the 99th percentile of a histogram of microseconds.
+func p99Milliseconds(h *hdrhistogram.Histogram) float64 {
 	return float64(h.ValueAtPercentile(p99)) / 1000
 }
--- a/demo/report.go
+++ b/demo/report.go
@@ -12,34 +12,34 @@
 	"github.com/springgate/springgate/loop"
 )
 
-// Result is what a demonstration measured. Lost, Doubled, Crossed and Mixed
-// are judged by the callers and the stand-ins.
+// Result holds the measurements of a demonstration. Lost, Doubled, FalselyNotRun, Crossed and
+// Mixed are determined by the callers and the stand-ins, not by the system.
 type Result struct {
 	Hosts         int     `json:"hosts"`
 	Entries       int     `json:"entries"`
 	Replicas      int     `json:"replicas"`
 	VersionBytes  int64   `json:"version_bytes"`
-	TimeToN       float64 `json:"time_to_n_s"`
-	Bound         float64 `json:"bound_s"`
+	TimeToN       float64 `json:"time_to_n_s"` // until all replicas served the second version
+	Bound         float64 `json:"bound_s"`     // lower bound of TimeToN for the links used
 	OriginCopies  float64 `json:"origin_copies"`
-	FarCopies     float64 `json:"cross_domain_copies"`
+	FarCopies     float64 `json:"cross_domain_copies"` // of both versions
 	Requests      int     `json:"requests"`
 	Completed     int64   `json:"completed"`
 	NotRun        int64   `json:"not_run"`
 	Unknown       int64   `json:"unknown"`
-	Lost          int     `json:"lost"`
-	Doubled       int     `json:"doubled"`
-	FalselyNotRun int     `json:"falsely_not_run"`
-	Crossed       int     `json:"crossed"`
-	Mixed         int     `json:"mixed"`
+	Lost          int     `json:"lost"`            // no answer, a partial one, or one without a run on a target
+	Doubled       int     `json:"doubled"`         // not repeatable, but ran more than once
+	FalselyNotRun int     `json:"falsely_not_run"` // ran, but reported to the caller as not run
+	Crossed       int     `json:"crossed"`         // answered with content of another call
+	Mixed         int     `json:"mixed"`           // answers with tokens of several versions, and incomplete or mixed loads
 	FirstBefore   float64 `json:"ttft_p99_before_ms"`
 	FirstDuring   float64 `json:"ttft_p99_during_ms"`
-	ConfigInForce float64 `json:"config_in_force_s"`
+	ConfigInForce float64 `json:"config_in_force_s"` // until the revision was in force in every process
 }
 
 func (f *fleet) newResult(took time.Duration, originBytes int64) *Result {
 	r := &Result{Hosts: f.cfg.Hosts, Entries: f.cfg.Entries, Replicas: f.cfg.Hosts, VersionBytes: f.cfg.Size,
-		TimeToN: took.Seconds(), Bound: f.bound().Seconds(),
+		TimeToN: took.Seconds(), Bound: f.lowerBound().Seconds(),
 		OriginCopies: float64(originBytes) / float64(f.cfg.Size)}
 	for _, h := range f.hosts {
 		if c, ok := h.agent.Metrics().Get("weights.bytes_from_other_domain").(interface{ Count() int64 }); ok {
@@ -49,7 +49,7 @@
 	return r
 }
 
-// progress shows how the demonstration goes.
+// progress prints the progress of the demonstration.
 type progress struct {
 	out   io.Writer
 	fleet *fleet
@@ -57,11 +57,11 @@
 	live  bool
 
 	mu      sync.Mutex
-	pending bool // a live line has no end yet
+	pending bool // the cursor is in a live line without a newline
 }
 
-// say prints a line of its own.
-func (p *progress) say(format string, args ...any) {
+// printf prints a separate line.
+func (p *progress) printf(format string, args ...any) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.endLine()
@@ -75,7 +75,7 @@
 	}
 }
 
-// line shows the state: on a terminal in place, elsewhere as a new line.
+// line prints the state. On a terminal it replaces the previous line, elsewhere it is a new one.
 func (p *progress) line(replicas int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,14 +93,14 @@
 	fmt.Fprintln(p.out, text)
 }
 
+// wait prints the state every progressInterval until d has passed.
 func (p *progress) wait(ctx context.Context, d time.Duration) {
-	for end := time.Now().Add(d); time.Now().Before(end) && loop.Sleep(ctx, showEvery); {
+	for end := time.Now().Add(d); time.Now().Before(end) && loop.Sleep(ctx, progressInterval); {
 		p.line(p.fleet.cfg.Hosts)
 	}
 }
 
-// report prints the result as a table and, if asked, as one JSON object on
-// the last line.
+// report prints the result as a table and, with Config.JSON, as one JSON object on the last line.
 func (p *progress) report(r *Result) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/demo/watch.go
+++ b/demo/watch.go
@@ -8,46 +8,46 @@
 	"github.com/springgate/springgate/loop"
 )
 
-// Intervals of the observation.
 const (
-	lookEvery = 20 * time.Millisecond
-	showEvery = time.Second
+	pollInterval     = 20 * time.Millisecond
+	progressInterval = time.Second
 )
 
-// awaitReplicas waits until every engine serves the loadout and returns how
-// long that took.
-func (f *fleet) awaitReplicas(ctx context.Context, show *progress, loadout string, limit time.Duration) (time.Duration, error) {
-	began := time.Now()
-	next := began
+// awaitReplicas waits until every engine serves the loadout and returns how long it took.
+func (f *fleet) awaitReplicas(ctx context.Context, p *progress, loadout string, limit time.Duration) (time.Duration, error) {
+	start := time.Now()
+	nextLine := start
 	for {
 		n := f.replicas(loadout)
 		if n == f.cfg.Hosts {
-			return time.Since(began), nil
+			return time.Since(start), nil
 		}
-		if time.Now().After(next) {
-			show.line(n)
-			next = next.Add(showEvery)
+		if time.Now().After(nextLine) {
+			p.line(n)
+			nextLine = nextLine.Add(progressInterval)
 		}
-		if time.Since(began) > limit {
+		if time.Since(start) > limit {
 			return 0, errors.Errorf("demo: %d of %d replicas after %s", n, f.cfg.Hosts, limit)
 		}
-		if !loop.Sleep(ctx, lookEvery) {
+		if !loop.Sleep(ctx, pollInterval) {
 			return 0, ctx.Err()
 		}
 	}
 }
 
-// awaitRevision waits until every process has the revision in force.
-func (f *fleet) awaitRevision(ctx context.Context, revision uint64, began time.Time) time.Duration {
-	for ctx.Err() == nil && !f.allAt(int64(revision)) {
-		loop.Sleep(ctx, lookEvery)
+// awaitRevision waits until the revision is in force in every process and returns the time since
+// start.
+func (f *fleet) awaitRevision(ctx context.Context, revision uint64, start time.Time) time.Duration {
+	for ctx.Err() == nil && !f.revisionInForce(int64(revision)) {
+		loop.Sleep(ctx, pollInterval)
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
 
 const revisionGauge = "control.revision"
 
-func (f *fleet) allAt(revision int64) bool {
+// revisionInForce reports whether the revision, or a later one, is in force in every process.
+func (f *fleet) revisionInForce(revision int64) bool {
 	for _, h := range f.hosts {
 		if gauge(h.agent.Metrics().Get(revisionGauge)) < revision {
 			return false
@@ -61,6 +61,7 @@
 	return true
 }
 
+// gauge returns the value of a gauge, or 0 if m is not one.
 func gauge(m any) int64 {
 	g, ok := m.(interface{ Value() int64 })
 	if !ok {
@@ -69,23 +70,23 @@
 	return g.Value()
 }
 
-// Faults of the demonstration, after the second version is published.
+// Faults that are injected after the second version is published.
 const (
 	faultAfter   = time.Second
 	restartAfter = 1500 * time.Millisecond
 	platformDown = 3 * time.Second
-	corruptEvery = 40
+	corruptEvery = 40 // one in so many chunks
 )
 
-// breakThings corrupts chunks at the origin, kills an agent and restarts it
-// with empty memory, and takes the platform down for a while.
-func (f *fleet) breakThings(ctx context.Context, show *progress) {
+// injectFaults corrupts chunks at the origin, kills an agent and restarts it with empty memory,
+// and takes the platform down for platformDown.
+func (f *fleet) injectFaults(ctx context.Context, p *progress) {
 	f.origin.Faults.Corrupt.Store(corruptEvery)
 	if !loop.Sleep(ctx, faultAfter) {
 		return
 	}
 	victim := f.hosts[int(f.cfg.Seed)%f.cfg.Hosts]
-	show.say("Fault: agent of %s killed; one in %d chunks of the origin is corrupt.", victim.name, corruptEvery)
+	p.printf("Fault: agent of %s killed; one in %d chunks of the origin is corrupt.", victim.name, corruptEvery)
 	victim.stop()
 	if !loop.Sleep(ctx, restartAfter) {
 		return
@@ -95,11 +96,11 @@
 		return
 	}
 	f.publishHosts()
-	show.say("Agent of %s restarted with empty memory.", victim.name)
+	p.printf("Agent of %s restarted with empty memory.", victim.name)
 	if !loop.Sleep(ctx, faultAfter) {
 		return
 	}
-	show.say("Fault: platform down for %s.", platformDown)
+	p.printf("Fault: platform down for %s.", platformDown)
 	f.platform.SetDown(true)
 	loop.Sleep(ctx, platformDown)
 	f.platform.SetDown(false)
