--- a/demo/report.go
+++ b/demo/report.go
@@ -22,7 +22,7 @@
 	TimeToN       float64 `json:"time_to_n_s"` // until all replicas served the second version
 	Bound         float64 `json:"bound_s"`     // lower bound of TimeToN for the links used
 	OriginCopies  float64 `json:"origin_copies"`
-	FarCopies     float64 `json:"cross_domain_copies"` // of both versions
+	CrossDomainCopies     float64 `json:"cross_domain_copies"` // of both versions
 	Requests      int     `json:"requests"`
 	Completed     int64   `json:"completed"`
 	NotRun        int64   `json:"not_run"`
@@ -43,7 +43,7 @@
 		OriginCopies: float64(originBytes) / float64(f.cfg.Size)}
 	for _, h := range f.hosts {
 		if c, ok := h.agent.Metrics().Get("weights.bytes_from_other_domain").(interface{ Count() int64 }); ok {
-			r.FarCopies += float64(c.Count()) / float64(f.cfg.Size)
+			r.CrossDomainCopies += float64(c.Count()) / float64(f.cfg.Size)
 		}
 	}
 	return r
@@ -109,7 +109,7 @@
 	fmt.Fprintf(t, "\nreplicas\t%d of %d\n", r.Replicas, r.Hosts)
 	fmt.Fprintf(t, "time to all replicas\t%.2f s\t(floor %.2f s, ratio %.2f)\n", r.TimeToN, r.Bound, r.TimeToN/r.Bound)
 	fmt.Fprintf(t, "copies read from the origin\t%.2f\n", r.OriginCopies)
-	fmt.Fprintf(t, "copies across failure domains\t%.2f\t(both versions)\n", r.FarCopies)
+	fmt.Fprintf(t, "copies across failure domains\t%.2f\t(both versions)\n", r.CrossDomainCopies)
 	fmt.Fprintf(t, "revision in force everywhere\t%.2f s\n", r.ConfigInForce)
 	fmt.Fprintf(t, "requests\t%d\t(completed %d, not-run %d, unknown %d)\n", r.Requests, r.Completed, r.NotRun, r.Unknown)
 	fmt.Fprintf(t, "lost / doubled / falsely not-run / crossed / mixed\t%d / %d / %d / %d / %d\n",
