--- a/demo/load.go
+++ b/demo/load.go
@@ -240,7 +240,7 @@
 	for _, h := range l.fleet.hosts[:l.fleet.cfg.Hosts] {
 		r.Mixed += int(h.engine.Mixed())
 	}
-	r.FirstBefore = p99Milliseconds(l.ttft[before])
+	r.TTFTBefore = p99Milliseconds(l.ttft[before])
 	r.FirstDuring = p99Milliseconds(l.ttft[during])
 }
 
