--- a/demo/load.go
+++ b/demo/load.go
@@ -241,7 +241,7 @@
 		r.Mixed += int(h.engine.Mixed())
 	}
 	r.TTFTBefore = p99Milliseconds(l.ttft[before])
-	r.FirstDuring = p99Milliseconds(l.ttft[during])
+	r.TTFTDuring = p99Milliseconds(l.ttft[during])
 }
 
 const p99 = 99
--- a/demo/report.go
+++ b/demo/report.go
@@ -33,7 +33,7 @@
 	Crossed       int     `json:"crossed"`         // answered with content of another call
 	Mixed         int     `json:"mixed"`           // answers with tokens of several versions, and incomplete or mixed loads
 	TTFTBefore   float64 `json:"ttft_p99_before_ms"`
-	FirstDuring   float64 `json:"ttft_p99_during_ms"`
+	TTFTDuring   float64 `json:"ttft_p99_during_ms"`
 	ConfigInForce float64 `json:"config_in_force_s"` // until the revision was in force in every process
 }
 
@@ -114,7 +114,7 @@
 	fmt.Fprintf(t, "requests\t%d\t(completed %d, not-run %d, unknown %d)\n", r.Requests, r.Completed, r.NotRun, r.Unknown)
 	fmt.Fprintf(t, "lost / doubled / falsely not-run / crossed / mixed\t%d / %d / %d / %d / %d\n",
 		r.Lost, r.Doubled, r.FalselyNotRun, r.Crossed, r.Mixed)
-	fmt.Fprintf(t, "first token p99\t%.1f ms before, %.1f ms during\n", r.TTFTBefore, r.FirstDuring)
+	fmt.Fprintf(t, "first token p99\t%.1f ms before, %.1f ms during\n", r.TTFTBefore, r.TTFTDuring)
 	if err := t.Flush(); err != nil {
 		return err
 	}
