--- a/demo/report.go
+++ b/demo/report.go
@@ -15,26 +15,26 @@
 // Result holds the measurements of a demonstration. Lost, Doubled, FalselyNotRun, Crossed and
 // Mixed are determined by the callers and the stand-ins, not by the system.
 type Result struct {
-	Hosts         int     `json:"hosts"`
-	Entries       int     `json:"entries"`
-	Replicas      int     `json:"replicas"`
-	VersionBytes  int64   `json:"version_bytes"`
-	TimeToN       float64 `json:"time_to_n_s"` // until all replicas served the second version
-	Bound         float64 `json:"bound_s"`     // lower bound of TimeToN for the links used
-	OriginCopies  float64 `json:"origin_copies"`
-	CrossDomainCopies     float64 `json:"cross_domain_copies"` // of both versions
-	Requests      int     `json:"requests"`
-	Completed     int64   `json:"completed"`
-	NotRun        int64   `json:"not_run"`
-	Unknown       int64   `json:"unknown"`
-	Lost          int     `json:"lost"`            // no answer, a partial one, or one without a run on a target
-	Doubled       int     `json:"doubled"`         // not repeatable, but ran more than once
-	FalselyNotRun int     `json:"falsely_not_run"` // ran, but reported to the caller as not run
-	Crossed       int     `json:"crossed"`         // answered with content of another call
-	Mixed         int     `json:"mixed"`           // answers with tokens of several versions, and incomplete or mixed loads
-	TTFTBefore   float64 `json:"ttft_p99_before_ms"`
-	TTFTDuring   float64 `json:"ttft_p99_during_ms"`
-	ConfigInForce float64 `json:"config_in_force_s"` // until the revision was in force in every process
+	Hosts             int     `json:"hosts"`
+	Entries           int     `json:"entries"`
+	Replicas          int     `json:"replicas"`
+	VersionBytes      int64   `json:"version_bytes"`
+	TimeToN           float64 `json:"time_to_n_s"` // until all replicas served the second version
+	Bound             float64 `json:"bound_s"`     // lower bound of TimeToN for the links used
+	OriginCopies      float64 `json:"origin_copies"`
+	CrossDomainCopies float64 `json:"cross_domain_copies"` // of both versions
+	Requests          int     `json:"requests"`
+	Completed         int64   `json:"completed"`
+	NotRun            int64   `json:"not_run"`
+	Unknown           int64   `json:"unknown"`
+	Lost              int     `json:"lost"`            // no answer, a partial one, or one without a run on a target
+	Doubled           int     `json:"doubled"`         // not repeatable, but ran more than once
+	FalselyNotRun     int     `json:"falsely_not_run"` // ran, but reported to the caller as not run
+	Crossed           int     `json:"crossed"`         // answered with content of another call
+	Mixed             int     `json:"mixed"`           // answers with tokens of several versions, and incomplete or mixed loads
+	TTFTBefore        float64 `json:"ttft_p99_before_ms"`
+	TTFTDuring        float64 `json:"ttft_p99_during_ms"`
+	ConfigInForce     float64 `json:"config_in_force_s"` // until the revision was in force in every process
 }
 
 func (f *fleet) newResult(took time.Duration, originBytes int64) *Result {
