--- a/demo/demo.go
+++ b/demo/demo.go
@@ -163,7 +163,7 @@
 	case d := <-inForce:
 		r.ConfigInForce = d.Seconds()
 	case <-time.After(f.cfg.Duration):
-		return errors.New("demo: revision not in force everywhere")
+		return errors.New("demo: timed out waiting for the revision to be in force in all processes")
 	}
 	stopLoad()
 	load.wait()
--- a/demo/report.go
+++ b/demo/report.go
@@ -107,14 +107,14 @@
 	p.endLine()
 	t := tabwriter.NewWriter(p.out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(t, "\nreplicas\t%d of %d\n", r.Replicas, r.Hosts)
-	fmt.Fprintf(t, "time to all replicas\t%.2f s\t(floor %.2f s, ratio %.2f)\n", r.TimeToN, r.Bound, r.TimeToN/r.Bound)
+	fmt.Fprintf(t, "time to all replicas\t%.2f s\t(lower bound %.2f s, ratio %.2f)\n", r.TimeToN, r.Bound, r.TimeToN/r.Bound)
 	fmt.Fprintf(t, "copies read from the origin\t%.2f\n", r.OriginCopies)
 	fmt.Fprintf(t, "copies across failure domains\t%.2f\t(both versions)\n", r.CrossDomainCopies)
-	fmt.Fprintf(t, "revision in force everywhere\t%.2f s\n", r.ConfigInForce)
+	fmt.Fprintf(t, "revision in force in all processes\t%.2f s\n", r.ConfigInForce)
 	fmt.Fprintf(t, "requests\t%d\t(completed %d, not-run %d, unknown %d)\n", r.Requests, r.Completed, r.NotRun, r.Unknown)
 	fmt.Fprintf(t, "lost / doubled / falsely not-run / crossed / mixed\t%d / %d / %d / %d / %d\n",
 		r.Lost, r.Doubled, r.FalselyNotRun, r.Crossed, r.Mixed)
-	fmt.Fprintf(t, "first token p99\t%.1f ms before, %.1f ms during\n", r.TTFTBefore, r.TTFTDuring)
+	fmt.Fprintf(t, "time to first token p99\t%.1f ms before, %.1f ms during\n", r.TTFTBefore, r.TTFTDuring)
 	if err := t.Flush(); err != nil {
 		return err
 	}
--- a/demo/watch.go
+++ b/demo/watch.go
@@ -27,7 +27,7 @@
 			nextLine = nextLine.Add(progressInterval)
 		}
 		if time.Since(start) > limit {
-			return 0, errors.Errorf("demo: %d of %d replicas after %s", n, f.cfg.Hosts, limit)
+			return 0, errors.Errorf("demo: only %d of %d engines serve the version after %s", n, f.cfg.Hosts, limit)
 		}
 		if !loop.Sleep(ctx, pollInterval) {
 			return 0, ctx.Err()
@@ -92,7 +92,7 @@
 		return
 	}
 	if err := f.startAgent(ctx, victim); err != nil {
-		f.log.WithError(err).Error("Agent not restarted.")
+		f.log.WithError(err).Error("Failed to restart agent.")
 		return
 	}
 	f.publishHosts()
