--- a/standin/engine.go
+++ b/standin/engine.go
@@ -18,35 +18,36 @@
 
 // EngineConfig describes a fake engine.
 type EngineConfig struct {
-	// FirstToken and NextToken are the times of a token on an idle engine.
+	// FirstToken and NextToken are the times that an idle engine takes for the first token
+	// of an answer and for each following one.
 	FirstToken, NextToken time.Duration
-	// Tokens is how many tokens an answer has unless the call says.
+	// Tokens is the number of tokens of an answer unless the request sets it.
 	Tokens int
-	// Slots is how many requests run at full speed; more slow all down.
+	// Slots is how many requests run concurrently at full speed; with more, all slow down.
 	Slots int
 	// LoadTime is how long a load takes.
 	LoadTime time.Duration
-	// Fenced makes the engine refuse orders with an old fence.
+	// Fenced makes the engine reject load orders with an outdated fence.
 	Fenced bool
 }
 
-// EngineFaults are the faults of an engine.
+// EngineFaults are faults that can be switched on in an engine.
 type EngineFaults struct {
-	RefuseLoad atomic.Bool // refuse load orders
-	KeepOld    atomic.Bool // accept an order and go on with the old loadout
-	Truncate   atomic.Bool // cut answers short
-	Down       atomic.Bool // break connections
+	RefuseLoad atomic.Bool // reject load orders
+	KeepOld    atomic.Bool // accept load orders but keep serving the old loadout
+	Truncate   atomic.Bool // abort answers half-way
+	Down       atomic.Bool // abort connections
 }
 
-// Engine is a fake model engine. It also judges: it knows what really ran,
-// and whether it was ever told to load something that was not whole.
+// Engine is a fake model engine. It also detects faults of the system under test: it records
+// which requests ran, and load orders for versions whose staged chunks were missing or wrong.
 type Engine struct {
 	*server
 	Faults EngineFaults
 
-	cfg   EngineConfig
-	runs  *Runs
-	known func(digest.Digest) *spread.Manifest // what the versions really are
+	cfg        EngineConfig
+	runs       *Runs
+	manifestOf func(digest.Digest) *spread.Manifest // true manifests of the versions
 
 	mu      sync.Mutex
 	staged  map[digest.Digest]map[int]digest.Digest
@@ -59,21 +60,21 @@
 	running atomic.Int64
 }
 
-// NewEngine starts an engine on addr. known returns the true manifest of a
-// version, by which the engine judges what it is given.
-func NewEngine(addr string, cfg EngineConfig, runs *Runs, known func(digest.Digest) *spread.Manifest) (*Engine, error) {
-	e := &Engine{cfg: cfg, runs: runs, known: known, staged: map[digest.Digest]map[int]digest.Digest{}, boot: uuid.NewString()}
+// NewEngine starts an engine on addr. manifestOf returns the true manifest of a version, or nil;
+// the engine compares staged chunks with it.
+func NewEngine(addr string, cfg EngineConfig, runs *Runs, manifestOf func(digest.Digest) *spread.Manifest) (*Engine, error) {
+	e := &Engine{cfg: cfg, runs: runs, manifestOf: manifestOf, staged: map[digest.Digest]map[int]digest.Digest{}, boot: uuid.NewString()}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/engine/status", e.serveStatus)
 	mux.HandleFunc("PUT /v1/engine/chunks/{manifest}/{index}", e.serveChunk)
 	mux.HandleFunc("POST /v1/engine/load", e.serveLoad)
 	mux.HandleFunc("/", e.serveRequest)
 	var err error
-	e.server, err = serve(addr, e.faulty(mux))
+	e.server, err = serve(addr, e.withFaults(mux))
 	return e, err
 }
 
-func (e *Engine) faulty(h http.Handler) http.Handler {
+func (e *Engine) withFaults(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if e.Faults.Down.Load() {
 			panic(http.ErrAbortHandler)
@@ -82,7 +83,8 @@
 	})
 }
 
-// Loadout returns the ID of the loadout served, or "".
+// Loadout returns the ID of the loadout being served, or "" if there is none or one is being
+// loaded.
 func (e *Engine) Loadout() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,17 +94,17 @@
 	return e.loadout
 }
 
-// Mixed returns how many loads were of something partial or mixed, and how
-// many answers were given without a whole loadout.
+// Mixed returns the number of loads of versions that were not staged completely
+// and correctly, plus the number of tokens sent after the loadout had changed or a load had begun.
 func (e *Engine) Mixed() int64 { return e.mixed.Load() }
 
-// Orders returns how many load orders were accepted.
+// Orders returns the number of accepted load orders.
 func (e *Engine) Orders() int64 { return e.orders.Load() }
 
-// Running returns how many requests run now.
+// Running returns the number of running requests.
 func (e *Engine) Running() int64 { return e.running.Load() }
 
-// Restart makes the engine lose what it holds.
+// Restart simulates a restart of the engine process: staged chunks, loadout and fence are lost.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -117,7 +119,7 @@
 		Running: int(e.running.Load()), Boot: e.boot})
 }
 
-// serveChunk stages a chunk. The fake keeps its digest only.
+// serveChunk stages a chunk. Only the digest of the chunk is stored.
 func (e *Engine) serveChunk(w http.ResponseWriter, r *http.Request) {
 	id, err := digest.Parse(r.PathValue("manifest"))
 	index, err2 := strconv.Atoi(r.PathValue("index"))
@@ -157,26 +159,27 @@
 		w.WriteHeader(http.StatusAccepted)
 		return
 	}
-	if !e.whole(o.Loadout) {
+	if !e.isStaged(o.Loadout) {
 		e.mixed.Add(1)
 	}
 	e.loading = true
 	boot := e.boot
-	time.AfterFunc(e.cfg.LoadTime, func() { e.loaded(o, boot) })
+	time.AfterFunc(e.cfg.LoadTime, func() { e.finishLoad(o, boot) })
 	w.WriteHeader(http.StatusAccepted)
 }
 
-func (e *Engine) loaded(o target.Order, boot string) {
+// finishLoad makes the loadout of o active unless the engine has restarted since.
+func (e *Engine) finishLoad(o target.Order, boot string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.boot == boot {
 		e.loadout, e.loading = o.ID, false
-		e.keep(o.Loadout)
+		e.discardOthers(o.Loadout)
 	}
 }
 
-// keep discards the staged chunks of other versions.
-func (e *Engine) keep(l target.Loadout) {
+// discardOthers discards the staged chunks of versions that are not in l.
+func (e *Engine) discardOthers(l target.Loadout) {
 	wanted := map[digest.Digest]bool{}
 	for _, id := range l.Manifests() {
 		wanted[id] = true
@@ -188,10 +191,10 @@
 	}
 }
 
-// whole compares what was staged with what the version really is.
-func (e *Engine) whole(l target.Loadout) bool {
+// isStaged reports whether all chunks of the loadout are staged with the right content.
+func (e *Engine) isStaged(l target.Loadout) bool {
 	for _, id := range l.Manifests() {
-		m := e.known(id)
+		m := e.manifestOf(id)
 		if m == nil || len(e.staged[id]) != len(m.Chunks) {
 			return false
 		}
@@ -204,8 +207,8 @@
 	return true
 }
 
-// serveRequest streams tokens as server-sent events. Each token names the
-// call, so that crossed answers are found out, and the loadout.
+// serveRequest streams tokens as server-sent events. Each token contains the ID of the call and
+// the loadout, so that callers can detect mixed-up answers and versions.
 func (e *Engine) serveRequest(w http.ResponseWriter, r *http.Request) {
 	loadout := e.Loadout()
 	if loadout == "" {
@@ -242,7 +245,8 @@
 	fmt.Fprint(w, "data: [DONE]\n\n")
 }
 
-// slowed is the time of a token when more requests run than there are slots.
+// slowed returns the time of a token that takes d on an idle engine. It grows in proportion to
+// the running requests once there are more than Slots.
 func (e *Engine) slowed(d time.Duration) time.Duration {
 	over := float64(e.running.Load()) / float64(max(1, e.cfg.Slots))
 	return time.Duration(float64(d) * max(1, over))
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -9,29 +9,29 @@
 	"time"
 )
 
-// CallHeader is the header by which test callers name a call. It is carried
-// through like any other header.
+// CallHeader is the header in which test callers send the ID of a call. The system forwards it
+// like any other header.
 const CallHeader = "X-Call"
 
-// Runs records what really ran, over all targets.
+// Runs records which calls ran, on all targets.
 type Runs struct {
 	mu   sync.Mutex
-	runs map[string][]string // call -> targets that ran it
+	runs map[string][]string // by call ID: URLs of the targets that ran it
 }
 
-// NewRuns returns an empty record.
+// NewRuns returns an empty Runs.
 func NewRuns() *Runs { return &Runs{runs: map[string][]string{}} }
 
-func (r *Runs) add(call, where string) {
+func (r *Runs) add(call, target string) {
 	if call == "" {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.runs[call] = append(r.runs[call], where)
+	r.runs[call] = append(r.runs[call], target)
 }
 
-// Count returns how often a call ran.
+// Count returns how many times a call ran.
 func (r *Runs) Count(call string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,14 +40,15 @@
 
 // PlainConfig describes a fake plain service.
 type PlainConfig struct {
-	// Latency is the time of a call.
+	// Latency is how long a call takes.
 	Latency time.Duration
 }
 
-// Plain is a fake plain service. It echoes the name of the call and the body.
+// Plain is a fake plain service. It answers with the ID of the call, the method, the URI and the
+// body of the request.
 type Plain struct {
 	*server
-	Down atomic.Bool // break connections
+	Down atomic.Bool // abort connections
 
 	cfg  PlainConfig
 	runs *Runs
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -12,27 +12,27 @@
 	"github.com/springgate/springgate/intent"
 )
 
-// maxWatch bounds how long a watch waits.
+// maxWatch is the maximum duration of a watch.
 const maxWatch = 30 * time.Second
 
-// Platform is a fake of the configuration service and the host list.
+// Platform is a fake configuration service and host list.
 type Platform struct {
 	*server
 
 	mu      sync.Mutex
 	head    intent.Head
-	older   *intent.Head
+	older   *intent.Head // head before the current one
 	parts   map[digest.Digest][]byte
 	list    hostlist.List
-	changed chan struct{}
-
-	down   atomic.Bool
-	refuse atomic.Int64 // of ten calls, for a service at its limit
-	stale  atomic.Bool
-	calls  atomic.Int64 // calls of the configuration service, a watch as one
-	peak   atomic.Int64 // most calls within one second
-	second atomic.Int64
-	inOne  atomic.Int64
+	changed chan struct{} // closed when the head changes
+
+	down     atomic.Bool
+	refuse   atomic.Int64 // number of calls out of ten that are rejected with 429
+	stale    atomic.Bool
+	calls    atomic.Int64 // calls of the configuration service; a watch counts as one
+	peak     atomic.Int64 // maximum number of calls in one second
+	second   atomic.Int64 // second of the last call, Unix time
+	inSecond atomic.Int64 // calls in that second
 }
 
 // NewPlatform starts a platform on addr.
@@ -43,8 +43,8 @@
 	return p, err
 }
 
-// NewPlatformHandler returns a platform that listens nowhere, and what serves its calls.
-// It has no URL and is not closed.
+// NewPlatformHandler returns a platform without a listener and the handler of its calls. URL and
+// Close must not be called.
 func NewPlatformHandler() (*Platform, http.Handler) {
 	p := &Platform{parts: map[digest.Digest][]byte{}, changed: make(chan struct{})}
 	mux := http.NewServeMux()
@@ -54,8 +54,8 @@
 	return p, mux
 }
 
-// Publish makes a fleet file the head with the next revision number, which it
-// returns. Nothing is checked.
+// Publish publishes a fleet file as the next revision and returns its number. The file is not
+// validated.
 func (p *Platform) Publish(file []byte) uint64 {
 	p.mu.Lock()
 	revision := p.head.Revision + 1
@@ -65,7 +65,7 @@
 	return revision
 }
 
-// PublishHead makes h the head and adds parts.
+// PublishHead replaces the head by h and adds parts.
 func (p *Platform) PublishHead(h intent.Head, parts ...[]byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,25 +92,27 @@
 	return append([]hostlist.Host(nil), p.list.Hosts...)
 }
 
-// SetDown makes every call fail.
+// SetDown switches an outage on or off, in which every call fails.
 func (p *Platform) SetDown(on bool) { p.down.Store(on) }
 
-// SetAtLimit makes n of ten calls of the configuration service fail, as a
-// service does that has reached its limit.
+// SetAtLimit makes n out of ten calls of the configuration service fail with 429, as if it had
+// reached its rate limit.
 func (p *Platform) SetAtLimit(n int) { p.refuse.Store(int64(n)) }
 
-// SetStale makes the service answer with the head before the newest.
+// SetStale makes the configuration service return the head before the current one.
 func (p *Platform) SetStale(on bool) { p.stale.Store(on) }
 
-// Calls returns how many calls the configuration service has had, and the
-// most in one second.
+// Calls returns the number of calls of the configuration service and the maximum within one
+// second.
 func (p *Platform) Calls() (total, peakPerSecond int64) { return p.calls.Load(), p.peak.Load() }
 
+// notify wakes all watches.
 func (p *Platform) notify() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
+// counted counts the calls of h and applies the faults that are switched on.
 func (p *Platform) counted(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.countCall(time.Now().Unix())
@@ -129,13 +131,14 @@
 func (p *Platform) countCall(second int64) {
 	p.calls.Add(1)
 	if p.second.Swap(second) != second {
-		p.inOne.Store(0)
+		p.inSecond.Store(0)
 	}
-	if n := p.inOne.Add(1); n > p.peak.Load() {
+	if n := p.inSecond.Add(1); n > p.peak.Load() {
 		p.peak.Store(n)
 	}
 }
 
+// current returns the head to answer with and a channel that is closed when it changes.
 func (p *Platform) current() (intent.Head, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/server.go
+++ b/standin/server.go
@@ -1,7 +1,7 @@
-// Package standin holds small fakes of the systems that springgate meets: the
-// configuration service, the host list, the weight store and origin, model
-// engines and plain services. Each speaks the published HTTP interface and
-// has faults that can be switched on. They serve demonstrations and tests.
+// Package standin implements small fakes of the systems that springgate depends on: the
+// configuration service, the host list, the weight store and origin, model engines and plain
+// services. Each implements the published HTTP interface and has faults that can be switched on.
+// They are used in demonstrations and tests.
 package standin
 
 import (
@@ -15,7 +15,7 @@
 
 const readHeaderTimeout = 10 * time.Second
 
-// server is an HTTP server on a listener of its own.
+// server is an HTTP server with its listener.
 type server struct {
 	ln   net.Listener
 	http *http.Server
@@ -34,7 +34,7 @@
 // URL returns the base URL.
 func (s *server) URL() string { return "http://" + s.ln.Addr().String() }
 
-// Close stops the server and breaks its connections.
+// Close stops the server and closes its connections.
 func (s *server) Close() { s.http.Close() }
 
 func writeJSON(w http.ResponseWriter, v any) {
--- a/standin/source.go
+++ b/standin/source.go
@@ -15,20 +15,22 @@
 	"golang.org/x/time/rate"
 )
 
-// sourcePiece is how much of an answer is paced at once.
-const sourcePiece = 64 << 10
+// sendSize is the number of bytes that are sent at a time under the rate limit; it is also the
+// burst of the limit.
+const sendSize = 64 << 10
 
-// SourceFaults are the faults of a source.
+// SourceFaults are faults that can be switched on in a source.
 type SourceFaults struct {
-	Down     atomic.Bool
-	Truncate atomic.Bool
-	// Corrupt is one in how many chunks is sent with a wrong byte; 0 is none.
+	Down     atomic.Bool // fail all calls with 503
+	Truncate atomic.Bool // send only the first half of each answer
+	// Corrupt is the interval in calls at which an answer is sent with one wrong byte; 0 means
+	// never.
 	Corrupt atomic.Int64
-	// Limit makes every call end in 429 with this Retry-After in seconds.
+	// Limit, if positive, makes every call fail with 429 and this Retry-After in seconds.
 	Limit atomic.Int64
 }
 
-// Source is a fake of a weight store or an origin with a paced link.
+// Source is a fake weight store or origin with a rate-limited link.
 type Source struct {
 	*server
 	Faults SourceFaults
@@ -42,14 +44,14 @@
 	requests  atomic.Int64
 }
 
-// NewSource starts a source on addr whose link carries bytesPerSecond; zero
-// is no limit.
+// NewSource starts a source on addr that sends chunks at up to bytesPerSecond; zero means no
+// limit.
 func NewSource(addr string, bytesPerSecond float64) (*Source, error) {
 	limit := rate.Inf
 	if bytesPerSecond > 0 {
 		limit = rate.Limit(bytesPerSecond)
 	}
-	s := &Source{link: rate.NewLimiter(limit, sourcePiece),
+	s := &Source{link: rate.NewLimiter(limit, sendSize),
 		manifests: map[digest.Digest][]byte{}, chunks: map[digest.Digest][]byte{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/manifests/{digest}", s.handler(s.manifests, false))
@@ -59,7 +61,7 @@
 	return s, err
 }
 
-// Add puts a version into the source and returns the digest of its manifest.
+// Add adds a version to the source and returns its manifest and the digest of that.
 func (s *Source) Add(name string, chunkSize int, content []byte) (digest.Digest, *spread.Manifest, error) {
 	m, raw, err := spread.NewManifest(name, chunkSize, content)
 	if err != nil {
@@ -70,19 +72,21 @@
 	id := digest.Of(raw)
 	s.manifests[id] = raw
 	for i, d := range m.Chunks {
-		at := i * chunkSize
-		s.chunks[d] = content[at:min(len(content), at+chunkSize)]
+		offset := i * chunkSize
+		s.chunks[d] = content[offset:min(len(content), offset+chunkSize)]
 	}
 	return id, m, nil
 }
 
-// Served returns how many bytes of chunks have been sent.
+// Served returns the number of chunk bytes sent.
 func (s *Source) Served() int64 { return s.served.Load() }
 
-// Requests returns how many calls there were.
+// Requests returns the number of calls.
 func (s *Source) Requests() int64 { return s.requests.Load() }
 
-func (s *Source) handler(content map[digest.Digest][]byte, count bool) http.HandlerFunc {
+// handler serves content by digest. isChunk is true for chunks, which are rate-limited and
+// counted in Served.
+func (s *Source) handler(content map[digest.Digest][]byte, isChunk bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		n := s.requests.Add(1)
 		if s.refused(w) {
@@ -96,10 +100,11 @@
 			http.NotFound(w, r)
 			return
 		}
-		s.send(w, r, s.spoil(b, n), count)
+		s.send(w, r, s.corrupt(b, n), isChunk)
 	}
 }
 
+// refused answers with an error and returns true if a fault that fails all calls is on.
 func (s *Source) refused(w http.ResponseWriter) bool {
 	if s.Faults.Down.Load() {
 		http.Error(w, "down", http.StatusServiceUnavailable)
@@ -113,8 +118,8 @@
 	return false
 }
 
-// spoil returns b, or a copy with a wrong byte if its turn has come.
-func (s *Source) spoil(b []byte, n int64) []byte {
+// corrupt returns b, or a copy with one wrong byte if call n is to be corrupted.
+func (s *Source) corrupt(b []byte, n int64) []byte {
 	every := s.Faults.Corrupt.Load()
 	if every == 0 || n%every != 0 {
 		return b
@@ -124,14 +129,14 @@
 	return b
 }
 
-func (s *Source) send(w http.ResponseWriter, r *http.Request, b []byte, count bool) {
+func (s *Source) send(w http.ResponseWriter, r *http.Request, b []byte, isChunk bool) {
 	w.Header().Set("Content-Length", strconv.Itoa(len(b)))
 	if s.Faults.Truncate.Load() {
 		b = b[:len(b)/2]
 	}
 	for len(b) > 0 {
-		n := min(len(b), sourcePiece)
-		if count {
+		n := min(len(b), sendSize)
+		if isChunk {
 			if s.link.WaitN(r.Context(), n) != nil {
 				return
 			}
@@ -144,7 +149,7 @@
 	}
 }
 
-// Content returns size bytes that follow from seed.
+// Content returns size pseudo-random bytes that are determined by seed.
 func Content(size int, seed uint64) []byte {
 	var key [32]byte
 	binary.LittleEndian.PutUint64(key[:], seed)
@@ -153,7 +158,7 @@
 	return b
 }
 
-// pause waits for d or until the request ends.
+// pause waits for d and returns true, or false if the request is cancelled before.
 func pause(r *http.Request, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
