--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -216,7 +216,7 @@
 			for range b.N {
 				f := startFleet(b, nodes, nodes, 7)
 				f.publish(b, nodes, 0)
-				f.platform.SetAtLimit(8)
+				f.platform.SetRateLimited(8)
 				var all []time.Duration
 				for i := range revisions {
 					all = append(all, f.publish(b, nodes, i+1)...)
--- a/control/node_test.go
+++ b/control/node_test.go
@@ -55,9 +55,9 @@
 	f := startFleet(t, 12, 12, 3)
 	defer f.close()
 	f.publish(t, 12, 0)
-	f.platform.SetAtLimit(8)
+	f.platform.SetRateLimited(8)
 	f.publish(t, 12, 1)
-	f.platform.SetAtLimit(0)
+	f.platform.SetRateLimited(0)
 	f.platform.SetDown(true)
 	before, _ := f.platform.Calls()
 	waitFor(t, "calls continue while the platform is down", func() bool {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -95,9 +95,9 @@
 // SetDown switches an outage on or off, in which every call fails.
 func (p *Platform) SetDown(on bool) { p.down.Store(on) }
 
-// SetAtLimit makes n out of ten calls of the configuration service fail with 429, as if it had
+// SetRateLimited makes n out of ten calls of the configuration service fail with 429, as if it had
 // reached its rate limit.
-func (p *Platform) SetAtLimit(n int) { p.refuse.Store(int64(n)) }
+func (p *Platform) SetRateLimited(n int) { p.refuse.Store(int64(n)) }
 
 // SetStale makes the configuration service return the head before the current one.
 func (p *Platform) SetStale(on bool) { p.stale.Store(on) }
