--- a/demo/demo.go
+++ b/demo/demo.go
@@ -145,7 +145,7 @@
 	p.wait(ctx, baselineTime)
 
 	load.setPhase(during)
-	servedBefore := f.origin.Served()
+	servedBefore := f.origin.BytesServed()
 	start := time.Now()
 	revision := f.platform.Publish(f.layout.file(second, f.origin.URL()))
 	p.printf("Revision %d with version 2 published.", revision)
@@ -158,7 +158,7 @@
 	if err != nil {
 		return err
 	}
-	r := f.newResult(took, f.origin.Served()-servedBefore)
+	r := f.newResult(took, f.origin.BytesServed()-servedBefore)
 	select {
 	case d := <-inForce:
 		r.ConfigInForce = d.Seconds()
--- a/demo/report.go
+++ b/demo/report.go
@@ -80,7 +80,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	text := fmt.Sprintf("replicas %d/%d  origin %.2f copies", replicas, p.fleet.cfg.Hosts,
-		float64(p.fleet.origin.Served())/float64(p.fleet.cfg.Size))
+		float64(p.fleet.origin.BytesServed())/float64(p.fleet.cfg.Size))
 	if p.load != nil {
 		text += fmt.Sprintf("  completed %d  not-run %d  unknown %d",
 			p.load.completed.Load(), p.load.notRun.Load(), p.load.unknown.Load())
--- a/standin/source.go
+++ b/standin/source.go
@@ -78,8 +78,8 @@
 	return id, m, nil
 }
 
-// Served returns the number of chunk bytes sent.
-func (s *Source) Served() int64 { return s.served.Load() }
+// BytesServed returns the number of chunk bytes sent.
+func (s *Source) BytesServed() int64 { return s.served.Load() }
 
 // Requests returns the number of calls.
 func (s *Source) Requests() int64 { return s.requests.Load() }
