--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -426,13 +426,13 @@
 	f.origin.Faults.Truncate.Store(false)
 	f.waitFor("version 0", f.allServe(0))
 	stuck := f.hosts["e1"].engine
-	stuck.Faults.KeepOld.Store(true)
+	stuck.Faults.IgnoreLoad.Store(true)
 	orders := stuck.Orders()
 	f.publish(1)
 	f.waitFor("the load order is repeated", func() bool { return stuck.Orders() >= orders+2 })
 	f.waitFor("the other engine loads the new version", func() bool { return f.hosts["e0"].engine.Loadout() != stuck.Loadout() })
 	f.waitFor("the old version is still served", func() bool { return f.call("engine", "c").status == http.StatusOK })
-	stuck.Faults.KeepOld.Store(false)
+	stuck.Faults.IgnoreLoad.Store(false)
 	f.waitFor("version 1", f.allServe(1))
 	for _, h := range f.hosts {
 		assert.Equal(t, h.engine.Mixed(), int64(0))
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -34,7 +34,7 @@
 // EngineFaults are faults that can be switched on in an engine.
 type EngineFaults struct {
 	RefuseLoad atomic.Bool // reject load orders
-	KeepOld    atomic.Bool // accept load orders but keep serving the old loadout
+	IgnoreLoad    atomic.Bool // accept load orders but keep serving the old loadout
 	Truncate   atomic.Bool // abort answers half-way
 	Down       atomic.Bool // abort connections
 }
@@ -155,7 +155,7 @@
 	}
 	e.fence = max(e.fence, o.Fence)
 	e.orders.Add(1)
-	if e.Faults.KeepOld.Load() {
+	if e.Faults.IgnoreLoad.Load() {
 		w.WriteHeader(http.StatusAccepted)
 		return
 	}
