--- a/standin/source.go
+++ b/standin/source.go
@@ -26,8 +26,8 @@
 	// Corrupt is the interval in calls at which an answer is sent with one wrong byte; 0 means
 	// never.
 	Corrupt atomic.Int64
-	// Limit, if positive, makes every call fail with 429 and this Retry-After in seconds.
-	Limit atomic.Int64
+	// RetryAfter, if positive, makes every call fail with 429 and this Retry-After in seconds.
+	RetryAfter atomic.Int64
 }
 
 // Source is a fake weight store or origin with a rate-limited link.
@@ -110,7 +110,7 @@
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return true
 	}
-	if after := s.Faults.Limit.Load(); after > 0 {
+	if after := s.Faults.RetryAfter.Load(); after > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt(after, 10))
 		http.Error(w, "limited", http.StatusTooManyRequests)
 		return true
