--- a/standin/engine.go
+++ b/standin/engine.go
@@ -34,7 +34,7 @@
 // EngineFaults are faults that can be switched on in an engine.
 type EngineFaults struct {
 	RefuseLoad atomic.Bool // reject load orders
-	IgnoreLoad    atomic.Bool // accept load orders but keep serving the old loadout
+	IgnoreLoad atomic.Bool // accept load orders but keep serving the old loadout
 	Truncate   atomic.Bool // abort answers half-way
 	Down       atomic.Bool // abort connections
 }
--- a/standin/source.go
+++ b/standin/source.go
@@ -85,7 +85,7 @@
 func (s *Source) Requests() int64 { return s.requests.Load() }
 
 // handler serves content by digest. isChunk is true for chunks, which are rate-limited and
-// counted in Served.
+// counted in BytesServed.
 func (s *Source) handler(content map[digest.Digest][]byte, isChunk bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		n := s.requests.Add(1)
