--- a/command/platform.go
+++ b/command/platform.go
@@ -142,10 +142,10 @@
 		}
 		next, err := platform.LoadSettings()
 		if err != nil {
-			log.WithError(err).Error("Failed to reload settings, keeping the previous ones.")
+			log.WithError(err).Error("Failed to read the settings file again; the settings in use remain.")
 			continue
 		}
-		log.WithField("seeds", strings.Join(next.Seeds, ",")).Info("Settings reloaded.")
+		log.WithField("seeds", strings.Join(next.Seeds, ",")).Info("Settings file read again; changes take effect at the next start.")
 	}
 }
 
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -146,7 +146,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cfg.Fenced && o.Fence < e.fence {
-		http.Error(w, "old fence", http.StatusPreconditionFailed)
+		http.Error(w, "outdated fence", http.StatusPreconditionFailed)
 		return
 	}
 	if e.Faults.RefuseLoad.Load() {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -117,7 +117,7 @@
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.countCall(time.Now().Unix())
 		if p.calls.Load()%10 < p.refuse.Load() {
-			http.Error(w, "over the limit", http.StatusTooManyRequests)
+			http.Error(w, "rate limit exceeded", http.StatusTooManyRequests)
 			return
 		}
 		if p.down.Load() {
