--- a/command/platform.go
+++ b/command/platform.go
@@ -76,8 +76,8 @@
 	s.Address(&f.admin, "admin-listen", "address of /healthz, /readyz and /metrics", "", false)
 }
 
-// newPlatformProcess reads the settings and sets up logging, memory limits and metrics. role is
-// announced to peers.
+// newPlatformProcess reads the settings and sets up logging, memory limits and metrics. The role
+// is announced to peers.
 func newPlatformProcess(f platformFlags, role string) (*platformProcess, error) {
 	s, err := platform.LoadSettings()
 	if err != nil {
@@ -129,8 +129,8 @@
 	return operator.ServeAdmin(f.admin, ready, p.metrics)
 }
 
-// waitForSignal returns on SIGTERM or SIGINT. On SIGHUP it reads the settings again and logs
-// the seeds; nothing else changes until the next start.
+// waitForSignal returns on SIGTERM or SIGINT. On SIGHUP it reads the settings file again and
+// logs the new seeds; changes, such as of addresses, take effect at the next start.
 func (p *platformProcess) waitForSignal() {
 	log := telemetry.Part(p.log, "main")
 	signals := make(chan os.Signal, 4)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -54,7 +54,7 @@
 	loadout string
 	loading bool
 	fence   uint64
-	boot    string
+	boot    string // identifies the start of the engine process
 	mixed   atomic.Int64
 	orders  atomic.Int64
 	running atomic.Int64
@@ -94,8 +94,8 @@
 	return e.loadout
 }
 
-// Mixed returns the number of loads of versions that were not staged completely
-// and correctly, plus the number of tokens sent after the loadout had changed or a load had begun.
+// Mixed returns the number of loads of versions that were not staged completely and correctly,
+// plus the number of tokens sent after the loadout had changed or a load had begun.
 func (e *Engine) Mixed() int64 { return e.mixed.Load() }
 
 // Orders returns the number of accepted load orders.
