--- a/cmd/springgate-agent/main.go
+++ b/cmd/springgate-agent/main.go
@@ -1,4 +1,4 @@
-// Command springgate-agent is the process beside one target.
+// Command springgate-agent runs the agent of one target.
 package main
 
 import (
--- a/cmd/springgate/main.go
+++ b/cmd/springgate/main.go
@@ -1,4 +1,4 @@
-// Command springgate is the entry and the operators' command line.
+// Command springgate runs an entry and provides the commands for operators.
 package main
 
 import (
