--- a/command/springgate.go
+++ b/command/springgate.go
@@ -81,7 +81,7 @@
 	s.Address(&o.control.Addr, "peer-listen", "listen address for the other processes of the system", "127.0.0.1:7101", true)
 	s.URL(&o.configURL, "config-url", "base URL of the configuration service", "")
 	s.URL(&o.hostsURL, "hosts-url", "base URL of the host list", "")
-	s.Duration(&o.heartbeat, "heartbeat", "time between two heartbeats", 500*time.Millisecond, minHeartbeat, maxHeartbeat)
+	s.Duration(&o.heartbeat, "heartbeat", "time between two rounds of heartbeats", 500*time.Millisecond, minHeartbeat, maxHeartbeat)
 	s.Int(&o.control.FleetSize, "fleet-size", "number of processes that may start at the same time; their first reads are spread out accordingly", 50, 1, maxFleet)
 	s.Duration(&o.keyWindow, "key-window", "how long an idempotency key is remembered", 10*time.Minute, time.Second, maxWindow)
 	s.Choice(&o.logLevel, "log-level", "minimum severity of log records", "info", "debug", "info", "warning", "error")
