--- a/command/standin.go
+++ b/command/standin.go
@@ -18,11 +18,11 @@
 	"github.com/urfave/cli/v3"
 )
 
-// republishEvery is how often the files are looked at for changes.
-const republishEvery = 500 * time.Millisecond
+// republishInterval is the time between two checks of the files for changes.
+const republishInterval = 500 * time.Millisecond
 
-// standinCommand runs stand-ins of the platform and the targets as a process
-// of their own, to try the real programs without a platform.
+// standinCommand returns the command that runs stand-ins for the platform and the targets in
+// a separate process, to try the real programs without a platform.
 func standinCommand() *cli.Command {
 	var o standinOptions
 	set := &settings.Set{}
@@ -31,10 +31,10 @@
 	set.Address(&o.platform, "platform-listen", "address of the configuration service and host list", "127.0.0.1:9000", true)
 	set.Address(&o.origin, "origin-listen", "address of the origin", "127.0.0.1:9001", true)
 	set.Int(&o.firstPort, "target-port", "first port of the targets", 9100, 1, 65000)
-	set.Int(&o.engines, "engines", "fake engines, on ports from target-port", 2, 0, 200)
-	set.Int(&o.plains, "plains", "fake plain services, on the ports after them", 1, 0, 200)
-	set.Bytes(&o.size, "size", "size of the two versions v1 and v2 that the origin has", "16MiB", 1<<16, 1<<30)
-	return &cli.Command{Name: "standin", Usage: "run stand-ins of the platform and targets, to try the real programs", Flags: set.Flags(),
+	set.Int(&o.engines, "engines", "number of fake engines, on ports from target-port", 2, 0, 200)
+	set.Int(&o.plains, "plains", "number of fake plain services, on the ports that follow", 1, 0, 200)
+	set.Bytes(&o.size, "size", "size of each of the two versions v1 and v2 at the origin", "16MiB", 1<<16, 1<<30)
+	return &cli.Command{Name: "standin", Usage: "run stand-ins for the platform and targets, to try the real programs without a platform", Flags: set.Flags(),
 		Action: func(ctx context.Context, c *cli.Command) error {
 			if err := set.Load(c); err != nil {
 				return err
@@ -51,6 +51,7 @@
 	size                           int64
 }
 
+// standinChunks is the maximum number of chunks per version.
 const standinChunks = 64
 
 func (o *standinOptions) run(ctx context.Context, c *cli.Command) error {
@@ -100,10 +101,11 @@
 	return nil
 }
 
-// publish publishes both files, and again whenever one has changed.
+// publish publishes the fleet file and the host list, and each of them again when it has
+// changed.
 func (o *standinOptions) publish(ctx context.Context, p *standin.Platform) error {
 	var lastFleet, lastHosts string
-	t := time.NewTicker(republishEvery)
+	t := time.NewTicker(republishInterval)
 	defer t.Stop()
 	for {
 		fleet, err := os.ReadFile(o.fleet)
