--- a/soak/judge.go
+++ b/soak/judge.go
@@ -29,7 +29,7 @@
 
 // Violation is a broken promise.
 type Violation struct {
-	Promise string
+	Invariant string
 	Attempt Attempt
 	Runs    []string
 	Late    time.Duration // by how much a target was later than it was to be
@@ -38,7 +38,7 @@
 // String describes the violation.
 func (v Violation) String() string {
 	a := v.Attempt
-	return fmt.Sprintf("%s: request %s (%s) at %s, key %d, sent %v, answered %v, status %d, ran at %v, late there by %v; %s", v.Promise, a.ID, a.Kind,
+	return fmt.Sprintf("%s: request %s (%s) at %s, key %d, sent %v, answered %v, status %d, ran at %v, late there by %v; %s", v.Invariant, a.ID, a.Kind,
 		a.Incarnation, a.Key, a.Sent.Round(time.Millisecond), a.Answered.Round(time.Millisecond), a.Status, v.Runs, v.Late.Round(time.Millisecond), a.Fault)
 }
 
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -21,7 +21,7 @@
 	for _, v := range Judge(attempts, facts) {
 		_, twice := out[v.Attempt.ID]
 		assert.Assert(t, !twice, v.Attempt.ID)
-		out[v.Attempt.ID] = v.Promise
+		out[v.Attempt.ID] = v.Invariant
 	}
 	return out
 }
