--- a/soak/judge.go
+++ b/soak/judge.go
@@ -44,7 +44,7 @@
 
 // Promises that are checked.
 const (
-	PromiseOnce        = "what is not repeatable runs once"
+	InvariantRunsOnce        = "what is not repeatable runs once"
 	PromiseNotRun      = "a refusal that says so has not run"
 	PromiseWhole       = "an answer is whole and the caller's own"
 	PromiseAllowed     = "what is allowed is not denied"
@@ -74,7 +74,7 @@
 		}
 		switch {
 		case ran > 1 && !a.Repeatable:
-			add(PromiseOnce, a)
+			add(InvariantRunsOnce, a)
 		case saysNotRun(a.Status) && ran > 0:
 			add(PromiseNotRun, a)
 		case a.Fault != "":
