--- a/soak/judge.go
+++ b/soak/judge.go
@@ -45,7 +45,7 @@
 // Promises that are checked.
 const (
 	InvariantRunsOnce        = "what is not repeatable runs once"
-	PromiseNotRun      = "a refusal that says so has not run"
+	InvariantRefusedNotRun      = "a refusal that says so has not run"
 	PromiseWhole       = "an answer is whole and the caller's own"
 	PromiseAllowed     = "what is allowed is not denied"
 	PromiseDrain       = "an orderly stop cuts no request"
@@ -76,7 +76,7 @@
 		case ran > 1 && !a.Repeatable:
 			add(InvariantRunsOnce, a)
 		case saysNotRun(a.Status) && ran > 0:
-			add(PromiseNotRun, a)
+			add(InvariantRefusedNotRun, a)
 		case a.Fault != "":
 			add(PromiseWhole, a)
 		case a.Key == 0 && denied(a.Status):
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -46,7 +46,7 @@
 		{ID: "other process", Incarnation: "e#2", Key: 1, Status: 200, Began: 6, End: 7},
 		{ID: "honest", Status: http.StatusServiceUnavailable},
 	}
-	assert.DeepEqual(t, judged(t, attempts, Facts{Runs: runs}), map[string]string{"twice": InvariantRunsOnce, "refused": PromiseNotRun,
+	assert.DeepEqual(t, judged(t, attempts, Facts{Runs: runs}), map[string]string{"twice": InvariantRunsOnce, "refused": InvariantRefusedNotRun,
 		"garbled": PromiseWhole, "denied": PromiseAllowed, "cut": PromiseDrain, "old": PromiseForward})
 }
 
