--- a/soak/judge.go
+++ b/soak/judge.go
@@ -46,7 +46,7 @@
 const (
 	InvariantRunsOnce        = "what is not repeatable runs once"
 	InvariantRefusedNotRun      = "a refusal that says so has not run"
-	PromiseWhole       = "an answer is whole and the caller's own"
+	InvariantResponseIntact       = "an answer is whole and the caller's own"
 	PromiseAllowed     = "what is allowed is not denied"
 	PromiseDrain       = "an orderly stop cuts no request"
 	PromiseForward     = "a configuration never goes back"
@@ -78,7 +78,7 @@
 		case saysNotRun(a.Status) && ran > 0:
 			add(InvariantRefusedNotRun, a)
 		case a.Fault != "":
-			add(PromiseWhole, a)
+			add(InvariantResponseIntact, a)
 		case a.Key == 0 && denied(a.Status):
 			add(PromiseAllowed, a)
 		case a.Calm && ran > 0 && (a.Status == 0 || a.Cut):
