--- a/soak/judge.go
+++ b/soak/judge.go
@@ -47,7 +47,7 @@
 	InvariantRunsOnce        = "what is not repeatable runs once"
 	InvariantRefusedNotRun      = "a refusal that says so has not run"
 	InvariantResponseIntact       = "an answer is whole and the caller's own"
-	PromiseAllowed     = "what is allowed is not denied"
+	InvariantValidKeyAccepted     = "what is allowed is not denied"
 	PromiseDrain       = "an orderly stop cuts no request"
 	PromiseForward     = "a configuration never goes back"
 	PromiseFresh       = "a configuration is in force in time"
@@ -80,7 +80,7 @@
 		case a.Fault != "":
 			add(InvariantResponseIntact, a)
 		case a.Key == 0 && denied(a.Status):
-			add(PromiseAllowed, a)
+			add(InvariantValidKeyAccepted, a)
 		case a.Calm && ran > 0 && (a.Status == 0 || a.Cut):
 			add(PromiseDrain, a)
 		}
