--- a/soak/judge.go
+++ b/soak/judge.go
@@ -48,7 +48,7 @@
 	InvariantRefusedNotRun      = "a refusal that says so has not run"
 	InvariantResponseIntact       = "an answer is whole and the caller's own"
 	InvariantValidKeyAccepted     = "what is allowed is not denied"
-	PromiseDrain       = "an orderly stop cuts no request"
+	InvariantGracefulStop       = "an orderly stop cuts no request"
 	PromiseForward     = "a configuration never goes back"
 	PromiseFresh       = "a configuration is in force in time"
 	PromiseLeaving     = "a target that leaves gets no new request"
@@ -82,7 +82,7 @@
 		case a.Key == 0 && denied(a.Status):
 			add(InvariantValidKeyAccepted, a)
 		case a.Calm && ran > 0 && (a.Status == 0 || a.Cut):
-			add(PromiseDrain, a)
+			add(InvariantGracefulStop, a)
 		}
 	}
 	for _, a := range keptCrashing(attempts, facts) {
