--- a/soak/judge.go
+++ b/soak/judge.go
@@ -49,7 +49,7 @@
 	InvariantResponseIntact       = "an answer is whole and the caller's own"
 	InvariantValidKeyAccepted     = "what is allowed is not denied"
 	InvariantGracefulStop       = "an orderly stop cuts no request"
-	PromiseForward     = "a configuration never goes back"
+	InvariantConfigMonotonic     = "a configuration never goes back"
 	PromiseFresh       = "a configuration is in force in time"
 	PromiseLeaving     = "a target that leaves gets no new request"
 	PromiseCrashed     = "a request that crashed three targets is sent no more"
@@ -98,7 +98,7 @@
 		add(PromiseLimit, a)
 	}
 	for _, a := range wentBack(attempts) {
-		add(PromiseForward, a)
+		add(InvariantConfigMonotonic, a)
 	}
 	return out
 }
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -47,7 +47,7 @@
 		{ID: "honest", Status: http.StatusServiceUnavailable},
 	}
 	assert.DeepEqual(t, judged(t, attempts, Facts{Runs: runs}), map[string]string{"twice": InvariantRunsOnce, "refused": InvariantRefusedNotRun,
-		"garbled": InvariantResponseIntact, "denied": InvariantValidKeyAccepted, "cut": InvariantGracefulStop, "old": PromiseForward})
+		"garbled": InvariantResponseIntact, "denied": InvariantValidKeyAccepted, "cut": InvariantGracefulStop, "old": InvariantConfigMonotonic})
 }
 
 // A rotating key counts from the bound after the write that adds it until the
