--- a/soak/judge.go
+++ b/soak/judge.go
@@ -50,7 +50,7 @@
 	InvariantValidKeyAccepted     = "what is allowed is not denied"
 	InvariantGracefulStop       = "an orderly stop cuts no request"
 	InvariantConfigMonotonic     = "a configuration never goes back"
-	PromiseFresh       = "a configuration is in force in time"
+	InvariantConfigFresh       = "a configuration is in force in time"
 	PromiseLeaving     = "a target that leaves gets no new request"
 	PromiseCrashed     = "a request that crashed three targets is sent no more"
 	PromiseSaidLeaving = "a target that said that it leaves gets no new request from those it told"
@@ -67,7 +67,7 @@
 	for _, a := range attempts {
 		ran := len(facts.Runs[a.ID])
 		if facts.outdated(a) {
-			add(PromiseFresh, a)
+			add(InvariantConfigFresh, a)
 		}
 		if facts.toLeaving(a) {
 			add(PromiseLeaving, a)
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -72,8 +72,8 @@
 		{ID: "of another incarnation", Key: -1, Status: denied, InTouch: true, Sent: 15 * second},
 		{ID: "not written yet", Key: 4, Status: denied, InTouch: true, Sent: 50 * second, Answered: 51 * second},
 	}
-	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{"taken away": PromiseFresh, "taken away long ago": PromiseFresh,
-		"added": PromiseFresh, "newest": PromiseFresh})
+	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{"taken away": InvariantConfigFresh, "taken away long ago": InvariantConfigFresh,
+		"added": InvariantConfigFresh, "newest": InvariantConfigFresh})
 }
 
 // A target that leaves gets no request that came later than the bound after its
