--- a/soak/judge.go
+++ b/soak/judge.go
@@ -51,7 +51,7 @@
 	InvariantGracefulStop       = "an orderly stop cuts no request"
 	InvariantConfigMonotonic     = "a configuration never goes back"
 	InvariantConfigFresh       = "a configuration is in force in time"
-	PromiseLeaving     = "a target that leaves gets no new request"
+	InvariantLeavingTarget     = "a target that leaves gets no new request"
 	PromiseCrashed     = "a request that crashed three targets is sent no more"
 	PromiseSaidLeaving = "a target that said that it leaves gets no new request from those it told"
 	PromiseRest        = "a target gets no request from an entry that it asked for rest"
@@ -70,7 +70,7 @@
 			add(InvariantConfigFresh, a)
 		}
 		if facts.toLeaving(a) {
-			add(PromiseLeaving, a)
+			add(InvariantLeavingTarget, a)
 		}
 		switch {
 		case ran > 1 && !a.Repeatable:
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -94,8 +94,8 @@
 		{ID: "early", Status: 200, InTouch: true, Sent: 13 * second},
 		{ID: "never ran", Status: http.StatusServiceUnavailable, InTouch: true, Sent: 13 * second},
 	}
-	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{"late": PromiseLeaving, "second choice": PromiseLeaving,
-		"both": PromiseLeaving})
+	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{"late": InvariantLeavingTarget, "second choice": InvariantLeavingTarget,
+		"both": InvariantLeavingTarget})
 }
 
 // A request that ended three targets reaches targets three times more at the most, from
