--- a/soak/judge.go
+++ b/soak/judge.go
@@ -52,7 +52,7 @@
 	InvariantConfigMonotonic     = "a configuration never goes back"
 	InvariantConfigFresh       = "a configuration is in force in time"
 	InvariantLeavingTarget     = "a target that leaves gets no new request"
-	PromiseCrashed     = "a request that crashed three targets is sent no more"
+	InvariantCrashLimit     = "a request that crashed three targets is sent no more"
 	PromiseSaidLeaving = "a target that said that it leaves gets no new request from those it told"
 	PromiseRest        = "a target gets no request from an entry that it asked for rest"
 	PromiseLimit       = "a target gets no more than the limit that it names"
@@ -86,7 +86,7 @@
 		}
 	}
 	for _, a := range keptCrashing(attempts, facts) {
-		add(PromiseCrashed, a)
+		add(InvariantCrashLimit, a)
 	}
 	for _, a := range toSaidLeaving(attempts, facts) {
 		add(PromiseSaidLeaving, a)
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -112,7 +112,7 @@
 	attempts[0].Sent = 7 * second
 	attempts[5].InTouch = false
 	attempts[6].Undisturbed = false
-	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{"fourth": PromiseCrashed, "fifth": PromiseCrashed})
+	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{"fourth": InvariantCrashLimit, "fifth": InvariantCrashLimit})
 }
 
 // Something is in touch if no fault went on in the time before.
