--- a/soak/judge.go
+++ b/soak/judge.go
@@ -53,7 +53,7 @@
 	InvariantConfigFresh       = "a configuration is in force in time"
 	InvariantLeavingTarget     = "a target that leaves gets no new request"
 	InvariantCrashLimit     = "a request that crashed three targets is sent no more"
-	PromiseSaidLeaving = "a target that said that it leaves gets no new request from those it told"
+	InvariantAnnouncedLeaving = "a target that said that it leaves gets no new request from those it told"
 	PromiseRest        = "a target gets no request from an entry that it asked for rest"
 	PromiseLimit       = "a target gets no more than the limit that it names"
 )
@@ -89,7 +89,7 @@
 		add(InvariantCrashLimit, a)
 	}
 	for _, a := range toSaidLeaving(attempts, facts) {
-		add(PromiseSaidLeaving, a)
+		add(InvariantAnnouncedLeaving, a)
 	}
 	for _, a := range atRest(attempts, facts) {
 		add(PromiseRest, a)
