--- a/soak/judge.go
+++ b/soak/judge.go
@@ -54,7 +54,7 @@
 	InvariantLeavingTarget     = "a target that leaves gets no new request"
 	InvariantCrashLimit     = "a request that crashed three targets is sent no more"
 	InvariantAnnouncedLeaving = "a target that said that it leaves gets no new request from those it told"
-	PromiseRest        = "a target gets no request from an entry that it asked for rest"
+	InvariantBackoff        = "a target gets no request from an entry that it asked for rest"
 	PromiseLimit       = "a target gets no more than the limit that it names"
 )
 
@@ -92,7 +92,7 @@
 		add(InvariantAnnouncedLeaving, a)
 	}
 	for _, a := range atRest(attempts, facts) {
-		add(PromiseRest, a)
+		add(InvariantBackoff, a)
 	}
 	for _, a := range overLimit(attempts, facts) {
 		add(PromiseLimit, a)
