--- a/soak/judge.go
+++ b/soak/judge.go
@@ -55,7 +55,7 @@
 	InvariantCrashLimit     = "a request that crashed three targets is sent no more"
 	InvariantAnnouncedLeaving = "a target that said that it leaves gets no new request from those it told"
 	InvariantBackoff        = "a target gets no request from an entry that it asked for rest"
-	PromiseLimit       = "a target gets no more than the limit that it names"
+	InvariantRateLimit       = "a target gets no more than the limit that it names"
 )
 
 // Judge compares what callers saw with what targets ran and the store said.
@@ -95,7 +95,7 @@
 		add(InvariantBackoff, a)
 	}
 	for _, a := range overLimit(attempts, facts) {
-		add(PromiseLimit, a)
+		add(InvariantRateLimit, a)
 	}
 	for _, a := range wentBack(attempts) {
 		add(InvariantConfigMonotonic, a)
--- a/soak/limit_test.go
+++ b/soak/limit_test.go
@@ -34,5 +34,5 @@
 	arrive(6*second, false)
 	over := arrive(8900*ms, true)
 	arrive(9*second, true)
-	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{over: PromiseLimit})
+	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{over: InvariantRateLimit})
 }
