--- a/soak/callers.go
+++ b/soak/callers.go
@@ -95,7 +95,7 @@
 	c.sent++
 	began := time.Now()
 	a := Attempt{ID: fmt.Sprintf("%s-%d", c.name, c.sent), Kind: k.name, Repeatable: k.repeatable, Key: key, Body: body,
-		Incarnation: c.entry.Incarnation(), Began: c.fleet.record.order.Add(1), InTouch: c.fleet.inTouch(c.entry)}
+		Incarnation: c.entry.Incarnation(), Began: c.fleet.record.order.Add(1), StoreReachable: c.fleet.inTouch(c.entry)}
 	secret := lastingKey
 	if key > 0 {
 		secret = rotatingKey(key)
@@ -117,7 +117,7 @@
 	a.Calm = same && !c.entry.TroubledSince(began) && !c.fleet.troubledSince(a.ID, began)
 	a.Undisturbed = same && !c.entry.TroubledSince(began)
 	if !same {
-		a.Key, a.InTouch = -1, false
+		a.Key, a.StoreReachable = -1, false
 	}
 	c.fleet.record.add(a)
 	return a
--- a/soak/fresh.go
+++ b/soak/fresh.go
@@ -13,7 +13,7 @@
 // outdated reports whether an entry in touch treated a rotating key by a
 // configuration that another had replaced longer ago than the bound.
 func (f Facts) outdated(a Attempt) bool {
-	if !a.InTouch || a.Key <= 0 {
+	if !a.StoreReachable || a.Key <= 0 {
 		return false
 	}
 	added, known := f.Configs[a.Key]
@@ -31,5 +31,5 @@
 // been leaving for longer than the bound when the request came.
 func (f Facts) toLeaving(a Attempt) bool {
 	since, ok := f.leavingSince(a.ID)
-	return ok && a.InTouch && a.Sent-since > inForceWithin
+	return ok && a.StoreReachable && a.Sent-since > inForceWithin
 }
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -19,7 +19,7 @@
 	Fault       string // what was wrong with the answer
 	Cut         bool   // the answer ended early, and showed it
 	Calm        bool   // nothing but an orderly stop happened to its entry
-	InTouch     bool   // its entry could reach the store for touchFor when it was sent
+	StoreReachable     bool   // its entry could reach the store for touchFor when it was sent
 	Undisturbed bool   // its entry had no fault in the time aftermath before it
 	Body        string // set if it is one that comes again with other IDs
 	SaidLeaving string // life of a target that said in the answer that it leaves
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -56,21 +56,21 @@
 	const denied = http.StatusUnauthorized
 	facts := Facts{Configs: map[int]Write{1: {0, 1 * ms}, 2: {10 * second, 10*second + 5*ms}, 3: {20 * second, 20*second + 5*ms}}}
 	attempts := []Attempt{
-		{ID: "taken away", Key: 1, Status: 200, InTouch: true, Sent: 12*second + 6*ms},
-		{ID: "taken away long ago", Key: 1, Status: 200, InTouch: true, Sent: 25 * second},
-		{ID: "added", Key: 2, Status: denied, InTouch: true, Sent: 12*second + 6*ms, Answered: 13 * second},
-		{ID: "newest", Key: 3, Status: denied, InTouch: true, Sent: 40 * second, Answered: 41 * second},
+		{ID: "taken away", Key: 1, Status: 200, StoreReachable: true, Sent: 12*second + 6*ms},
+		{ID: "taken away long ago", Key: 1, Status: 200, StoreReachable: true, Sent: 25 * second},
+		{ID: "added", Key: 2, Status: denied, StoreReachable: true, Sent: 12*second + 6*ms, Answered: 13 * second},
+		{ID: "newest", Key: 3, Status: denied, StoreReachable: true, Sent: 40 * second, Answered: 41 * second},
 
-		{ID: "taken away just now", Key: 1, Status: 200, InTouch: true, Sent: 12*second + 5*ms},
+		{ID: "taken away just now", Key: 1, Status: 200, StoreReachable: true, Sent: 12*second + 5*ms},
 		{ID: "taken away, out of touch", Key: 1, Status: 200, Sent: 15 * second},
-		{ID: "taken away, denied", Key: 1, Status: denied, InTouch: true, Sent: 15 * second, Answered: 16 * second},
-		{ID: "added just now", Key: 2, Status: denied, InTouch: true, Sent: 12*second + 5*ms, Answered: 13 * second},
+		{ID: "taken away, denied", Key: 1, Status: denied, StoreReachable: true, Sent: 15 * second, Answered: 16 * second},
+		{ID: "added just now", Key: 2, Status: denied, StoreReachable: true, Sent: 12*second + 5*ms, Answered: 13 * second},
 		{ID: "added, out of touch", Key: 2, Status: denied, Sent: 15 * second, Answered: 16 * second},
-		{ID: "taken away meanwhile", Key: 2, Status: denied, InTouch: true, Sent: 19 * second, Answered: 20*second + 1*ms},
-		{ID: "allowed", Key: 2, Status: 200, InTouch: true, Sent: 15 * second},
-		{ID: "not served", Key: 1, Status: http.StatusServiceUnavailable, InTouch: true, Sent: 15 * second},
-		{ID: "of another incarnation", Key: -1, Status: denied, InTouch: true, Sent: 15 * second},
-		{ID: "not written yet", Key: 4, Status: denied, InTouch: true, Sent: 50 * second, Answered: 51 * second},
+		{ID: "taken away meanwhile", Key: 2, Status: denied, StoreReachable: true, Sent: 19 * second, Answered: 20*second + 1*ms},
+		{ID: "allowed", Key: 2, Status: 200, StoreReachable: true, Sent: 15 * second},
+		{ID: "not served", Key: 1, Status: http.StatusServiceUnavailable, StoreReachable: true, Sent: 15 * second},
+		{ID: "of another incarnation", Key: -1, Status: denied, StoreReachable: true, Sent: 15 * second},
+		{ID: "not written yet", Key: 4, Status: denied, StoreReachable: true, Sent: 50 * second, Answered: 51 * second},
 	}
 	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{"taken away": InvariantConfigFresh, "taken away long ago": InvariantConfigFresh,
 		"added": InvariantConfigFresh, "newest": InvariantConfigFresh})
@@ -83,16 +83,16 @@
 		Runs: map[string][]string{"late": {"gone"}, "second choice": {"stays", "gone"}, "both": {"gone later", "gone"},
 			"in time": {"gone"}, "before": {"gone"}, "cut off": {"gone"}, "other": {"stays"}, "early": {"gone later"}}}
 	attempts := []Attempt{
-		{ID: "late", Status: 200, InTouch: true, Sent: 12*second + 1*ms},
-		{ID: "second choice", Status: 200, Repeatable: true, InTouch: true, Sent: 13 * second},
-		{ID: "both", Status: 200, Repeatable: true, InTouch: true, Sent: 13 * second},
+		{ID: "late", Status: 200, StoreReachable: true, Sent: 12*second + 1*ms},
+		{ID: "second choice", Status: 200, Repeatable: true, StoreReachable: true, Sent: 13 * second},
+		{ID: "both", Status: 200, Repeatable: true, StoreReachable: true, Sent: 13 * second},
 
-		{ID: "in time", Status: 200, InTouch: true, Sent: 12 * second},
-		{ID: "before", Status: 200, InTouch: true, Sent: 1 * second},
+		{ID: "in time", Status: 200, StoreReachable: true, Sent: 12 * second},
+		{ID: "before", Status: 200, StoreReachable: true, Sent: 1 * second},
 		{ID: "cut off", Status: 200, Sent: 13 * second},
-		{ID: "other", Status: 200, InTouch: true, Sent: 13 * second},
-		{ID: "early", Status: 200, InTouch: true, Sent: 13 * second},
-		{ID: "never ran", Status: http.StatusServiceUnavailable, InTouch: true, Sent: 13 * second},
+		{ID: "other", Status: 200, StoreReachable: true, Sent: 13 * second},
+		{ID: "early", Status: 200, StoreReachable: true, Sent: 13 * second},
+		{ID: "never ran", Status: http.StatusServiceUnavailable, StoreReachable: true, Sent: 13 * second},
 	}
 	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{"late": InvariantLeavingTarget, "second choice": InvariantLeavingTarget,
 		"both": InvariantLeavingTarget})
@@ -105,12 +105,12 @@
 		Reached: map[string][]string{"at once": {"t"}, "first": {"t", "u"}, "third": {"v"}, "fourth": {"t"}, "fifth": {"u"},
 			"out of touch": {"t"}, "disturbed": {"t"}, "other": {"t"}}}
 	late := func(id, body string) Attempt {
-		return Attempt{ID: id, Body: body, Status: http.StatusBadGateway, InTouch: true, Undisturbed: true, Repeatable: true, Sent: 8 * second}
+		return Attempt{ID: id, Body: body, Status: http.StatusBadGateway, StoreReachable: true, Undisturbed: true, Repeatable: true, Sent: 8 * second}
 	}
 	attempts := []Attempt{late("at once", "bad"), late("first", "bad"), late("third", "bad"), late("fourth", "bad"), late("fifth", "bad"),
 		late("out of touch", "bad"), late("disturbed", "bad"), late("refused", "bad"), late("other", "twice only")}
 	attempts[0].Sent = 7 * second
-	attempts[5].InTouch = false
+	attempts[5].StoreReachable = false
 	attempts[6].Undisturbed = false
 	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{"fourth": InvariantCrashLimit, "fifth": InvariantCrashLimit})
 }
