--- a/soak/judge.go
+++ b/soak/judge.go
@@ -18,7 +18,7 @@
 	Status      int    // 0 if no answer came
 	Fault       string // what was wrong with the answer
 	Cut         bool   // the answer ended early, and showed it
-	Calm        bool   // nothing but an orderly stop happened to its entry
+	FaultFree        bool   // nothing but an orderly stop happened to its entry
 	StoreReachable     bool   // its entry could reach the store for touchFor when it was sent
 	Undisturbed bool   // its entry had no fault in the time aftermath before it
 	Body        string // set if it is one that comes again with other IDs
@@ -81,7 +81,7 @@
 			add(InvariantResponseIntact, a)
 		case a.Key == 0 && denied(a.Status):
 			add(InvariantValidKeyAccepted, a)
-		case a.Calm && ran > 0 && (a.Status == 0 || a.Cut):
+		case a.FaultFree && ran > 0 && (a.Status == 0 || a.Cut):
 			add(InvariantGracefulStop, a)
 		}
 	}
