--- a/soak/callers.go
+++ b/soak/callers.go
@@ -115,7 +115,7 @@
 	// The incarnation may have changed between the look and the connection.
 	same := a.Incarnation == c.entry.Incarnation()
 	a.FaultFree = same && !c.entry.TroubledSince(began) && !c.fleet.troubledSince(a.ID, began)
-	a.Undisturbed = same && !c.entry.TroubledSince(began)
+	a.EntryFaultFree = same && !c.entry.TroubledSince(began)
 	if !same {
 		a.Key, a.StoreReachable = -1, false
 	}
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -76,7 +76,7 @@
 		known := crashes[crashesToKnow-1] + touchFor
 		var late []Attempt
 		for _, a := range attempts {
-			if a.Body == body && a.Sent > known && a.StoreReachable && a.Undisturbed {
+			if a.Body == body && a.Sent > known && a.StoreReachable && a.EntryFaultFree {
 				late = append(late, slices.Repeat([]Attempt{a}, len(facts.Reached[a.ID]))...)
 			}
 		}
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -20,7 +20,7 @@
 	Cut         bool   // the answer ended early, and showed it
 	FaultFree        bool   // nothing but an orderly stop happened to its entry
 	StoreReachable     bool   // its entry could reach the store for touchFor when it was sent
-	Undisturbed bool   // its entry had no fault in the time aftermath before it
+	EntryFaultFree bool   // its entry had no fault in the time aftermath before it
 	Body        string // set if it is one that comes again with other IDs
 	SaidLeaving string // life of a target that said in the answer that it leaves
 	// Sent and Answered are since the start of the run.
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -105,13 +105,13 @@
 		Reached: map[string][]string{"at once": {"t"}, "first": {"t", "u"}, "third": {"v"}, "fourth": {"t"}, "fifth": {"u"},
 			"out of touch": {"t"}, "disturbed": {"t"}, "other": {"t"}}}
 	late := func(id, body string) Attempt {
-		return Attempt{ID: id, Body: body, Status: http.StatusBadGateway, StoreReachable: true, Undisturbed: true, Repeatable: true, Sent: 8 * second}
+		return Attempt{ID: id, Body: body, Status: http.StatusBadGateway, StoreReachable: true, EntryFaultFree: true, Repeatable: true, Sent: 8 * second}
 	}
 	attempts := []Attempt{late("at once", "bad"), late("first", "bad"), late("third", "bad"), late("fourth", "bad"), late("fifth", "bad"),
 		late("out of touch", "bad"), late("disturbed", "bad"), late("refused", "bad"), late("other", "twice only")}
 	attempts[0].Sent = 7 * second
 	attempts[5].StoreReachable = false
-	attempts[6].Undisturbed = false
+	attempts[6].EntryFaultFree = false
 	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{"fourth": InvariantCrashLimit, "fifth": InvariantCrashLimit})
 }
 
--- a/soak/leaving.go
+++ b/soak/leaving.go
@@ -58,7 +58,7 @@
 	for _, a := range attempts {
 		for _, life := range facts.Reached[a.ID] {
 			at, known := since[told{a.Incarnation, life}]
-			if known && a.Undisturbed && a.Sent-at > inForceWithin {
+			if known && a.EntryFaultFree && a.Sent-at > inForceWithin {
 				out = append(out, a)
 				break
 			}
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -84,7 +84,7 @@
 		allowed := int(limitOverage*limitWindow.Seconds()*s.PerS) + limitOverhead
 		var window []time.Duration
 		for _, x := range facts.Arrivals[s.Life] {
-			if x.At < s.From+touchFor || x.At > s.To || !byID[x.Request].Undisturbed {
+			if x.At < s.From+touchFor || x.At > s.To || !byID[x.Request].EntryFaultFree {
 				continue
 			}
 			window = append(window, x.At)
--- a/soak/limit_test.go
+++ b/soak/limit_test.go
@@ -21,7 +21,7 @@
 	var attempts []Attempt
 	arrive := func(at time.Duration, undisturbed bool) string {
 		id := fmt.Sprint(len(attempts))
-		attempts = append(attempts, Attempt{ID: id, Status: 200, Undisturbed: undisturbed})
+		attempts = append(attempts, Attempt{ID: id, Status: 200, EntryFaultFree: undisturbed})
 		facts.Arrivals["a"] = append(facts.Arrivals["a"], Arrival{id, at})
 		return id
 	}
--- a/soak/rest.go
+++ b/soak/rest.go
@@ -50,7 +50,7 @@
 			entry, n := byID[r.Request].Incarnation, 0
 			for _, x := range facts.Arrivals[life] {
 				a := byID[x.Request]
-				if a.Incarnation != entry || !a.Undisturbed || x.At < r.At+restGrace || x.At > r.At+r.Rest {
+				if a.Incarnation != entry || !a.EntryFaultFree || x.At < r.At+restGrace || x.At > r.At+r.Rest {
 					continue
 				}
 				if n++; n > restSends {
--- a/soak/rest_test.go
+++ b/soak/rest_test.go
@@ -16,10 +16,10 @@
 }
 
 func TestJudgeOfRest(t *testing.T) {
-	attempts := []Attempt{{ID: "refused", Incarnation: "e#1", Undisturbed: true}, {ID: "other", Incarnation: "e#2", Undisturbed: true}}
+	attempts := []Attempt{{ID: "refused", Incarnation: "e#1", EntryFaultFree: true}, {ID: "other", Incarnation: "e#2", EntryFaultFree: true}}
 	arrivals := []Arrival{{"refused", 0}, {"other", 1000 * ms}}
 	for id, at := range map[string]time.Duration{"soon": 400 * ms, "first": 600 * ms, "second": 700 * ms, "third": 2900 * ms, "after": 3100 * ms} {
-		attempts = append(attempts, Attempt{ID: id, Incarnation: "e#1", Undisturbed: true})
+		attempts = append(attempts, Attempt{ID: id, Incarnation: "e#1", EntryFaultFree: true})
 		arrivals = append(arrivals, Arrival{id, at})
 	}
 	attempts = append(attempts, Attempt{ID: "paused", Incarnation: "e#1"})
