--- a/soak/callers.go
+++ b/soak/callers.go
@@ -134,12 +134,12 @@
 		a.Fault = "success without a target's signature"
 	case resp.StatusCode/100 != 2:
 		_, err := io.Copy(io.Discard, resp.Body)
-		a.Cut = err != nil
+		a.Truncated = err != nil
 	case k.name == fake.KindStreaming:
 		c.readStream(resp.Body, a)
 	default:
 		b, err := io.ReadAll(resp.Body)
-		a.Cut = err != nil
+		a.Truncated = err != nil
 		if err == nil && string(b) != fake.Body(a.ID) {
 			a.Fault = fmt.Sprintf("body %.40q", b)
 		}
@@ -163,9 +163,9 @@
 		next++
 	}
 	if err := lines.Err(); err != nil {
-		a.Cut = true
+		a.Truncated = true
 		if !errors.Is(err, io.ErrUnexpectedEOF) && next > fake.Events {
-			a.Cut = false // all events came; only the end of the connection was rough
+			a.Truncated = false // all events came; only the end of the connection was rough
 		}
 		return
 	}
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -340,7 +340,7 @@
 	r.Violations = Judge(attempts, f.notes.facts(f.runs))
 	r.Attempts = len(attempts)
 	for _, a := range attempts {
-		if a.Status == 200 && !a.Cut {
+		if a.Status == 200 && !a.Truncated {
 			r.Served++
 		}
 	}
@@ -388,7 +388,7 @@
 	for i, e := range f.entries {
 		c := newCaller(f, e, fmt.Sprintf("probe%d-%d-%d", f.record.order.Load(), i, round), f.rng)
 		for _, k := range kinds {
-			if a := c.call(ctx, k, 0); a.Status != 200 || a.Cut {
+			if a := c.call(ctx, k, 0); a.Status != 200 || a.Truncated {
 				out = append(out, fmt.Sprintf("%s at %s: status %d", k.name, e.node.Name, a.Status))
 			}
 		}
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -17,7 +17,7 @@
 	Began, End  int64  // order of events at the callers, not a clock
 	Status      int    // 0 if no answer came
 	Fault       string // what was wrong with the answer
-	Cut         bool   // the answer ended early, and showed it
+	Truncated         bool   // the answer ended early, and showed it
 	FaultFree        bool   // nothing but an orderly stop happened to its entry
 	StoreReachable     bool   // its entry could reach the store for touchFor when it was sent
 	EntryFaultFree bool   // its entry had no fault in the time aftermath before it
@@ -81,7 +81,7 @@
 			add(InvariantResponseIntact, a)
 		case a.Key == 0 && denied(a.Status):
 			add(InvariantValidKeyAccepted, a)
-		case a.FaultFree && ran > 0 && (a.Status == 0 || a.Cut):
+		case a.FaultFree && ran > 0 && (a.Status == 0 || a.Truncated):
 			add(InvariantGracefulStop, a)
 		}
 	}
