--- a/soak/callers.go
+++ b/soak/callers.go
@@ -127,7 +127,7 @@
 func (c *caller) read(resp *http.Response, k kind, a *Attempt) {
 	defer resp.Body.Close()
 	a.Status = resp.StatusCode
-	a.SaidLeaving = fake.SaidLeaving(resp.Header)
+	a.AnnouncedLeaving = fake.SaidLeaving(resp.Header)
 	signed := fake.Signed(resp.Header)
 	switch {
 	case resp.StatusCode/100 == 2 && !signed:
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -22,7 +22,7 @@
 	StoreReachable     bool   // its entry could reach the store for touchFor when it was sent
 	EntryFaultFree bool   // its entry had no fault in the time aftermath before it
 	Body        string // set if it is one that comes again with other IDs
-	SaidLeaving string // life of a target that said in the answer that it leaves
+	AnnouncedLeaving string // life of a target that said in the answer that it leaves
 	// Sent and Answered are since the start of the run.
 	Sent, Answered time.Duration
 }
--- a/soak/leaving.go
+++ b/soak/leaving.go
@@ -49,8 +49,8 @@
 	type told struct{ entry, life string }
 	since := map[told]time.Duration{}
 	for _, a := range attempts {
-		t := told{a.Incarnation, a.SaidLeaving}
-		if at, known := since[t]; a.SaidLeaving != "" && (!known || a.Answered < at) {
+		t := told{a.Incarnation, a.AnnouncedLeaving}
+		if at, known := since[t]; a.AnnouncedLeaving != "" && (!known || a.Answered < at) {
 			since[t] = a.Answered
 		}
 	}
