--- a/soak/judge.go
+++ b/soak/judge.go
@@ -32,14 +32,14 @@
 	Invariant string
 	Attempt Attempt
 	Runs    []string
-	Late    time.Duration // by how much a target was later than it was to be
+	SchedulingDelay    time.Duration // by how much a target was later than it was to be
 }
 
 // String describes the violation.
 func (v Violation) String() string {
 	a := v.Attempt
 	return fmt.Sprintf("%s: request %s (%s) at %s, key %d, sent %v, answered %v, status %d, ran at %v, late there by %v; %s", v.Invariant, a.ID, a.Kind,
-		a.Incarnation, a.Key, a.Sent.Round(time.Millisecond), a.Answered.Round(time.Millisecond), a.Status, v.Runs, v.Late.Round(time.Millisecond), a.Fault)
+		a.Incarnation, a.Key, a.Sent.Round(time.Millisecond), a.Answered.Round(time.Millisecond), a.Status, v.Runs, v.SchedulingDelay.Round(time.Millisecond), a.Fault)
 }
 
 // Promises that are checked.
