--- a/soak/facts.go
+++ b/soak/facts.go
@@ -17,7 +17,7 @@
 	Configs map[int]Write              // each configuration, which allows the rotating key of its number only
 	Leaving map[string]time.Duration   // when the store had the entry in which an instance leaves
 	Crashes map[string][]time.Duration // when targets ended under a request, by its body
-	Late    map[string]time.Duration   // by how much targets were later with each request than they were to be
+	SchedulingDelay    map[string]time.Duration   // by how much targets were later with each request than they were to be
 	Limits  []LimitSpan
 	// Arrivals are the requests that reached each life of a target, in order.
 	Arrivals map[string][]Arrival
@@ -86,7 +86,7 @@
 	for _, x := range runs.Rests() {
 		rests[x.Life] = append(rests[x.Life], Rest{x.Request, x.At.Sub(n.start), x.Rest})
 	}
-	return Facts{Rests: rests, Limits: slices.Clone(n.limits), Arrivals: arrivals, Runs: runs.All(), Reached: runs.Reached(), Configs: maps.Clone(n.configs), Leaving: maps.Clone(n.leaving), Crashes: crashes, Late: runs.Late()}
+	return Facts{Rests: rests, Limits: slices.Clone(n.limits), Arrivals: arrivals, Runs: runs.All(), Reached: runs.Reached(), Configs: maps.Clone(n.configs), Leaving: maps.Clone(n.leaving), Crashes: crashes, SchedulingDelay: runs.Late()}
 }
 
 // leavingSince returns the first time since when one of the instances that a request
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -62,7 +62,7 @@
 func Judge(attempts []Attempt, facts Facts) []Violation {
 	var out []Violation
 	add := func(promise string, a Attempt) {
-		out = append(out, Violation{promise, a, facts.Runs[a.ID], facts.Late[a.ID]})
+		out = append(out, Violation{promise, a, facts.Runs[a.ID], facts.SchedulingDelay[a.ID]})
 	}
 	for _, a := range attempts {
 		ran := len(facts.Runs[a.ID])
