--- a/soak/facts.go
+++ b/soak/facts.go
@@ -21,7 +21,7 @@
 	Limits  []LimitSpan
 	// Arrivals are the requests that reached each life of a target, in order.
 	Arrivals map[string][]Arrival
-	Rests    map[string][]Rest // that each life of a target asked for
+	Backoffs    map[string][]Rest // that each life of a target asked for
 }
 
 // Arrival is when a request reached a target.
@@ -86,7 +86,7 @@
 	for _, x := range runs.Rests() {
 		rests[x.Life] = append(rests[x.Life], Rest{x.Request, x.At.Sub(n.start), x.Rest})
 	}
-	return Facts{Rests: rests, Limits: slices.Clone(n.limits), Arrivals: arrivals, Runs: runs.All(), Reached: runs.Reached(), Configs: maps.Clone(n.configs), Leaving: maps.Clone(n.leaving), Crashes: crashes, SchedulingDelay: runs.Late()}
+	return Facts{Backoffs: rests, Limits: slices.Clone(n.limits), Arrivals: arrivals, Runs: runs.All(), Reached: runs.Reached(), Configs: maps.Clone(n.configs), Leaving: maps.Clone(n.leaving), Crashes: crashes, SchedulingDelay: runs.Late()}
 }
 
 // leavingSince returns the first time since when one of the instances that a request
--- a/soak/rest.go
+++ b/soak/rest.go
@@ -45,7 +45,7 @@
 		byID[a.ID] = a
 	}
 	late := map[string]bool{}
-	for life, rests := range facts.Rests {
+	for life, rests := range facts.Backoffs {
 		for _, r := range rests {
 			entry, n := byID[r.Request].Incarnation, 0
 			for _, x := range facts.Arrivals[life] {
