--- a/soak/rest.go
+++ b/soak/rest.go
@@ -50,7 +50,7 @@
 			entry, n := byID[r.Request].Incarnation, 0
 			for _, x := range facts.Arrivals[life] {
 				a := byID[x.Request]
-				if a.Incarnation != entry || !a.EntryFaultFree || x.At < r.At+restGrace || x.At > r.At+r.Rest {
+				if a.Incarnation != entry || !a.EntryFaultFree || x.At < r.At+restGrace || x.At > r.At+r.Duration {
 					continue
 				}
 				if n++; n > restSends {
@@ -72,7 +72,7 @@
 type Rest struct {
 	Request string
 	At      time.Duration // since the start of the run
-	Rest    time.Duration
+	Duration    time.Duration
 }
 
-func (r Rest) String() string { return fmt.Sprintf("%s at %v for %v", r.Request, r.At, r.Rest) }
+func (r Rest) String() string { return fmt.Sprintf("%s at %v for %v", r.Request, r.At, r.Duration) }
