--- a/soak/facts.go
+++ b/soak/facts.go
@@ -21,7 +21,7 @@
 	Limits  []LimitSpan
 	// Arrivals are the requests that reached each life of a target, in order.
 	Arrivals map[string][]Arrival
-	Backoffs    map[string][]Rest // that each life of a target asked for
+	Backoffs    map[string][]Backoff // that each life of a target asked for
 }
 
 // Arrival is when a request reached a target.
@@ -82,9 +82,9 @@
 	for _, a := range runs.Arrivals() {
 		arrivals[a.Life] = append(arrivals[a.Life], Arrival{a.Request, a.At.Sub(n.start)})
 	}
-	rests := map[string][]Rest{}
+	rests := map[string][]Backoff{}
 	for _, x := range runs.Rests() {
-		rests[x.Life] = append(rests[x.Life], Rest{x.Request, x.At.Sub(n.start), x.Rest})
+		rests[x.Life] = append(rests[x.Life], Backoff{x.Request, x.At.Sub(n.start), x.Rest})
 	}
 	return Facts{Backoffs: rests, Limits: slices.Clone(n.limits), Arrivals: arrivals, Runs: runs.All(), Reached: runs.Reached(), Configs: maps.Clone(n.configs), Leaving: maps.Clone(n.leaving), Crashes: crashes, SchedulingDelay: runs.Late()}
 }
--- a/soak/rest.go
+++ b/soak/rest.go
@@ -68,11 +68,11 @@
 	return out
 }
 
-// Rest is an answer in which a target asked for rest.
-type Rest struct {
+// Backoff is an answer in which a target asked for rest.
+type Backoff struct {
 	Request string
 	At      time.Duration // since the start of the run
 	Duration    time.Duration
 }
 
-func (r Rest) String() string { return fmt.Sprintf("%s at %v for %v", r.Request, r.At, r.Duration) }
+func (r Backoff) String() string { return fmt.Sprintf("%s at %v for %v", r.Request, r.At, r.Duration) }
--- a/soak/rest_test.go
+++ b/soak/rest_test.go
@@ -24,6 +24,6 @@
 	}
 	attempts = append(attempts, Attempt{ID: "paused", Incarnation: "e#1"})
 	arrivals = append(arrivals, Arrival{"paused", 800 * ms})
-	facts := Facts{Arrivals: map[string][]Arrival{"a": arrivals}, Backoffs: map[string][]Rest{"a": {{"refused", 0, 3 * second}}}}
+	facts := Facts{Arrivals: map[string][]Arrival{"a": arrivals}, Backoffs: map[string][]Backoff{"a": {{"refused", 0, 3 * second}}}}
 	assert.Equal(t, len(judged(t, attempts, facts)), 1)
 }
