--- a/soak/limit.go
+++ b/soak/limit.go
@@ -26,7 +26,7 @@
 
 // LimitSpan is a time in which a life of a target named one limit.
 type LimitSpan struct {
-	Life     string
+	Incarnation     string
 	From, To time.Duration // since the start of the run
 	PerS     float64
 }
@@ -55,7 +55,7 @@
 	f.logf("%s names a limit of %v/s for %v", life, perS, d.Round(time.Millisecond))
 	time.Sleep(d)
 	if t.Life() == life && !f.targetTroubledSince(t, began) {
-		f.notes.limited(LimitSpan{Life: life, From: from, To: f.notes.now(), PerS: perS})
+		f.notes.limited(LimitSpan{Incarnation: life, From: from, To: f.notes.now(), PerS: perS})
 	}
 }
 
@@ -83,7 +83,7 @@
 	for _, s := range facts.Limits {
 		allowed := int(limitOverage*limitWindow.Seconds()*s.PerS) + limitOverhead
 		var window []time.Duration
-		for _, x := range facts.Arrivals[s.Life] {
+		for _, x := range facts.Arrivals[s.Incarnation] {
 			if x.At < s.From+touchFor || x.At > s.To || !byID[x.Request].EntryFaultFree {
 				continue
 			}
--- a/soak/limit_test.go
+++ b/soak/limit_test.go
@@ -17,7 +17,7 @@
 }
 
 func TestJudgeOfLimits(t *testing.T) {
-	facts := Facts{Limits: []LimitSpan{{Life: "a", From: 0, To: 20 * second, PerS: 1}}, Arrivals: map[string][]Arrival{}}
+	facts := Facts{Limits: []LimitSpan{{Incarnation: "a", From: 0, To: 20 * second, PerS: 1}}, Arrivals: map[string][]Arrival{}}
 	var attempts []Attempt
 	arrive := func(at time.Duration, undisturbed bool) string {
 		id := fmt.Sprint(len(attempts))
