--- a/soak/faults.go
+++ b/soak/faults.go
@@ -192,12 +192,12 @@
 	p.contact.lose()
 	defer p.contact.regain()
 	if kill {
-		p.Trouble(after + aftermath)
+		p.MarkFaulty(after + aftermath)
 		p.Kill()
 	} else {
 		p.Signal(syscall.SIGTERM)
 		if !p.Wait(grace) {
-			p.Trouble(aftermath)
+			p.MarkFaulty(aftermath)
 			p.Kill()
 		}
 	}
@@ -208,7 +208,7 @@
 }
 
 func (f *Fleet) pause(p *Process, d time.Duration) {
-	p.Trouble(d + aftermath)
+	p.MarkFaulty(d + aftermath)
 	p.contact.lose()
 	defer p.contact.regain()
 	p.Signal(syscall.SIGSTOP)
--- a/soak/process.go
+++ b/soak/process.go
@@ -154,8 +154,8 @@
 	return fmt.Sprintf("%s#%d", p.node.Name, p.starts)
 }
 
-// Trouble notes that the process or its links misbehave for a time.
-func (p *Process) Trouble(d time.Duration) {
+// MarkFaulty notes that the process or its links misbehave for a time.
+func (p *Process) MarkFaulty(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if until := time.Now().Add(d); until.After(p.troubled) {
