--- a/soak/callers.go
+++ b/soak/callers.go
@@ -114,8 +114,8 @@
 	a.Answered = c.fleet.notes.now()
 	// The incarnation may have changed between the look and the connection.
 	same := a.Incarnation == c.entry.Incarnation()
-	a.FaultFree = same && !c.entry.TroubledSince(began) && !c.fleet.troubledSince(a.ID, began)
-	a.EntryFaultFree = same && !c.entry.TroubledSince(began)
+	a.FaultFree = same && !c.entry.FaultySince(began) && !c.fleet.troubledSince(a.ID, began)
+	a.EntryFaultFree = same && !c.entry.FaultySince(began)
 	if !same {
 		a.Key, a.StoreReachable = -1, false
 	}
--- a/soak/process.go
+++ b/soak/process.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// TroubledSince reports whether the process misbehaved at a time or later.
-func (p *Process) TroubledSince(t time.Time) bool {
+// FaultySince reports whether the process misbehaved at a time or later.
+func (p *Process) FaultySince(t time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.troubled.After(t)
