--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -331,7 +331,7 @@
 		r.Mixed = append(r.Mixed, e.Mixed()...)
 	}
 	for _, p := range slices.Concat(f.entries, f.agents) {
-		r.OwnExits += p.OwnExits()
+		r.OwnExits += p.UnexpectedExits()
 	}
 	if r.Differing, err = f.differing(); err != nil {
 		return nil, err
--- a/soak/process.go
+++ b/soak/process.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// OwnExits returns how often the process ended by itself.
-func (p *Process) OwnExits() int {
+// UnexpectedExits returns how often the process ended by itself.
+func (p *Process) UnexpectedExits() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.ownExits
