--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -298,7 +298,7 @@
 	Attempts   int
 	Served     int
 	Faults     map[string]int
-	OwnExits   int // processes that ended by themselves, and were started again
+	UnexpectedExits   int // processes that ended by themselves, and were started again
 	Differing  int // lines in which entries say that copies of the store differ
 }
 
@@ -331,7 +331,7 @@
 		r.Mixed = append(r.Mixed, e.Mixed()...)
 	}
 	for _, p := range slices.Concat(f.entries, f.agents) {
-		r.OwnExits += p.UnexpectedExits()
+		r.UnexpectedExits += p.UnexpectedExits()
 	}
 	if r.Differing, err = f.differing(); err != nil {
 		return nil, err
