--- a/soak/faults.go
+++ b/soak/faults.go
@@ -38,7 +38,7 @@
 	{"agent stopped", func(f *Fleet, rng *rand.Rand, d time.Duration) { f.restart(pick(rng, f.agents), d, false) }},
 	{"agent paused", func(f *Fleet, rng *rand.Rand, d time.Duration) { f.pause(pick(rng, f.agents), d) }},
 	{"settings changed", func(f *Fleet, rng *rand.Rand, _ time.Duration) {
-		if err := pick(rng, f.entries).Hup(); err != nil {
+		if err := pick(rng, f.entries).Reload(); err != nil {
 			f.logf("settings not written: %v", err)
 		}
 	}},
--- a/soak/process.go
+++ b/soak/process.go
@@ -118,8 +118,8 @@
 	_ = p.cmd.Process.Signal(s) // it may have ended
 }
 
-// Hup writes the settings again and tells the process.
-func (p *Process) Hup() error {
+// Reload writes the settings again and tells the process.
+func (p *Process) Reload() error {
 	p.mu.Lock()
 	p.node.Seeds = append(p.node.Seeds[1:], p.node.Seeds[0])
 	err := p.writeSettings()
