--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -299,7 +299,7 @@
 	Served     int
 	Faults     map[string]int
 	UnexpectedExits   int // processes that ended by themselves, and were started again
-	Differing  int // lines in which entries say that copies of the store differ
+	DifferingCopies  int // lines in which entries say that copies of the store differ
 }
 
 // Run runs the fleet under faults and judges it.
@@ -333,7 +333,7 @@
 	for _, p := range slices.Concat(f.entries, f.agents) {
 		r.UnexpectedExits += p.UnexpectedExits()
 	}
-	if r.Differing, err = f.differing(); err != nil {
+	if r.DifferingCopies, err = f.differing(); err != nil {
 		return nil, err
 	}
 	attempts := f.record.attempts()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -94,7 +94,7 @@
 	for _, v := range r.Violations {
 		t.Errorf("seed %d: %v", seed, v)
 	}
-	assert.Check(t, r.Differing == 0, "seed %d: copies of the store differ, %d lines", seed, r.Differing)
+	assert.Check(t, r.DifferingCopies == 0, "seed %d: copies of the store differ, %d lines", seed, r.DifferingCopies)
 	assert.Check(t, r.UnexpectedExits == 0, "seed %d: %d processes ended by themselves", seed, r.UnexpectedExits)
 	assert.Check(t, len(r.Mixed) == 0, "seed %d: weights that were not whole: %+v", seed, r.Mixed)
 	assert.Check(t, len(r.Unserved) == 0, "seed %d: %v", seed, r.Unserved)
