--- a/soak/faults.go
+++ b/soak/faults.go
@@ -95,7 +95,7 @@
 
 // breakAside begins the faults beside those that are drawn.
 func (f *Fleet) breakAside(running *sync.WaitGroup, count map[string]int) {
-	if f.cfg.Plain {
+	if f.cfg.SkipOnceFaults {
 		return
 	}
 	rng := rand.New(rand.NewPCG(f.cfg.Seed, 2))
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -24,7 +24,7 @@
 type Config struct {
 	Seed     uint64
 	Only     *regexp.Regexp // kinds of fault, by name; nil is all
-	Plain    bool           // without the faults beside those that are drawn
+	SkipOnceFaults    bool           // without the faults beside those that are drawn
 	Duration time.Duration
 	// Entries and Engines are how many of each are run; an agent runs beside each
 	// engine. Plains is how many plain targets there are.
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -80,7 +80,7 @@
 		seeds = append(seeds, *soakSeed+uint64(i))
 	}
 	for i, seed := range seeds {
-		cfg := Config{Seed: seed, Only: regexp.MustCompile(*soakOnly), Plain: i < len(failedSeeds), Duration: *soakFor, Entries: *soakEntries, Engines: *soakEngines, Plains: plainTargets, Bin: bin, Dir: seedDir(t, seed), Logf: t.Logf}
+		cfg := Config{Seed: seed, Only: regexp.MustCompile(*soakOnly), SkipOnceFaults: i < len(failedSeeds), Duration: *soakFor, Entries: *soakEntries, Engines: *soakEngines, Plains: plainTargets, Bin: bin, Dir: seedDir(t, seed), Logf: t.Logf}
 		runAndCheck(t, cfg)
 	}
 }
