--- a/soak/evacuation_test.go
+++ b/soak/evacuation_test.go
@@ -18,7 +18,7 @@
 // The evidence: 4,056 and 4,335 requests in two hunted days reached targets of evacuated
 // domains later than allowed, and no decoder reads that key.
 func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
-	f, err := newFleet(Config{Seed: 1, Entries: 3, Engines: 3, Plains: 6, Bin: buildPrograms(t), Dir: t.TempDir(), Logf: t.Logf})
+	f, err := newFleet(Config{Seed: 1, Entries: 3, Engines: 3, PlainTargets: 6, Bin: buildPrograms(t), Dir: t.TempDir(), Logf: t.Logf})
 	if f != nil {
 		defer f.close()
 	}
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -27,8 +27,8 @@
 	SkipOnceFaults    bool           // without the faults beside those that are drawn
 	Duration time.Duration
 	// Entries and Engines are how many of each are run; an agent runs beside each
-	// engine. Plains is how many plain targets there are.
-	Entries, Engines, Plains int
+	// engine. PlainTargets is how many plain targets there are.
+	Entries, Engines, PlainTargets int
 	// Bin is the folder of the programs, Dir where settings and logs go.
 	Bin, Dir string
 	Logf     func(format string, args ...any)
@@ -118,7 +118,7 @@
 }
 
 func (f *Fleet) startTargets() error {
-	for i := range f.cfg.Engines + f.cfg.Plains {
+	for i := range f.cfg.Engines + f.cfg.PlainTargets {
 		var way *Link
 		// Every other target starts again under its ID.
 		cfg := fake.TargetConfig{Service: plainService, Domain: domains[i%len(domains)], KeepID: i%2 == 1}
--- a/soak/leaving_test.go
+++ b/soak/leaving_test.go
@@ -11,5 +11,5 @@
 func TestSoakTargetsSayThatTheyLeave(t *testing.T) {
 	const seed = 9301
 	runAndCheck(t, Config{Seed: seed, Only: regexp.MustCompile("targets say that they leave"), Duration: time.Second, Entries: 5, Engines: 6,
-		Plains: 6, Bin: buildPrograms(t), Dir: seedDir(t, seed), Logf: t.Logf})
+		PlainTargets: 6, Bin: buildPrograms(t), Dir: seedDir(t, seed), Logf: t.Logf})
 }
--- a/soak/limit_test.go
+++ b/soak/limit_test.go
@@ -13,7 +13,7 @@
 func TestSoakLimitNamedByTargets(t *testing.T) {
 	const seed = 9201
 	runAndCheck(t, Config{Seed: seed, Only: regexp.MustCompile("targets name limits"), Duration: time.Second, Entries: 5, Engines: 6,
-		Plains: 6, Bin: buildPrograms(t), Dir: seedDir(t, seed), Logf: t.Logf})
+		PlainTargets: 6, Bin: buildPrograms(t), Dir: seedDir(t, seed), Logf: t.Logf})
 }
 
 func TestJudgeOfLimits(t *testing.T) {
--- a/soak/rest_test.go
+++ b/soak/rest_test.go
@@ -12,7 +12,7 @@
 func TestSoakTargetsAskForRest(t *testing.T) {
 	const seed = 9401
 	runAndCheck(t, Config{Seed: seed, Only: regexp.MustCompile("targets ask for rest"), Duration: time.Second, Entries: 5, Engines: 6,
-		Plains: 6, Bin: buildPrograms(t), Dir: seedDir(t, seed), Logf: t.Logf})
+		PlainTargets: 6, Bin: buildPrograms(t), Dir: seedDir(t, seed), Logf: t.Logf})
 }
 
 func TestJudgeOfRest(t *testing.T) {
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -49,7 +49,7 @@
 	bin := buildPrograms(t)
 	for _, seed := range []uint64{9101, 9102, 9103} {
 		cfg := Config{Seed: seed, Only: regexp.MustCompile("request crashes targets"), Duration: time.Second, Entries: 5, Engines: 20,
-			Plains: 12, Bin: bin, Dir: seedDir(t, seed), Logf: t.Logf}
+			PlainTargets: 12, Bin: bin, Dir: seedDir(t, seed), Logf: t.Logf}
 		runAndCheck(t, cfg)
 	}
 }
@@ -57,7 +57,7 @@
 func TestSoakFailedScenarios(t *testing.T) {
 	bin := buildPrograms(t)
 	for _, cfg := range failedScenarios {
-		cfg.Plains, cfg.Bin, cfg.Dir, cfg.Logf = plainTargets, bin, seedDir(t, cfg.Seed), t.Logf
+		cfg.PlainTargets, cfg.Bin, cfg.Dir, cfg.Logf = plainTargets, bin, seedDir(t, cfg.Seed), t.Logf
 		runAndCheck(t, cfg)
 	}
 }
@@ -80,7 +80,7 @@
 		seeds = append(seeds, *soakSeed+uint64(i))
 	}
 	for i, seed := range seeds {
-		cfg := Config{Seed: seed, Only: regexp.MustCompile(*soakOnly), SkipOnceFaults: i < len(failedSeeds), Duration: *soakFor, Entries: *soakEntries, Engines: *soakEngines, Plains: plainTargets, Bin: bin, Dir: seedDir(t, seed), Logf: t.Logf}
+		cfg := Config{Seed: seed, Only: regexp.MustCompile(*soakOnly), SkipOnceFaults: i < len(failedSeeds), Duration: *soakFor, Entries: *soakEntries, Engines: *soakEngines, PlainTargets: plainTargets, Bin: bin, Dir: seedDir(t, seed), Logf: t.Logf}
 		runAndCheck(t, cfg)
 	}
 }
