--- a/soak/callers.go
+++ b/soak/callers.go
@@ -16,14 +16,14 @@
 	"github.com/springgate/springgate/platform/fake"
 )
 
-// Shape of the load.
+// Parameters of the load.
 const (
 	callersPerEntry = 4
-	callWithin      = 3 * time.Second
-	callTimeout     = 10 * time.Second // of a caller that hears nothing
+	callDeadline    = 3 * time.Second
+	clientTimeout   = 10 * time.Second // of a caller that gets no response
 	thinkTime       = 25 * time.Millisecond
-	lastingKey      = "key-lasting"
-	keysTried       = 4 // newest rotating keys that callers use
+	permanentKey    = "key-lasting"
+	recentKeys      = 4 // number of latest rotating keys that callers use
 )
 
 // kind is one kind of request.
@@ -34,28 +34,28 @@
 
 var kinds = []kind{{fake.KindSafe, "/safe/", true}, {fake.KindUnsafe, "/unsafe/", false}, {fake.KindStreaming, "/stream/", true}}
 
-// record gathers what callers saw.
-type record struct {
-	order atomic.Int64
-	mu    sync.Mutex
-	all   []Attempt
+// attemptLog collects the attempts of all callers.
+type attemptLog struct {
+	sequence atomic.Int64
+	mu       sync.Mutex
+	all      []Attempt
 }
 
-func (r *record) add(a Attempt) {
-	a.End = r.order.Add(1)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.all = append(r.all, a)
+func (l *attemptLog) add(a Attempt) {
+	a.End = l.sequence.Add(1)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.all = append(l.all, a)
 }
 
-func (r *record) attempts() []Attempt {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return append([]Attempt(nil), r.all...)
+func (l *attemptLog) attempts() []Attempt {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return append([]Attempt(nil), l.all...)
 }
 
-// caller sends requests to one entry over connections that it keeps until the
-// process is gone.
+// caller sends requests to one entry over connections that it keeps open until the entry
+// exits.
 type caller struct {
 	fleet  *Fleet
 	entry  *Process
@@ -70,12 +70,12 @@
 	return &caller{fleet: f, entry: entry, name: name, rng: rng, client: &http.Client{Transport: t}}
 }
 
-func (c *caller) run(ctx context.Context) {
+func (c *caller) sendRequests(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
 		k, key := kinds[c.rng.IntN(len(kinds))], 0
-		if c.rng.IntN(2) == 0 { // with a key that only one configuration allows
-			k, key = kinds[0], max(int(c.fleet.config.Load())-c.rng.IntN(keysTried), 1)
+		if c.rng.IntN(2) == 0 { // with a key that only one configuration accepts
+			k, key = kinds[0], max(int(c.fleet.latestConfig.Load())-c.rng.IntN(recentKeys), 1)
 		}
 		c.call(ctx, k, key)
 		select {
@@ -85,45 +85,45 @@
 	}
 }
 
-// call sends one request and records what became of it.
+// call sends one request and records its outcome.
 func (c *caller) call(ctx context.Context, k kind, key int) Attempt {
 	return c.callBody(ctx, k, key, "")
 }
 
-// callBody is call with a body; empty for one that no other request has.
+// callBody is call with a given body; empty for one that no other request has.
 func (c *caller) callBody(ctx context.Context, k kind, key int, body string) Attempt {
 	c.sent++
 	began := time.Now()
 	a := Attempt{ID: fmt.Sprintf("%s-%d", c.name, c.sent), Kind: k.name, Repeatable: k.repeatable, Key: key, Body: body,
-		Incarnation: c.entry.Incarnation(), Began: c.fleet.record.order.Add(1), StoreReachable: c.fleet.inTouch(c.entry)}
-	secret := lastingKey
+		Incarnation: c.entry.Incarnation(), Began: c.fleet.attemptLog.sequence.Add(1), StoreReachable: c.fleet.storeReachable(c.entry)}
+	secret := permanentKey
 	if key > 0 {
 		secret = rotatingKey(key)
 	}
-	// The call goes on when the load ends: each must come to its end.
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), callTimeout)
+	// The call continues when the load ends, so that each request has an outcome.
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), clientTimeout)
 	defer cancel()
-	r, err := fake.NewRequest(c.entry.node.Callers, hostName, k.path, fake.Call{ID: a.ID, Key: secret, Within: callWithin, Prompt: 100, Body: body})
-	a.Sent = c.fleet.notes.now()
+	r, err := fake.NewRequest(c.entry.node.Callers, hostName, k.path, fake.Call{ID: a.ID, Key: secret, Within: callDeadline, Prompt: 100, Body: body})
+	a.Sent = c.fleet.recorder.elapsed()
 	if err == nil {
 		var resp *http.Response
 		if resp, err = c.client.Do(r.WithContext(ctx)); err == nil {
 			c.read(resp, k, &a)
 		}
 	}
-	a.Answered = c.fleet.notes.now()
-	// The incarnation may have changed between the look and the connection.
+	a.Answered = c.fleet.recorder.elapsed()
+	// The entry may have restarted after its incarnation was read.
 	same := a.Incarnation == c.entry.Incarnation()
-	a.FaultFree = same && !c.entry.FaultySince(began) && !c.fleet.troubledSince(a.ID, began)
+	a.FaultFree = same && !c.entry.FaultySince(began) && !c.fleet.ranOnFaultySince(a.ID, began)
 	a.EntryFaultFree = same && !c.entry.FaultySince(began)
 	if !same {
 		a.Key, a.StoreReachable = -1, false
 	}
-	c.fleet.record.add(a)
+	c.fleet.attemptLog.add(a)
 	return a
 }
 
-// read checks an answer.
+// read checks a response.
 func (c *caller) read(resp *http.Response, k kind, a *Attempt) {
 	defer resp.Body.Close()
 	a.Status = resp.StatusCode
@@ -146,8 +146,8 @@
 	}
 }
 
-// readStream checks that events come once, in order and all, if the stream looks
-// complete.
+// readStream checks that events arrive once and in order, and that none is missing if the
+// stream looks complete.
 func (c *caller) readStream(body io.Reader, a *Attempt) {
 	lines := bufio.NewScanner(body)
 	next := 1
@@ -165,7 +165,7 @@
 	if err := lines.Err(); err != nil {
 		a.Truncated = true
 		if !errors.Is(err, io.ErrUnexpectedEOF) && next > fake.Events {
-			a.Truncated = false // all events came; only the end of the connection was rough
+			a.Truncated = false // all events arrived; only the connection did not close cleanly
 		}
 		return
 	}
--- a/soak/contact.go
+++ b/soak/contact.go
@@ -5,35 +5,37 @@
 	"time"
 )
 
-// touchFor is how long nothing may have come between an entry and the store for
-// the entry to be in touch: the bound and as much as a retry's longest pause.
-const touchFor = 3 * time.Second
+// storeReachableWindow is how long an entry must have had no fault between it and the
+// store to count as able to reach the store: propagationBound plus the longest pause
+// between retries.
+const storeReachableWindow = 3 * time.Second
 
-// contact is whether something may reach the store, or be reached.
-type contact struct {
-	mu     sync.Mutex
-	faults int       // going on
-	ended  time.Time // when the last fault ended
+// reachability tracks the faults that separate one process, or all of them, from the
+// store.
+type reachability struct {
+	mu           sync.Mutex
+	activeFaults int
+	lastEnded    time.Time // when the last fault ended
 }
 
-// lose notes a fault before it begins.
-func (c *contact) lose() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.faults++
+// faultBegan records a fault. It is called before the fault begins.
+func (r *reachability) faultBegan() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.activeFaults++
 }
 
-// regain notes the end of a fault, after it.
-func (c *contact) regain() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.faults--
-	c.ended = time.Now()
+// faultEnded records the end of a fault. It is called after the fault has ended.
+func (r *reachability) faultEnded() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.activeFaults--
+	r.lastEnded = time.Now()
 }
 
-// lasts reports whether there was no fault in the time touchFor before now.
-func (c *contact) lasts() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.faults == 0 && time.Since(c.ended) >= touchFor
+// reachable reports whether there has been no fault for storeReachableWindow.
+func (r *reachability) reachable() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.activeFaults == 0 && time.Since(r.lastEnded) >= storeReachableWindow
 }
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -11,30 +11,30 @@
 	"github.com/springgate/springgate/platform/fake"
 )
 
-// A request that ends each target that runs it comes in waves, at all entries.
+// A request that crashes each target that runs it is sent in waves, to all entries.
 const (
-	waveFor   = 3 * time.Second
-	waveEvery = 120 * time.Millisecond // mean time between two attempts
-	// wavePause is long enough that entries that were started again meanwhile count as
-	// in touch in the second wave, which lasts longer than that.
-	wavePause = touchFor
-	lastWave  = aftermath + 3*time.Second
+	waveDuration     = 3 * time.Second
+	waveMeanInterval = 120 * time.Millisecond // mean time between two attempts
+	// wavePause is long enough for entries that were restarted meanwhile to count as able
+	// to reach the store in the second wave. That wave lasts longer than the pause.
+	wavePause        = storeReachableWindow
+	lastWaveDuration = settleTime + 3*time.Second
 )
 
-// Bounds of the promise about such a request.
+// Bounds of InvariantCrashLimit.
 const (
-	crashesToKnow = 3 // targets that must have ended under it
-	sendsLeft     = 3 // how often it may reach a target after that
+	crashesToQuarantine  = 3 // targets that it must have crashed
+	sendsAfterQuarantine = 3 // times that it may reach a target after that
 )
 
-// crashingRequest sends a request that ends each target that runs it, again and again,
-// at any entry. Between its waves all entries are killed one after the other, or at
-// once, or left alone.
-func crashingRequest(f *Fleet, rng *rand.Rand, _ time.Duration) {
+// sendCrashingRequests repeatedly sends a request that crashes each target that runs it,
+// to random entries. Between the two waves all entries are killed one after the other,
+// killed at the same time, or left running.
+func sendCrashingRequests(f *Fleet, rng *rand.Rand, _ time.Duration) {
 	body := fmt.Sprintf("%s%d", fake.CrashPrefix, rng.Uint64())
 	k := pick(rng, kinds)
 	f.logf("a request of kind %s that crashes targets, %s", k.name, body)
-	f.crashWave(rng, k, body, waveFor)
+	f.sendCrashWave(rng, k, body, waveDuration)
 	switch rng.IntN(3) {
 	case 0:
 		for _, e := range f.entries {
@@ -48,11 +48,11 @@
 		all.Wait()
 	}
 	time.Sleep(wavePause)
-	f.crashWave(rng, k, body, lastWave)
+	f.sendCrashWave(rng, k, body, lastWaveDuration)
 }
 
-// crashWave sends the request for a time.
-func (f *Fleet) crashWave(rng *rand.Rand, k kind, body string, d time.Duration) {
+// sendCrashWave sends the request repeatedly for d.
+func (f *Fleet) sendCrashWave(rng *rand.Rand, k kind, body string, d time.Duration) {
 	var calls sync.WaitGroup
 	for end := time.Now().Add(d); time.Now().Before(end); {
 		c := newCaller(f, pick(rng, f.entries), fmt.Sprintf("crash-%x", rng.Uint64()), rng)
@@ -60,27 +60,29 @@
 			defer c.client.CloseIdleConnections()
 			c.callBody(context.Background(), k, 0, body)
 		})
-		time.Sleep(between(rng, waveEvery/2, waveEvery*3/2))
+		time.Sleep(randomDuration(rng, waveMeanInterval/2, waveMeanInterval*3/2))
 	}
 	calls.Wait()
 }
 
-// keptCrashing returns the attempts of requests that crash targets which reached targets
-// too often: from entries in touch, long enough after the last crash that had to be known.
-func keptCrashing(attempts []Attempt, facts Facts) []Attempt {
+// sentAfterQuarantine returns the attempts by which crashing requests reached targets more
+// than sendsAfterQuarantine times. It counts only attempts through fault-free entries that
+// could reach the store, sent more than storeReachableWindow after the crash that must put
+// the request in quarantine.
+func sentAfterQuarantine(attempts []Attempt, facts Facts) []Attempt {
 	var out []Attempt
 	for body, crashes := range facts.Crashes {
-		if len(crashes) < crashesToKnow {
+		if len(crashes) < crashesToQuarantine {
 			continue
 		}
-		known := crashes[crashesToKnow-1] + touchFor
-		var late []Attempt
+		quarantinedBy := crashes[crashesToQuarantine-1] + storeReachableWindow
+		var sent []Attempt
 		for _, a := range attempts {
-			if a.Body == body && a.Sent > known && a.StoreReachable && a.EntryFaultFree {
-				late = append(late, slices.Repeat([]Attempt{a}, len(facts.Reached[a.ID]))...)
+			if a.Body == body && a.Sent > quarantinedBy && a.StoreReachable && a.EntryFaultFree {
+				sent = append(sent, slices.Repeat([]Attempt{a}, len(facts.Reached[a.ID]))...)
 			}
 		}
-		out = append(out, late[min(sendsLeft, len(late)):]...)
+		out = append(out, sent[min(sendsAfterQuarantine, len(sent)):]...)
 	}
 	return out
 }
--- a/soak/evacuation_test.go
+++ b/soak/evacuation_test.go
@@ -8,15 +8,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// evacuatedWithin is how long after the store's answer no request may reach a target of an
-// evacuated failure domain, as the platform's pages have it.
-const evacuatedWithin = 5 * time.Second
+// evacuationBound is the time after the store's answer from which no request may reach a
+// target of an evacuated failure domain, as the platform documents it.
+const evacuationBound = 5 * time.Second
 
-// An operator asked that nothing more be sent to the targets of a failure domain. Entries
-// sent there as before, until it was taken back: they know nothing of evacuations.
+// Guards against entries that ignore the evacuation of a failure domain and keep sending
+// requests to its targets until the evacuation is withdrawn.
 //
-// The evidence: 4,056 and 4,335 requests in two hunted days reached targets of evacuated
-// domains later than allowed, and no decoder reads that key.
+// No decoder read the evacuation key. On two days, 4,056 and 4,335 requests reached
+// targets of evacuated domains later than allowed.
 func TestEvacuatedDomainGetsNoRequests(t *testing.T) {
 	f, err := newFleet(Config{Seed: 1, Entries: 3, Engines: 3, PlainTargets: 6, Bin: buildPrograms(t), Dir: t.TempDir(), Logf: t.Logf})
 	if f != nil {
@@ -28,7 +28,7 @@
 
 	evacuated := domains[0]
 	f.store.Put(fake.KeyEvacuate(evacuated), struct{}{})
-	time.Sleep(evacuatedWithin)
+	time.Sleep(evacuationBound)
 	c := newCaller(f, f.entries[0], "late", f.rng)
 	defer c.client.CloseIdleConnections()
 	var ids []string
@@ -39,16 +39,16 @@
 	}
 	reached := f.runs.Reached()
 	for _, id := range ids {
-		for _, instance := range reached[id] {
-			assert.Check(t, !f.isOf(instance, evacuated), "%s reached %s", id, instance)
+		for _, incarnation := range reached[id] {
+			assert.Check(t, !f.isInDomain(incarnation, evacuated), "%s reached %s", id, incarnation)
 		}
 	}
 }
 
-// isOf reports whether an instance is of a target in a failure domain.
-func (f *Fleet) isOf(instance, domain string) bool {
+// isInDomain reports whether an incarnation is of a target in a failure domain.
+func (f *Fleet) isInDomain(incarnation, domain string) bool {
 	for i, x := range f.targets() {
-		if x.Owns(instance) {
+		if x.Owns(incarnation) {
 			return domains[i%len(domains)] == domain
 		}
 	}
--- a/soak/facts.go
+++ b/soak/facts.go
@@ -9,19 +9,19 @@
 	"github.com/springgate/springgate/platform/fake"
 )
 
-// Facts are what the store and the targets know. Times are since the start of
-// the run, on the monotonic clock of this process.
+// Facts is what the store and the targets recorded. Times are relative to the start of the
+// run, on the monotonic clock of this process.
 type Facts struct {
-	Runs    map[string][]string        // instances that ran each request
-	Reached map[string][]string        // instances that each request reached, whether it ran or not
-	Configs map[int]Write              // each configuration, which allows the rotating key of its number only
-	Leaving map[string]time.Duration   // when the store had the entry in which an instance leaves
-	Crashes map[string][]time.Duration // when targets ended under a request, by its body
-	SchedulingDelay    map[string]time.Duration   // by how much targets were later with each request than they were to be
-	Limits  []LimitSpan
-	// Arrivals are the requests that reached each life of a target, in order.
+	Runs            map[string][]string        // target incarnations that ran each request
+	Reached         map[string][]string        // target incarnations that each request reached, whether it ran or not
+	Configs         map[int]Write              // by number of the configuration, which accepts only the rotating key of the same number
+	Leaving         map[string]time.Duration   // when the store had marked a target incarnation as leaving
+	Crashes         map[string][]time.Duration // when targets crashed while running a request, by request body
+	SchedulingDelay map[string]time.Duration   // by how much targets were late with each request because this process waited for CPU
+	Limits          []LimitSpan
+	// Arrivals are the requests that reached each target incarnation, in order.
 	Arrivals map[string][]Arrival
-	Backoffs    map[string][]Backoff // that each life of a target asked for
+	Backoffs map[string][]Backoff // requested by each target incarnation
 }
 
 // Arrival is when a request reached a target.
@@ -30,11 +30,11 @@
 	At      time.Duration
 }
 
-// Write is when a write to the store began and was done.
+// Write is when a write to the store began and when it was done.
 type Write struct{ Began, Done time.Duration }
 
-// notes gathers facts.
-type notes struct {
+// factRecorder collects facts during a run.
+type factRecorder struct {
 	start time.Time
 
 	mu      sync.Mutex
@@ -43,58 +43,59 @@
 	limits  []LimitSpan
 }
 
-func newNotes() *notes {
-	return &notes{start: time.Now(), configs: map[int]Write{}, leaving: map[string]time.Duration{}}
+func newFactRecorder() *factRecorder {
+	return &factRecorder{start: time.Now(), configs: map[int]Write{}, leaving: map[string]time.Duration{}}
 }
 
-// now returns the time since the start of the run.
-func (n *notes) now() time.Duration { return time.Since(n.start) }
+// elapsed returns the time since the start of the run.
+func (r *factRecorder) elapsed() time.Duration { return time.Since(r.start) }
 
-// write does a write of a configuration and notes its times.
-func (n *notes) write(config int, do func()) {
-	w := Write{Began: n.now()}
-	do()
-	w.Done = n.now()
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.configs[config] = w
+// recordWrite executes the write of a configuration and records when it began and was
+// done.
+func (r *factRecorder) recordWrite(config int, put func()) {
+	w := Write{Began: r.elapsed()}
+	put()
+	w.Done = r.elapsed()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.configs[config] = w
 }
 
-// leaves notes that the store has the entry in which an instance leaves.
-func (n *notes) leaves(instance string) {
-	at := n.now()
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.leaving[instance] = at
+// recordLeaving records that the store has marked a target incarnation as leaving.
+func (r *factRecorder) recordLeaving(incarnation string) {
+	at := r.elapsed()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.leaving[incarnation] = at
 }
 
-// facts returns what was noted, with what targets saw of the requests.
-func (n *notes) facts(runs *fake.Runs) Facts {
-	n.mu.Lock()
-	defer n.mu.Unlock()
+// facts returns what was recorded, together with what targets recorded of the requests.
+func (r *factRecorder) facts(runs *fake.Runs) Facts {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	crashes := map[string][]time.Duration{}
 	for body, list := range runs.Crashes() {
 		for _, c := range list {
-			crashes[body] = append(crashes[body], c.At.Sub(n.start))
+			crashes[body] = append(crashes[body], c.At.Sub(r.start))
 		}
 	}
 	arrivals := map[string][]Arrival{}
 	for _, a := range runs.Arrivals() {
-		arrivals[a.Life] = append(arrivals[a.Life], Arrival{a.Request, a.At.Sub(n.start)})
+		arrivals[a.Life] = append(arrivals[a.Life], Arrival{a.Request, a.At.Sub(r.start)})
 	}
-	rests := map[string][]Backoff{}
+	backoffs := map[string][]Backoff{}
 	for _, x := range runs.Rests() {
-		rests[x.Life] = append(rests[x.Life], Backoff{x.Request, x.At.Sub(n.start), x.Rest})
+		backoffs[x.Life] = append(backoffs[x.Life], Backoff{x.Request, x.At.Sub(r.start), x.Rest})
 	}
-	return Facts{Backoffs: rests, Limits: slices.Clone(n.limits), Arrivals: arrivals, Runs: runs.All(), Reached: runs.Reached(), Configs: maps.Clone(n.configs), Leaving: maps.Clone(n.leaving), Crashes: crashes, SchedulingDelay: runs.Late()}
+	return Facts{Backoffs: backoffs, Limits: slices.Clone(r.limits), Arrivals: arrivals, Runs: runs.All(), Reached: runs.Reached(), Configs: maps.Clone(r.configs), Leaving: maps.Clone(r.leaving), Crashes: crashes, SchedulingDelay: runs.Late()}
 }
 
-// leavingSince returns the first time since when one of the instances that a request
-// reached was leaving.
+// leavingSince returns the earliest time at which one of the target incarnations that a
+// request reached was marked as leaving.
 func (f Facts) leavingSince(id string) (time.Duration, bool) {
 	var since []time.Duration
-	for _, instance := range slices.Concat(f.Reached[id], f.Runs[id]) {
-		if at, ok := f.Leaving[instance]; ok {
+	for _, incarnation := range slices.Concat(f.Reached[id], f.Runs[id]) {
+		if at, ok := f.Leaving[incarnation]; ok {
 			since = append(since, at)
 		}
 	}
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -13,23 +13,24 @@
 	"github.com/springgate/springgate/platform/fake"
 )
 
-// Shape of the faults.
+// Timing of the faults.
 const (
-	// meanPause is the mean time between two faults. They last longer, so some
-	// overlap.
-	meanPause = 500 * time.Millisecond
-	// aftermath is how long a fault may still show after its end: streams and
-	// connections that it broke are noticed by timeouts.
-	aftermath = 4 * time.Second
+	// meanFaultInterval is the mean time between the starts of two faults. Faults last
+	// longer, so some overlap.
+	meanFaultInterval = 500 * time.Millisecond
+	// settleTime is how long a fault may still have effects after its end: streams and
+	// connections that it broke are detected by timeouts.
+	settleTime = 4 * time.Second
 )
 
-// fault is one kind of fault. Its func returns when the fault is over.
+// fault is one kind of fault. inject returns when the fault is over.
 type fault struct {
-	name string
-	do   func(f *Fleet, rng *rand.Rand, d time.Duration)
+	name   string
+	inject func(f *Fleet, rng *rand.Rand, d time.Duration)
 }
 
-// faults last for the time that they are given.
+// faults are the kinds of fault that last for the duration given to inject, or have no
+// duration.
 var faults = []fault{
 	{"entry killed", func(f *Fleet, rng *rand.Rand, d time.Duration) { f.restart(pick(rng, f.entries), d, true) }},
 	{"entry stopped", func(f *Fleet, rng *rand.Rand, d time.Duration) { f.restart(pick(rng, f.entries), d, false) }},
@@ -42,15 +43,17 @@
 			f.logf("settings not written: %v", err)
 		}
 	}},
-	{"link to the store", func(f *Fleet, rng *rand.Rand, d time.Duration) { f.cutEntry(rng.IntN(len(f.links)), anyMode(rng), d) }},
+	{"link to the store", func(f *Fleet, rng *rand.Rand, d time.Duration) {
+		f.breakStoreLink(rng.IntN(len(f.storeLinks)), randomFaultMode(rng), d)
+	}},
 	{"link to a target", func(f *Fleet, rng *rand.Rand, d time.Duration) {
-		i := rng.IntN(len(f.ways))
-		f.troubleTarget(f.targets()[i], d+aftermath)
-		f.ways[i].Break(anyMode(rng), d)
+		i := rng.IntN(len(f.targetLinks))
+		f.markTargetFaulty(f.targets()[i], d+settleTime)
+		f.targetLinks[i].Break(randomFaultMode(rng), d)
 	}},
 	{"store", func(f *Fleet, rng *rand.Rand, d time.Duration) {
-		f.contact.lose()
-		defer f.contact.regain()
+		f.reachability.faultBegan()
+		defer f.reachability.faultEnded()
 		f.store.SetMode([]fake.StoreMode{fake.StoreBusy, fake.StoreReset, fake.StoreSlow}[rng.IntN(3)])
 		time.Sleep(d)
 		f.store.SetMode(fake.StoreWorks)
@@ -62,7 +65,7 @@
 			if rng.IntN(2) == 0 {
 				continue
 			}
-			f.troubleTarget(t, d+aftermath)
+			f.markTargetFaulty(t, d+settleTime)
 			flags = append(flags, pick(rng, []*atomic.Bool{&t.Faults.Truncate, &t.Faults.Extra, &t.Faults.Full, &t.Faults.Fail}))
 		}
 		setAll(flags, true)
@@ -71,7 +74,7 @@
 	}},
 	{"target restarted", func(f *Fleet, rng *rand.Rand, _ time.Duration) {
 		t := pick(rng, f.targets())
-		f.troubleTarget(t, aftermath)
+		f.markTargetFaulty(t, settleTime)
 		t.Restart()
 	}},
 	{"origin away", func(f *Fleet, _ *rand.Rand, d time.Duration) {
@@ -88,25 +91,26 @@
 	{"version", func(f *Fleet, _ *rand.Rand, _ time.Duration) { f.nextVersion() }},
 }
 
-// asideFaults come beside those that are drawn, once in a run and at any moment of it.
-// Their draws are their own, so that the course of a seed stays when one is added.
-var asideFaults = []fault{{"request crashes targets", crashingRequest}, {"targets name limits", limitsNamed},
-	{"targets say that they leave", leavingSaid}, {"targets ask for rest", restAsked}}
+// onceFaults are injected once in a run, each at a random time, in addition to the faults
+// that are drawn. They have random number generators of their own, so that adding one does
+// not change the faults that are drawn for a seed.
+var onceFaults = []fault{{"request crashes targets", sendCrashingRequests}, {"targets name limits", announceLimits},
+	{"targets say that they leave", announceLeaving}, {"targets ask for rest", requestBackoff}}
 
-// breakAside begins the faults beside those that are drawn.
-func (f *Fleet) breakAside(running *sync.WaitGroup, count map[string]int) {
+// injectOnceFaults starts the onceFaults.
+func (f *Fleet) injectOnceFaults(running *sync.WaitGroup, count map[string]int) {
 	if f.cfg.SkipOnceFaults {
 		return
 	}
 	rng := rand.New(rand.NewPCG(f.cfg.Seed, 2))
-	for _, x := range matching(f.cfg.Only, asideFaults) {
+	for _, x := range matching(f.cfg.Only, onceFaults) {
 		after := time.Duration(rng.Int64N(int64(f.cfg.Duration)))
 		own := rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64()))
 		count[x.name]++
 		running.Go(func() {
 			time.Sleep(after)
 			f.logf("%s", x.name)
-			x.do(f, own, 0)
+			x.inject(f, own, 0)
 		})
 	}
 }
@@ -119,10 +123,10 @@
 
 func pick[T any](rng *rand.Rand, list []T) T { return list[rng.IntN(len(list))] }
 
-// chooser draws kinds of fault.
+// chooser draws kinds of fault at random.
 type chooser struct{ short, long []fault }
 
-// newChooser returns a chooser of the kinds whose name matches; nil matches all.
+// newChooser returns a chooser among the kinds whose name matches only; nil matches all.
 func newChooser(only *regexp.Regexp) chooser {
 	return chooser{matching(only, faults), matching(only, longFaults)}
 }
@@ -138,8 +142,8 @@
 
 func (c chooser) empty() bool { return len(c.short)+len(c.long) == 0 }
 
-// draw returns a kind of fault and whether it is a long one. A long one comes
-// twice as often as another, as it may be left out.
+// draw returns a kind of fault and whether it is a long one. Long ones are drawn twice as
+// often as others, because one is skipped while another of its kind is running.
 func (c chooser) draw(rng *rand.Rand) (x fault, long bool) {
 	i := rng.IntN(len(c.short) + 2*len(c.long))
 	if i < len(c.short) {
@@ -148,17 +152,17 @@
 	return c.long[(i-len(c.short))%len(c.long)], true
 }
 
-// breakThings injects faults, in series and overlapping, for the run's duration
-// and returns how many of each there were. All are over when it returns.
-func (f *Fleet) breakThings(ctx context.Context) map[string]int {
+// injectFaults injects faults, one after another and overlapping, for the run's duration
+// and returns how many of each kind were drawn. All are over when it returns.
+func (f *Fleet) injectFaults(ctx context.Context) map[string]int {
 	count := map[string]int{}
-	busy := map[string]*sync.Mutex{} // a kind of fault waits for the last of its kind, or is left out if it is long
+	busy := map[string]*sync.Mutex{} // by kind: a fault waits for the previous one of its kind, or is skipped if it is long
 	choice := newChooser(f.cfg.Only)
 	for _, x := range slices.Concat(choice.short, choice.long) {
 		busy[x.name] = &sync.Mutex{}
 	}
 	var running sync.WaitGroup
-	f.breakAside(&running, count)
+	f.injectOnceFaults(&running, count)
 	for end := time.Now().Add(f.cfg.Duration); time.Now().Before(end) && ctx.Err() == nil; {
 		if choice.empty() {
 			time.Sleep(time.Until(end))
@@ -176,28 +180,27 @@
 				return
 			}
 			defer busy[x.name].Unlock()
-			x.do(f, rng, d)
+			x.inject(f, rng, d)
 		})
-		time.Sleep(time.Duration(f.rng.ExpFloat64() * float64(meanPause)))
+		time.Sleep(time.Duration(f.rng.ExpFloat64() * float64(meanFaultInterval)))
 	}
 	running.Wait()
 	return count
 }
 
-// restart ends a process, by its own orderly stop or at once, and starts it
-// again.
+// restart stops a process, gracefully or by SIGKILL, and starts it again.
 func (f *Fleet) restart(p *Process, after time.Duration, kill bool) {
 	p.restarting.Lock()
 	defer p.restarting.Unlock()
-	p.contact.lose()
-	defer p.contact.regain()
+	p.reachability.faultBegan()
+	defer p.reachability.faultEnded()
 	if kill {
-		p.MarkFaulty(after + aftermath)
+		p.MarkFaulty(after + settleTime)
 		p.Kill()
 	} else {
 		p.Signal(syscall.SIGTERM)
-		if !p.Wait(grace) {
-			p.MarkFaulty(aftermath)
+		if !p.Wait(shutdownGrace) {
+			p.MarkFaulty(settleTime)
 			p.Kill()
 		}
 	}
@@ -208,9 +211,9 @@
 }
 
 func (f *Fleet) pause(p *Process, d time.Duration) {
-	p.MarkFaulty(d + aftermath)
-	p.contact.lose()
-	defer p.contact.regain()
+	p.MarkFaulty(d + settleTime)
+	p.reachability.faultBegan()
+	defer p.reachability.faultEnded()
 	p.Signal(syscall.SIGSTOP)
 	time.Sleep(d)
 	p.Signal(syscall.SIGCONT)
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -1,6 +1,6 @@
-// Package soak runs the real programs as processes of their own on loopback
-// against stand-ins of the platform, injects faults from outside and checks the
-// promises of the system from what callers and targets see.
+// Package soak runs the real programs as separate processes on loopback against a fake
+// platform, injects faults from outside and checks the system's invariants against what
+// callers and targets observe.
 package soak
 
 import (
@@ -22,68 +22,69 @@
 
 // Config describes a run.
 type Config struct {
-	Seed     uint64
-	Only     *regexp.Regexp // kinds of fault, by name; nil is all
-	SkipOnceFaults    bool           // without the faults beside those that are drawn
-	Duration time.Duration
-	// Entries and Engines are how many of each are run; an agent runs beside each
-	// engine. PlainTargets is how many plain targets there are.
+	Seed           uint64
+	Only           *regexp.Regexp // kinds of fault to inject, by name; nil means all
+	SkipOnceFaults bool           // do not inject the onceFaults
+	Duration       time.Duration
+	// Entries and Engines are the number of each to run; an agent runs beside each engine.
+	// PlainTargets is the number of targets that are not engines.
 	Entries, Engines, PlainTargets int
-	// Bin is the folder of the programs, Dir where settings and logs go.
+	// Bin is the directory of the programs, Dir the directory for settings and logs.
 	Bin, Dir string
 	Logf     func(format string, args ...any)
 }
 
-// Names of the fleet.
+// Names and settings of the fleet.
 const (
 	hostName      = "soak.example"
 	model         = "model-a"
 	pieces        = 8
 	engineService = "chat"
 	plainService  = "plain"
-	grace         = 6 * time.Second
+	shutdownGrace = 6 * time.Second
 )
 
 var domains = []string{"north", "south", "west"}
 
 // Fleet is everything that a run starts.
 type Fleet struct {
-	cfg     Config
-	rng     *rand.Rand
-	store   *fake.Store
-	origin  *fake.Origin
-	runs    *fake.Runs
-	entries []*Process
-	agents  []*Process
-	engines []*fake.Target
-	plains  []*fake.Target
-	links   []*Link // before the store, one for each entry
-	ways    []*Link // before the targets
-	record  record
-	notes   *notes
-	contact contact // with the store, of all
-
-	publishing sync.Mutex   // one configuration or version is written after the other
-	config     atomic.Int64 // newest configuration
-	version    atomic.Int64 // newest version of the model
-
-	mu       sync.Mutex
-	troubled map[*fake.Target]time.Time // until when it, or the way to it, misbehaves
+	cfg          Config
+	rng          *rand.Rand
+	store        *fake.Store
+	origin       *fake.Origin
+	runs         *fake.Runs
+	entries      []*Process
+	agents       []*Process
+	engines      []*fake.Target
+	plainTargets []*fake.Target
+	storeLinks   []*Link // in front of the store, one for each entry
+	targetLinks  []*Link // in front of the targets
+	attemptLog   attemptLog
+	recorder     *factRecorder
+	reachability reachability // of the store, for all processes
+
+	publishing    sync.Mutex   // serializes writes of configurations and versions
+	latestConfig  atomic.Int64 // number of the latest configuration
+	latestVersion atomic.Int64 // latest version of the model
+
+	mu          sync.Mutex
+	faultyUntil map[*fake.Target]time.Time // until when the target or the link to it may misbehave
 }
 
 func rotatingKey(n int) string { return fmt.Sprintf("key-%d", n) }
 
-// Ports of the programs lie below those that the kernel gives to connections, so
-// that none is taken between the choice and the start.
+// The programs' ports lie below the kernel's ephemeral ports, so that no outgoing
+// connection takes one between its selection and the start of the program.
 const (
 	firstPort = 12000
 	portCount = 18000
 )
 
-// ports hands out addresses of loopback that nothing listens on, each once.
+// ports allocates unused loopback addresses, each once.
 type ports struct{ next int }
 
-// newPorts begins at a place of its own for each test process.
+// newPorts starts at an offset that depends on the process ID, so that concurrent test
+// processes try different ports.
 func newPorts() *ports { return &ports{next: os.Getpid() * 397 % portCount} }
 
 func (p *ports) addr() (string, error) {
@@ -98,10 +99,10 @@
 	return "", fmt.Errorf("soak: no free port from %d on", firstPort)
 }
 
-// newFleet starts the stand-ins and the programs.
+// newFleet starts the fake platform, the targets and the programs.
 func newFleet(cfg Config) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), runs: fake.NewRuns(), notes: newNotes(),
-		troubled: map[*fake.Target]time.Time{}}
+	f := &Fleet{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), runs: fake.NewRuns(), recorder: newFactRecorder(),
+		faultyUntil: map[*fake.Target]time.Time{}}
 	var err error
 	if f.store, err = fake.NewStore(); err != nil {
 		return nil, err
@@ -109,7 +110,7 @@
 	if f.origin, err = fake.NewOrigin(model, pieces); err != nil {
 		return nil, err
 	}
-	f.version.Store(1)
+	f.latestVersion.Store(1)
 	f.nextConfig()
 	if err := f.startTargets(); err != nil {
 		return nil, err
@@ -119,23 +120,23 @@
 
 func (f *Fleet) startTargets() error {
 	for i := range f.cfg.Engines + f.cfg.PlainTargets {
-		var way *Link
-		// Every other target starts again under its ID.
+		var link *Link
+		// Every other target keeps its ID when it restarts.
 		cfg := fake.TargetConfig{Service: plainService, Domain: domains[i%len(domains)], KeepID: i%2 == 1}
 		if i < f.cfg.Engines {
 			cfg.Service, cfg.Model, cfg.Holds = engineService, model, 1
 			cfg.RequireFencing = i%2 == 0
-			cfg.LateFrom, cfg.LateTo = lateFrom, lateTo
+			cfg.LateFrom, cfg.LateTo = lateOrderMin, lateOrderMax
 		}
 		var linkErr error
 		cfg.Listed = func(own string) string {
-			if way, linkErr = NewLink(own); linkErr != nil {
+			if link, linkErr = NewLink(own); linkErr != nil {
 				return own
 			}
-			return way.Addr()
+			return link.Addr()
 		}
-		if i%2 == 0 { // before the others stands something that takes connections meanwhile
-			cfg.Down = func(down bool) { way.SetDown(down) }
+		if i%2 == 0 { // the links to the other targets accept connections while the target is down
+			cfg.Down = func(down bool) { link.SetDown(down) }
 		}
 		t, err := fake.NewTarget(cfg, f.store, f.runs, f.origin)
 		if err != nil {
@@ -144,11 +145,11 @@
 		if linkErr != nil {
 			return linkErr
 		}
-		f.ways = append(f.ways, way)
+		f.targetLinks = append(f.targetLinks, link)
 		if i < f.cfg.Engines {
 			f.engines = append(f.engines, t)
 		} else {
-			f.plains = append(f.plains, t)
+			f.plainTargets = append(f.plainTargets, t)
 		}
 	}
 	return nil
@@ -160,12 +161,12 @@
 	free := newPorts()
 	for i := range f.cfg.Entries {
 		n := fake.Node{Name: fmt.Sprintf("entry-%d", i), Domain: domains[i%len(domains)], Serves: []string{"front", "control"},
-			Grace: grace, FirstStart: true}
+			Grace: shutdownGrace, FirstStart: true}
 		link, err := NewLink(f.store.Addr())
 		if err != nil {
 			return err
 		}
-		f.links = append(f.links, link)
+		f.storeLinks = append(f.storeLinks, link)
 		n.Store = link.Addr()
 		for _, addr := range []*string{&n.Callers, &n.Ready, &n.Peers} {
 			if *addr, err = free.addr(); err != nil {
@@ -179,7 +180,7 @@
 	}
 	for i, e := range f.engines {
 		n := fake.Node{Name: fmt.Sprintf("agent-%d", i), Domain: domains[i%len(domains)], Serves: []string{"side"},
-			Engine: e.Addr(), Service: engineService, Store: f.store.Addr(), Grace: grace, FirstStart: true}
+			Engine: e.Addr(), Service: engineService, Store: f.store.Addr(), Grace: shutdownGrace, FirstStart: true}
 		var err error
 		if n.Peers, err = free.addr(); err != nil {
 			return err
@@ -207,26 +208,28 @@
 	return p.Start()
 }
 
-// close ends all processes by their ids, and the stand-ins.
+// close kills all processes, each by its process ID, and closes the links, the targets and
+// the fake platform.
 func (f *Fleet) close() {
 	for _, p := range append(f.entries, f.agents...) {
 		p.Kill()
 	}
-	for _, l := range append(f.links, f.ways...) {
+	for _, l := range append(f.storeLinks, f.targetLinks...) {
 		l.Close()
 	}
-	for _, t := range append(f.engines, f.plains...) {
+	for _, t := range append(f.engines, f.plainTargets...) {
 		t.Close()
 	}
 	f.store.Close()
 	f.origin.Close()
 }
 
-// nextConfig publishes a configuration that allows the next rotating key only.
+// nextConfig publishes a configuration that accepts only the next rotating key, besides
+// the permanent one.
 func (f *Fleet) nextConfig() {
 	f.publishing.Lock()
 	defer f.publishing.Unlock()
-	n := int(f.config.Load()) + 1
+	n := int(f.latestConfig.Load()) + 1
 	route := func(k kind, service string) fake.Route {
 		return fake.Route{Name: k.name, Host: hostName, Prefix: k.path, Kind: k.name, Service: service, TimeoutMs: 3000,
 			TargetLatencyMs: 500, GapTargetMs: 400, Attempts: 2, ResumeStreams: k.name == fake.KindStreaming}
@@ -237,52 +240,55 @@
 			{Name: engineService, MaxConnections: 200, Engine: &fake.Engine{Slots: 16, Stride: 5, StepMs: 1, ReadPerS: 100000,
 				Models: []fake.EngineModel{{Name: model, WarmS: 0.1}}, Usual: map[string]int{"prompt": 100, "answer": 20}, Layers: 4, Chunks: pieces, ChunkBytes: 4096}}},
 		Limits: map[string]int{"HeaderBytes": 8192, "BodyBytes": 1 << 20, "HeaderTimeoutMs": 10000, "IdleTimeoutMs": 30000},
-		Teams:  []fake.Team{{Name: "lasting", ApiKeys: []string{lastingKey}}, {Name: "rotating", ApiKeys: []string{rotatingKey(n)}}}}
-	f.notes.write(n, func() { f.store.Put(fake.KeyConfig, cfg) })
+		Teams:  []fake.Team{{Name: "lasting", ApiKeys: []string{permanentKey}}, {Name: "rotating", ApiKeys: []string{rotatingKey(n)}}}}
+	f.recorder.recordWrite(n, func() { f.store.Put(fake.KeyConfig, cfg) })
 	f.logf("configuration %d written", n)
-	f.config.Store(int64(n))
+	f.latestConfig.Store(int64(n))
 }
 
-// nextVersion names a new version of the model.
+// nextVersion publishes a new version of the model.
 func (f *Fleet) nextVersion() {
 	f.publishing.Lock()
 	defer f.publishing.Unlock()
-	n := int(f.version.Add(1))
+	n := int(f.latestVersion.Add(1))
 	f.store.Put(fake.KeyVersion(model), fake.Version{Model: model, Version: n})
 	f.logf("version %d written", n)
 }
 
 // logf logs with the time since the start of the run.
 func (f *Fleet) logf(format string, args ...any) {
-	f.cfg.Logf("%7.3f s: %s", f.notes.now().Seconds(), fmt.Sprintf(format, args...))
+	f.cfg.Logf("%7.3f s: %s", f.recorder.elapsed().Seconds(), fmt.Sprintf(format, args...))
 }
 
-// inTouch reports whether an entry could reach the store for touchFor.
-func (f *Fleet) inTouch(p *Process) bool { return f.contact.lasts() && p.contact.lasts() }
+// storeReachable reports whether an entry has been able to reach the store for
+// storeReachableWindow.
+func (f *Fleet) storeReachable(p *Process) bool {
+	return f.reachability.reachable() && p.reachability.reachable()
+}
 
-// targets returns all targets, in the order of the ways to them.
-func (f *Fleet) targets() []*fake.Target { return append(slices.Clone(f.engines), f.plains...) }
+// targets returns all targets, in the order of targetLinks.
+func (f *Fleet) targets() []*fake.Target { return append(slices.Clone(f.engines), f.plainTargets...) }
 
-// troubleTarget notes that a target or the way to it misbehaves for a time.
-func (f *Fleet) troubleTarget(t *fake.Target, d time.Duration) {
+// markTargetFaulty records that a target or the link to it may misbehave for d.
+func (f *Fleet) markTargetFaulty(t *fake.Target, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if until := time.Now().Add(d); until.After(f.troubled[t]) {
-		f.troubled[t] = until
+	if until := time.Now().Add(d); until.After(f.faultyUntil[t]) {
+		f.faultyUntil[t] = until
 	}
 }
 
-// troubledSince reports whether one of the targets that ran a request
-// misbehaved at a time or later, or crashed under another one.
-func (f *Fleet) troubledSince(id string, since time.Time) bool {
+// ranOnFaultySince reports whether one of the targets that ran a request was faulty at
+// since or later, or crashed while running another request.
+func (f *Fleet) ranOnFaultySince(id string, since time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, instance := range f.runs.Of(id) {
-		if f.runs.Crashed(instance) {
+	for _, incarnation := range f.runs.Of(id) {
+		if f.runs.Crashed(incarnation) {
 			return true
 		}
-		for t, until := range f.troubled {
-			if t.Owns(instance) && until.After(since) {
+		for t, until := range f.faultyUntil {
+			if t.Owns(incarnation) && until.After(since) {
 				return true
 			}
 		}
@@ -290,19 +296,19 @@
 	return false
 }
 
-// Result is what a run found.
+// Result is the outcome of a run.
 type Result struct {
-	Violations []Violation
-	Mixed      []fake.MixedLoad
-	Unserved   []string
-	Attempts   int
-	Served     int
-	Faults     map[string]int
-	UnexpectedExits   int // processes that ended by themselves, and were started again
-	DifferingCopies  int // lines in which entries say that copies of the store differ
+	Violations      []Violation
+	Mixed           []fake.MixedLoad
+	Unserved        []string
+	Attempts        int
+	Served          int
+	Faults          map[string]int
+	UnexpectedExits int // process exits that the run did not cause; the processes were restarted
+	DifferingCopies int // log lines in which entries report that copies of the store differ
 }
 
-// Run runs the fleet under faults and judges it.
+// Run runs a fleet under load and faults and checks the invariants.
 func Run(ctx context.Context, cfg Config) (*Result, error) {
 	f, err := newFleet(cfg)
 	if f != nil {
@@ -319,10 +325,10 @@
 	for i, e := range f.entries {
 		for k := range callersPerEntry {
 			c := newCaller(f, e, fmt.Sprintf("s%d-%d-%d", cfg.Seed, i, k), rand.New(rand.NewPCG(cfg.Seed, uint64(100+i*callersPerEntry+k))))
-			load.Go(func() { c.run(loadCtx) })
+			load.Go(func() { c.sendRequests(loadCtx) })
 		}
 	}
-	faults := f.breakThings(ctx)
+	faults := f.injectFaults(ctx)
 	unserved := f.awaitService(ctx)
 	stopLoad()
 	load.Wait()
@@ -333,11 +339,11 @@
 	for _, p := range slices.Concat(f.entries, f.agents) {
 		r.UnexpectedExits += p.UnexpectedExits()
 	}
-	if r.DifferingCopies, err = f.differing(); err != nil {
+	if r.DifferingCopies, err = f.countDifferingCopies(); err != nil {
 		return nil, err
 	}
-	attempts := f.record.attempts()
-	r.Violations = Judge(attempts, f.notes.facts(f.runs))
+	attempts := f.attemptLog.attempts()
+	r.Violations = Judge(attempts, f.recorder.facts(f.runs))
 	r.Attempts = len(attempts)
 	for _, a := range attempts {
 		if a.Status == 200 && !a.Truncated {
@@ -347,29 +353,29 @@
 	return r, nil
 }
 
-// differsLine is in the line of an entry that finds another's copy of the store not as
-// its own.
-const differsLine = "Copies of the store differ."
+// copiesDifferMessage is logged by an entry that finds that another's copy of the store
+// differs from its own.
+const copiesDifferMessage = "Copies of the store differ."
 
-// differing counts these lines in the entries' logs.
-func (f *Fleet) differing() (n int, err error) {
+// countDifferingCopies counts copiesDifferMessage in the entries' logs.
+func (f *Fleet) countDifferingCopies() (n int, err error) {
 	for _, e := range f.entries {
 		b, err := os.ReadFile(e.logPath())
 		if err != nil {
 			return 0, err
 		}
-		n += bytes.Count(b, []byte(differsLine))
+		n += bytes.Count(b, []byte(copiesDifferMessage))
 	}
 	return n, nil
 }
 
-// recoverWithin bounds how long the fleet may take until it serves again.
-const recoverWithin = 30 * time.Second
+// recoveryTimeout limits how long the fleet may take until it serves again.
+const recoveryTimeout = 30 * time.Second
 
-// awaitService waits until each entry serves each kind of request and each
-// engine has the newest version; it returns what is missing at the end.
+// awaitService waits until each entry serves each kind of request and each engine has the
+// latest version. It returns what was missing at the last check.
 func (f *Fleet) awaitService(ctx context.Context) []string {
-	ctx, cancel := context.WithTimeout(ctx, recoverWithin)
+	ctx, cancel := context.WithTimeout(ctx, recoveryTimeout)
 	defer cancel()
 	for round := 0; ; round++ {
 		missing := f.missing(ctx, round)
@@ -386,7 +392,7 @@
 func (f *Fleet) missing(ctx context.Context, round int) []string {
 	var out []string
 	for i, e := range f.entries {
-		c := newCaller(f, e, fmt.Sprintf("probe%d-%d-%d", f.record.order.Load(), i, round), f.rng)
+		c := newCaller(f, e, fmt.Sprintf("probe%d-%d-%d", f.attemptLog.sequence.Load(), i, round), f.rng)
 		for _, k := range kinds {
 			if a := c.call(ctx, k, 0); a.Status != 200 || a.Truncated {
 				out = append(out, fmt.Sprintf("%s at %s: status %d", k.name, e.node.Name, a.Status))
@@ -395,7 +401,7 @@
 		c.client.CloseIdleConnections()
 	}
 	for _, e := range f.engines {
-		if v := int64(e.Version()); v != f.version.Load() {
+		if v := int64(e.Version()); v != f.latestVersion.Load() {
 			out = append(out, fmt.Sprintf("engine %s has version %d", e.Addr(), v))
 		}
 	}
--- a/soak/fresh.go
+++ b/soak/fresh.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// inForceWithin is the bound of the real programs: how long after the store's
-// answer a configuration, or that a target leaves, is in force at each entry that
-// is in touch with the store.
-const inForceWithin = 2 * time.Second
+// propagationBound is the time after the store's answer within which a configuration, or
+// the marking of a target as leaving, must take effect at each entry that can reach the
+// store.
+const propagationBound = 2 * time.Second
 
-// outdated reports whether an entry in touch treated a rotating key by a
-// configuration that another had replaced longer ago than the bound.
-func (f Facts) outdated(a Attempt) bool {
+// usedStaleConfig reports whether an entry that could reach the store accepted or denied a
+// rotating key according to a configuration that had been replaced more than
+// propagationBound before.
+func (f Facts) usedStaleConfig(a Attempt) bool {
 	if !a.StoreReachable || a.Key <= 0 {
 		return false
 	}
@@ -20,16 +21,17 @@
 	removed, wasRemoved := f.Configs[a.Key+1]
 	switch a.Status {
 	case http.StatusOK:
-		return wasRemoved && a.Sent-removed.Done > inForceWithin
+		return wasRemoved && a.Sent-removed.Done > propagationBound
 	case http.StatusUnauthorized:
-		return known && a.Sent-added.Done > inForceWithin && (!wasRemoved || a.Answered < removed.Began)
+		return known && a.Sent-added.Done > propagationBound && (!wasRemoved || a.Answered < removed.Began)
 	}
 	return false
 }
 
-// toLeaving reports whether an entry in touch sent a request to a target that had
-// been leaving for longer than the bound when the request came.
-func (f Facts) toLeaving(a Attempt) bool {
+// sentToLeaving reports whether an entry that could reach the store sent a request to a
+// target that had been marked as leaving more than propagationBound before the request was
+// sent.
+func (f Facts) sentToLeaving(a Attempt) bool {
 	since, ok := f.leavingSince(a.ID)
-	return ok && a.StoreReachable && a.Sent-since > inForceWithin
+	return ok && a.StoreReachable && a.Sent-since > propagationBound
 }
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -9,30 +9,30 @@
 
 // Attempt is one request of a caller and what the caller saw.
 type Attempt struct {
-	ID          string
-	Kind        string // of the route
-	Repeatable  bool   // it may run more than once
-	Incarnation string // of the entry that it was sent to
-	Key         int    // number of the rotating key that it bore; 0 for a lasting one
-	Began, End  int64  // order of events at the callers, not a clock
-	Status      int    // 0 if no answer came
-	Fault       string // what was wrong with the answer
-	Truncated         bool   // the answer ended early, and showed it
-	FaultFree        bool   // nothing but an orderly stop happened to its entry
-	StoreReachable     bool   // its entry could reach the store for touchFor when it was sent
-	EntryFaultFree bool   // its entry had no fault in the time aftermath before it
-	Body        string // set if it is one that comes again with other IDs
-	AnnouncedLeaving string // life of a target that said in the answer that it leaves
-	// Sent and Answered are since the start of the run.
+	ID               string
+	Kind             string // of the route
+	Repeatable       bool   // may run more than once
+	Incarnation      string // of the entry that it was sent to
+	Key              int    // number of the rotating key sent; 0 for the permanent key, -1 if the entry restarted meanwhile
+	Began, End       int64  // sequence numbers of events at the callers, not times
+	Status           int    // 0 if there was no response
+	Fault            string // what was wrong with the response
+	Truncated        bool   // the response ended early, detectably for the caller
+	FaultFree        bool   // its entry and targets had no fault, except for a graceful stop of the entry
+	StoreReachable   bool   // its entry had been able to reach the store for storeReachableWindow when it was sent
+	EntryFaultFree   bool   // its entry had no fault while it ran, nor in the settleTime before
+	Body             string // set if the same body is sent again with other IDs
+	AnnouncedLeaving string // target incarnation that announced in the response that it is leaving
+	// Sent and Answered are relative to the start of the run.
 	Sent, Answered time.Duration
 }
 
-// Violation is a broken promise.
+// Violation is a violated invariant.
 type Violation struct {
-	Invariant string
-	Attempt Attempt
-	Runs    []string
-	SchedulingDelay    time.Duration // by how much a target was later than it was to be
+	Invariant       string
+	Attempt         Attempt
+	Runs            []string
+	SchedulingDelay time.Duration // by how much a target was late because this process waited for CPU
 }
 
 // String describes the violation.
@@ -42,40 +42,41 @@
 		a.Incarnation, a.Key, a.Sent.Round(time.Millisecond), a.Answered.Round(time.Millisecond), a.Status, v.Runs, v.SchedulingDelay.Round(time.Millisecond), a.Fault)
 }
 
-// Promises that are checked.
+// Invariants that are checked.
 const (
-	InvariantRunsOnce        = "what is not repeatable runs once"
-	InvariantRefusedNotRun      = "a refusal that says so has not run"
-	InvariantResponseIntact       = "an answer is whole and the caller's own"
-	InvariantValidKeyAccepted     = "what is allowed is not denied"
-	InvariantGracefulStop       = "an orderly stop cuts no request"
-	InvariantConfigMonotonic     = "a configuration never goes back"
-	InvariantConfigFresh       = "a configuration is in force in time"
-	InvariantLeavingTarget     = "a target that leaves gets no new request"
-	InvariantCrashLimit     = "a request that crashed three targets is sent no more"
+	InvariantRunsOnce         = "what is not repeatable runs once"
+	InvariantRefusedNotRun    = "a refusal that says so has not run"
+	InvariantResponseIntact   = "an answer is whole and the caller's own"
+	InvariantValidKeyAccepted = "what is allowed is not denied"
+	InvariantGracefulStop     = "an orderly stop cuts no request"
+	InvariantConfigMonotonic  = "a configuration never goes back"
+	InvariantConfigFresh      = "a configuration is in force in time"
+	InvariantLeavingTarget    = "a target that leaves gets no new request"
+	InvariantCrashLimit       = "a request that crashed three targets is sent no more"
 	InvariantAnnouncedLeaving = "a target that said that it leaves gets no new request from those it told"
-	InvariantBackoff        = "a target gets no request from an entry that it asked for rest"
-	InvariantRateLimit       = "a target gets no more than the limit that it names"
+	InvariantBackoff          = "a target gets no request from an entry that it asked for rest"
+	InvariantRateLimit        = "a target gets no more than the limit that it names"
 )
 
-// Judge compares what callers saw with what targets ran and the store said.
+// Judge checks the invariants by comparing what callers observed with what the targets and
+// the store recorded.
 func Judge(attempts []Attempt, facts Facts) []Violation {
 	var out []Violation
-	add := func(promise string, a Attempt) {
-		out = append(out, Violation{promise, a, facts.Runs[a.ID], facts.SchedulingDelay[a.ID]})
+	add := func(invariant string, a Attempt) {
+		out = append(out, Violation{invariant, a, facts.Runs[a.ID], facts.SchedulingDelay[a.ID]})
 	}
 	for _, a := range attempts {
 		ran := len(facts.Runs[a.ID])
-		if facts.outdated(a) {
+		if facts.usedStaleConfig(a) {
 			add(InvariantConfigFresh, a)
 		}
-		if facts.toLeaving(a) {
+		if facts.sentToLeaving(a) {
 			add(InvariantLeavingTarget, a)
 		}
 		switch {
 		case ran > 1 && !a.Repeatable:
 			add(InvariantRunsOnce, a)
-		case saysNotRun(a.Status) && ran > 0:
+		case meansNotRun(a.Status) && ran > 0:
 			add(InvariantRefusedNotRun, a)
 		case a.Fault != "":
 			add(InvariantResponseIntact, a)
@@ -85,26 +86,26 @@
 			add(InvariantGracefulStop, a)
 		}
 	}
-	for _, a := range keptCrashing(attempts, facts) {
+	for _, a := range sentAfterQuarantine(attempts, facts) {
 		add(InvariantCrashLimit, a)
 	}
-	for _, a := range toSaidLeaving(attempts, facts) {
+	for _, a := range sentAfterLeavingNotice(attempts, facts) {
 		add(InvariantAnnouncedLeaving, a)
 	}
-	for _, a := range atRest(attempts, facts) {
+	for _, a := range sentDuringBackoff(attempts, facts) {
 		add(InvariantBackoff, a)
 	}
 	for _, a := range overLimit(attempts, facts) {
 		add(InvariantRateLimit, a)
 	}
-	for _, a := range wentBack(attempts) {
+	for _, a := range configRegressions(attempts) {
 		add(InvariantConfigMonotonic, a)
 	}
 	return out
 }
 
-// saysNotRun reports whether a status promises that the request has not run.
-func saysNotRun(status int) bool {
+// meansNotRun reports whether a status guarantees that the request has not run.
+func meansNotRun(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable ||
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
@@ -113,10 +114,10 @@
 	return status == http.StatusUnauthorized || status == http.StatusForbidden || status == http.StatusNotFound
 }
 
-// wentBack returns the attempts that an entry let in with a key of an older
-// configuration, although the same incarnation had let in one of a newer before
-// they were sent. Each configuration allows just one of the rotating keys.
-func wentBack(attempts []Attempt) []Attempt {
+// configRegressions returns the attempts that an entry accepted with the key of an older
+// configuration although the same incarnation had accepted the key of a newer one before
+// they were sent. Each configuration accepts exactly one of the rotating keys.
+func configRegressions(attempts []Attempt) []Attempt {
 	byEntry := map[string][]Attempt{}
 	for _, a := range attempts {
 		if a.Key > 0 && a.Status == http.StatusOK {
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -8,14 +8,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// second and ms are times since the start of a run.
+// second and ms are units for times since the start of a run.
 const (
 	second = time.Second
 	ms     = time.Millisecond
 )
 
-// judged maps the ids of attempts that broke a promise to it.
-func judged(t *testing.T, attempts []Attempt, facts Facts) map[string]string {
+// invariantsByID maps the ID of each attempt that violated an invariant to that invariant.
+func invariantsByID(t *testing.T, attempts []Attempt, facts Facts) map[string]string {
 	t.Helper()
 	out := map[string]string{}
 	for _, v := range Judge(attempts, facts) {
@@ -26,7 +26,7 @@
 	return out
 }
 
-// The judge finds each broken promise, and nothing else.
+// Judge reports each violated invariant and nothing else.
 func TestJudge(t *testing.T) {
 	runs := map[string][]string{"twice": {"a", "b"}, "refused": {"a"}, "cut": {"a"}, "repeated": {"a", "b"}, "fine": {"a"}}
 	attempts := []Attempt{
@@ -46,12 +46,13 @@
 		{ID: "other process", Incarnation: "e#2", Key: 1, Status: 200, Began: 6, End: 7},
 		{ID: "honest", Status: http.StatusServiceUnavailable},
 	}
-	assert.DeepEqual(t, judged(t, attempts, Facts{Runs: runs}), map[string]string{"twice": InvariantRunsOnce, "refused": InvariantRefusedNotRun,
+	assert.DeepEqual(t, invariantsByID(t, attempts, Facts{Runs: runs}), map[string]string{"twice": InvariantRunsOnce, "refused": InvariantRefusedNotRun,
 		"garbled": InvariantResponseIntact, "denied": InvariantValidKeyAccepted, "cut": InvariantGracefulStop, "old": InvariantConfigMonotonic})
 }
 
-// A rotating key counts from the bound after the write that adds it until the
-// bound after the one that takes it away, at an entry in touch.
+// An entry that can reach the store must accept a rotating key from propagationBound after
+// the write that adds it, and deny it from propagationBound after the write that removes
+// it.
 func TestJudgeFresh(t *testing.T) {
 	const denied = http.StatusUnauthorized
 	facts := Facts{Configs: map[int]Write{1: {0, 1 * ms}, 2: {10 * second, 10*second + 5*ms}, 3: {20 * second, 20*second + 5*ms}}}
@@ -72,12 +73,12 @@
 		{ID: "of another incarnation", Key: -1, Status: denied, StoreReachable: true, Sent: 15 * second},
 		{ID: "not written yet", Key: 4, Status: denied, StoreReachable: true, Sent: 50 * second, Answered: 51 * second},
 	}
-	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{"taken away": InvariantConfigFresh, "taken away long ago": InvariantConfigFresh,
+	assert.DeepEqual(t, invariantsByID(t, attempts, facts), map[string]string{"taken away": InvariantConfigFresh, "taken away long ago": InvariantConfigFresh,
 		"added": InvariantConfigFresh, "newest": InvariantConfigFresh})
 }
 
-// A target that leaves gets no request that came later than the bound after its
-// entry, from an entry in touch.
+// An entry that can reach the store must not send a request to a target that was marked as
+// leaving more than propagationBound before.
 func TestJudgeLeaving(t *testing.T) {
 	facts := Facts{Leaving: map[string]time.Duration{"gone": 10 * second, "gone later": 20 * second},
 		Runs: map[string][]string{"late": {"gone"}, "second choice": {"stays", "gone"}, "both": {"gone later", "gone"},
@@ -94,12 +95,12 @@
 		{ID: "early", Status: 200, StoreReachable: true, Sent: 13 * second},
 		{ID: "never ran", Status: http.StatusServiceUnavailable, StoreReachable: true, Sent: 13 * second},
 	}
-	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{"late": InvariantLeavingTarget, "second choice": InvariantLeavingTarget,
+	assert.DeepEqual(t, invariantsByID(t, attempts, facts), map[string]string{"late": InvariantLeavingTarget, "second choice": InvariantLeavingTarget,
 		"both": InvariantLeavingTarget})
 }
 
-// A request that ended three targets reaches targets three times more at the most, from
-// entries that could know of it.
+// A request that crashed three targets may reach targets at most three more times through
+// entries that must know about the crashes.
 func TestJudgeCrashed(t *testing.T) {
 	facts := Facts{Crashes: map[string][]time.Duration{"bad": {1 * second, 2 * second, 4 * second}, "twice only": {1 * second, 2 * second}},
 		Reached: map[string][]string{"at once": {"t"}, "first": {"t", "u"}, "third": {"v"}, "fourth": {"t"}, "fifth": {"u"},
@@ -112,20 +113,20 @@
 	attempts[0].Sent = 7 * second
 	attempts[5].StoreReachable = false
 	attempts[6].EntryFaultFree = false
-	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{"fourth": InvariantCrashLimit, "fifth": InvariantCrashLimit})
+	assert.DeepEqual(t, invariantsByID(t, attempts, facts), map[string]string{"fourth": InvariantCrashLimit, "fifth": InvariantCrashLimit})
 }
 
-// Something is in touch if no fault went on in the time before.
-func TestContact(t *testing.T) {
-	var c contact
-	assert.Assert(t, c.lasts())
-	c.lose()
-	c.lose()
-	c.regain()
-	c.ended = c.ended.Add(-touchFor)
-	assert.Assert(t, !c.lasts(), "another fault goes on")
-	c.regain()
-	assert.Assert(t, !c.lasts(), "just over")
-	c.ended = c.ended.Add(-touchFor)
-	assert.Assert(t, c.lasts())
+// The store counts as reachable if there was no fault for storeReachableWindow.
+func TestReachability(t *testing.T) {
+	var r reachability
+	assert.Assert(t, r.reachable())
+	r.faultBegan()
+	r.faultBegan()
+	r.faultEnded()
+	r.lastEnded = r.lastEnded.Add(-storeReachableWindow)
+	assert.Assert(t, !r.reachable(), "another fault goes on")
+	r.faultEnded()
+	assert.Assert(t, !r.reachable(), "just over")
+	r.lastEnded = r.lastEnded.Add(-storeReachableWindow)
+	assert.Assert(t, r.reachable())
 }
--- a/soak/limit_test.go
+++ b/soak/limit_test.go
@@ -9,24 +9,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// Targets in need named a limit and got as many requests as the others.
-func TestSoakLimitNamedByTargets(t *testing.T) {
+// Guards against entries that ignore the limits announced by overloaded targets and send
+// them as many requests as the others.
+func TestSoakTargetsAnnounceLimits(t *testing.T) {
 	const seed = 9201
 	runAndCheck(t, Config{Seed: seed, Only: regexp.MustCompile("targets name limits"), Duration: time.Second, Entries: 5, Engines: 6,
 		PlainTargets: 6, Bin: buildPrograms(t), Dir: seedDir(t, seed), Logf: t.Logf})
 }
 
-func TestJudgeOfLimits(t *testing.T) {
+func TestJudgeRateLimit(t *testing.T) {
 	facts := Facts{Limits: []LimitSpan{{Incarnation: "a", From: 0, To: 20 * second, PerS: 1}}, Arrivals: map[string][]Arrival{}}
 	var attempts []Attempt
-	arrive := func(at time.Duration, undisturbed bool) string {
+	arrive := func(at time.Duration, entryFaultFree bool) string {
 		id := fmt.Sprint(len(attempts))
-		attempts = append(attempts, Attempt{ID: id, Status: 200, EntryFaultFree: undisturbed})
+		attempts = append(attempts, Attempt{ID: id, Status: 200, EntryFaultFree: entryFaultFree})
 		facts.Arrivals["a"] = append(facts.Arrivals["a"], Arrival{id, at})
 		return id
 	}
 	for i := range 30 {
-		arrive(time.Duration(i)*100*ms, true) // before it had to be known
+		arrive(time.Duration(i)*100*ms, true) // before the entries must know the limit
 	}
 	for range 11 {
 		arrive(5*second, true)
@@ -34,5 +35,5 @@
 	arrive(6*second, false)
 	over := arrive(8900*ms, true)
 	arrive(9*second, true)
-	assert.DeepEqual(t, judged(t, attempts, facts), map[string]string{over: InvariantRateLimit})
+	assert.DeepEqual(t, invariantsByID(t, attempts, facts), map[string]string{over: InvariantRateLimit})
 }
--- a/soak/long.go
+++ b/soak/long.go
@@ -10,116 +10,118 @@
 	"github.com/springgate/springgate/platform/fake"
 )
 
-// Shape of the long faults, which need something else to happen meanwhile.
+// Parameters of the long faults, which combine several events.
 const (
-	// cutFrom and cutTo bound how long the entries' links to the store are broken:
-	// longer than a copy that is followed may have been without the store.
-	cutFrom = 2 * time.Second
-	cutTo   = 6 * time.Second
-	// configsEach is the mean time between configurations meanwhile: the bound of one
-	// is over before keysTried others came.
-	configsEach = 1200 * time.Millisecond
-	// leaveFrom and leaveTo bound how long a target serves after it said that it
-	// leaves.
-	leaveFrom = 4 * time.Second
-	leaveTo   = 6 * time.Second
-	// lateFrom and lateTo bound how long after its arrival a late order is taken up.
-	// An agent gives an order up after 2 s; those taken up later matter.
-	lateFrom = 1 * time.Second
-	lateTo   = 4 * time.Second
-	// versionsEach is the mean time between versions while orders are late. Engines
-	// take turns at a version, the first at once and the last after a few seconds.
-	versionsEach = 2 * time.Second
-	lateVersions = 3
-	// overtakenFor is how long answers of the store overtake each other; one target in
-	// leaversOf leaves meanwhile. lingerFor is how long these serve on after that: until
-	// all entries have been in touch again for a while.
-	overtakenFor = 4 * time.Second
-	leaversOf    = 3
-	lingerFor    = touchFor + 4*time.Second
-	// silentFor is how long one entry in silencedOf is cut off from the store before
-	// targets leave; configsMissed are written meanwhile.
-	silentFor     = 6 * time.Second
-	silencedOf    = 3
-	configsMissed = 3
-	// wordlessOf is one in how many targets leaves without a word.
-	wordlessOf = 3
+	// cutMin and cutMax bound how long the entries' links to the store are broken: longer
+	// than another entry's copy may be without the store and still be followed.
+	cutMin = 2 * time.Second
+	cutMax = 6 * time.Second
+	// configInterval is the mean time between configurations meanwhile, so that
+	// propagationBound has passed for a configuration before recentKeys newer ones are
+	// written.
+	configInterval = 1200 * time.Millisecond
+	// leaveMin and leaveMax bound how long a target serves after it is marked as leaving.
+	leaveMin = 4 * time.Second
+	leaveMax = 6 * time.Second
+	// lateOrderMin and lateOrderMax bound how long after its arrival a delayed order is
+	// executed. An agent abandons an order after 2 s; orders executed later than that are
+	// the relevant ones.
+	lateOrderMin = 1 * time.Second
+	lateOrderMax = 4 * time.Second
+	// versionInterval is the mean time between versions while orders are delayed. Engines
+	// change to a version one after another, the first at once and the last after a few
+	// seconds.
+	versionInterval = 2 * time.Second
+	lateVersions    = 3
+	// reorderDuration is how long responses of the store are reordered; one target in
+	// reorderLeaveOneIn leaves meanwhile. serveAfterLeaving is how long these keep serving
+	// after that: until all entries have been able to reach the store again for some time.
+	reorderDuration   = 4 * time.Second
+	reorderLeaveOneIn = 3
+	serveAfterLeaving = storeReachableWindow + 4*time.Second
+	// silentCutDuration is how long one entry in silentCutOneIn is disconnected from the
+	// store before targets leave; configsMissed configurations are written meanwhile.
+	silentCutDuration = 6 * time.Second
+	silentCutOneIn    = 3
+	configsMissed     = 3
+	// unannouncedOneIn: one target in this many is removed without being marked as leaving.
+	unannouncedOneIn = 3
 )
 
-// longFaults last for a time of their own.
-var longFaults = []fault{{"links to the store", cutReaders}, {"target leaves", targetLeaves}, {"orders late", ordersLate},
-	{"news overtaken", newsOvertaken}, {"domain leaves after a cut", domainLeaves}}
+// longFaults are the kinds of fault that determine their own duration.
+var longFaults = []fault{{"links to the store", cutStoreLinks}, {"target leaves", targetLeaves}, {"orders late", delayOrders},
+	{"news overtaken", reorderStoreAnswers}, {"domain leaves after a cut", leaveDomainAfterCut}}
 
-// between returns a random time.
-func between(rng *rand.Rand, from, to time.Duration) time.Duration {
+// randomDuration returns a random duration in [from, to).
+func randomDuration(rng *rand.Rand, from, to time.Duration) time.Duration {
 	return from + time.Duration(rng.Int64N(int64(to-from)))
 }
 
-// anyMode returns one of the ways in which a link misbehaves.
-func anyMode(rng *rand.Rand) LinkMode { return LinkMode(1 + rng.IntN(linkModes-1)) }
+// randomFaultMode returns a random mode other than LinkWorks.
+func randomFaultMode(rng *rand.Rand) LinkMode { return LinkMode(1 + rng.IntN(linkModes-1)) }
 
-// cutMode returns one of the ways in which nothing gets through a link and back,
-// also on connections that are open.
-func cutMode(rng *rand.Rand) LinkMode {
+// randomCutMode returns a random mode in which no round trip succeeds, not even on
+// connections that are already open.
+func randomCutMode(rng *rand.Rand) LinkMode {
 	return pick(rng, []LinkMode{LinkReset, LinkSilent, LinkOneWay})
 }
 
-// cutEntry breaks an entry's link to the store.
-func (f *Fleet) cutEntry(i int, m LinkMode, d time.Duration) {
-	f.entries[i].contact.lose()
-	defer f.entries[i].contact.regain()
-	f.links[i].Break(m, d)
+// breakStoreLink breaks an entry's link to the store for d.
+func (f *Fleet) breakStoreLink(i int, m LinkMode, d time.Duration) {
+	f.entries[i].reachability.faultBegan()
+	defer f.entries[i].reachability.faultEnded()
+	f.storeLinks[i].Break(m, d)
 }
 
-// awaitTouch waits until all entries are in touch with the store, at most for
-// touchFor. What happens to entries out of touch proves little.
-func (f *Fleet) awaitTouch() {
-	out := func(p *Process) bool { return !f.inTouch(p) }
-	for end := time.Now().Add(touchFor); slices.ContainsFunc(f.entries, out) && time.Now().Before(end); {
-		time.Sleep(heldPoll)
+// awaitStoreReachable waits until all entries can reach the store, at most for
+// storeReachableWindow. Few invariants apply to entries that cannot reach it.
+func (f *Fleet) awaitStoreReachable() {
+	unreachable := func(p *Process) bool { return !f.storeReachable(p) }
+	for end := time.Now().Add(storeReachableWindow); slices.ContainsFunc(f.entries, unreachable) && time.Now().Before(end); {
+		time.Sleep(pollInterval)
 	}
 }
 
-// cutReaders cuts some entries, and mostly all but one, off from the store, while
+// cutStoreLinks disconnects some entries, in most cases all but one, from the store while
 // configurations change.
-func cutReaders(f *Fleet, rng *rand.Rand, _ time.Duration) {
-	n := len(f.links)
+func cutStoreLinks(f *Fleet, rng *rand.Rand, _ time.Duration) {
+	n := len(f.storeLinks)
 	if n < 2 {
 		return
 	}
-	f.awaitTouch()
+	f.awaitStoreReachable()
 	size := n - 1
 	if rng.IntN(4) == 0 {
 		size = 1 + rng.IntN(n-1)
 	}
-	d := between(rng, cutFrom, cutTo)
+	d := randomDuration(rng, cutMin, cutMax)
 	var cuts sync.WaitGroup
 	for _, i := range rng.Perm(n)[:size] {
-		m := cutMode(rng)
+		m := randomCutMode(rng)
 		f.logf("%s cut off from the store for %v, mode %d", f.entries[i].node.Name, d.Round(time.Millisecond), m)
-		cuts.Go(func() { f.cutEntry(i, m, d) })
+		cuts.Go(func() { f.breakStoreLink(i, m, d) })
 	}
 	for end := time.Now().Add(d); time.Now().Before(end); {
-		time.Sleep(between(rng, configsEach/2, configsEach*3/2))
+		time.Sleep(randomDuration(rng, configInterval/2, configInterval*3/2))
 		f.nextConfig()
 	}
 	cuts.Wait()
 }
 
-// targetLeaves makes a target say that it leaves, serve on and be replaced.
+// targetLeaves marks a target as leaving, lets it serve for some time and replaces it.
 func targetLeaves(f *Fleet, rng *rand.Rand, _ time.Duration) {
-	t, d := pick(rng, f.targets()), between(rng, leaveFrom, leaveTo)
-	instance := t.Leave()
-	f.notes.leaves(instance)
-	f.logf("%s leaves for %v", instance, d.Round(time.Millisecond))
+	t, d := pick(rng, f.targets()), randomDuration(rng, leaveMin, leaveMax)
+	incarnation := t.Leave()
+	f.recorder.recordLeaving(incarnation)
+	f.logf("%s leaves for %v", incarnation, d.Round(time.Millisecond))
 	time.Sleep(d)
-	f.troubleTarget(t, aftermath)
-	t.Replace(instance)
+	f.markTargetFaulty(t, settleTime)
+	t.Replace(incarnation)
 }
 
-// ordersLate makes engines take up orders late and without an answer, while
-// versions follow each other.
-func ordersLate(f *Fleet, rng *rand.Rand, _ time.Duration) {
+// delayOrders makes engines execute orders late and without responding while several
+// versions are published.
+func delayOrders(f *Fleet, rng *rand.Rand, _ time.Duration) {
 	var flags []*atomic.Bool
 	for _, e := range f.engines {
 		if rng.IntN(2) == 0 {
@@ -129,26 +131,27 @@
 	setAll(flags, true)
 	for range lateVersions {
 		f.nextVersion()
-		time.Sleep(between(rng, versionsEach/2, versionsEach*3/2))
+		time.Sleep(randomDuration(rng, versionInterval/2, versionInterval*3/2))
 	}
 	setAll(flags, false)
 }
 
-// newsOvertaken lets answers of the store overtake each other while engines change to a
-// new version, entries start, the history goes and targets leave, some without a word.
-// The targets serve on until the entries are in touch again.
-func newsOvertaken(f *Fleet, rng *rand.Rand, _ time.Duration) {
-	targets := append(slices.Clone(f.engines), f.plains[1:]...) // one plain target stays
+// reorderStoreAnswers reorders responses of the store while engines change to a new
+// version, an entry restarts, the store discards its history and targets leave, some
+// without being marked as leaving. The targets keep serving until the entries can reach
+// the store again.
+func reorderStoreAnswers(f *Fleet, rng *rand.Rand, _ time.Duration) {
+	targets := append(slices.Clone(f.engines), f.plainTargets[1:]...) // one plain target stays
 	var leaving sync.WaitGroup
-	f.contact.lose()
+	f.reachability.faultBegan()
 	f.store.SetMode(fake.StoreUneven)
-	end := time.Now().Add(overtakenFor)
+	end := time.Now().Add(reorderDuration)
 	f.nextVersion()
-	for _, i := range rng.Perm(len(targets))[:len(targets)/leaversOf] {
-		t, after, silent := targets[i], between(rng, 0, overtakenFor), rng.IntN(2) == 0
-		leaving.Go(func() { f.leaveAmid(t, after, silent, end.Add(lingerFor)) })
+	for _, i := range rng.Perm(len(targets))[:len(targets)/reorderLeaveOneIn] {
+		t, after, silent := targets[i], randomDuration(rng, 0, reorderDuration), rng.IntN(2) == 0
+		leaving.Go(func() { f.leaveAndReplace(t, after, silent, end.Add(serveAfterLeaving)) })
 	}
-	entry, killedAfter, forgetAfter := pick(rng, f.entries), between(rng, 0, overtakenFor/2), between(rng, 0, overtakenFor)
+	entry, killedAfter, forgetAfter := pick(rng, f.entries), randomDuration(rng, 0, reorderDuration/2), randomDuration(rng, 0, reorderDuration)
 	leaving.Go(func() {
 		time.Sleep(killedAfter)
 		f.restart(entry, time.Second, true)
@@ -159,46 +162,48 @@
 	})
 	time.Sleep(time.Until(end))
 	f.store.SetMode(fake.StoreWorks)
-	f.contact.regain()
+	f.reachability.faultEnded()
 	leaving.Wait()
 }
 
-// leaveAmid makes a target leave after a time, serve on until another and be replaced.
-func (f *Fleet) leaveAmid(t *fake.Target, after time.Duration, silent bool, until time.Time) {
+// leaveAndReplace makes a target leave after a delay, lets it serve until the given time
+// and replaces it. If silent, the target is removed from the store without being marked as
+// leaving.
+func (f *Fleet) leaveAndReplace(t *fake.Target, after time.Duration, silent bool, until time.Time) {
 	time.Sleep(after)
 	leave, how := t.Leave, "leaves"
 	if silent {
 		leave, how = t.Vanish, "leaves without a word"
 	}
-	instance := leave()
-	f.notes.leaves(instance)
-	f.logf("%s %s", instance, how)
+	incarnation := leave()
+	f.recorder.recordLeaving(incarnation)
+	f.logf("%s %s", incarnation, how)
 	time.Sleep(time.Until(until))
-	f.troubleTarget(t, aftermath)
-	t.Replace(instance)
+	f.markTargetFaulty(t, settleTime)
+	t.Replace(incarnation)
 }
 
-// domainLeaves cuts some entries off from the store without a word, while configurations
-// follow each other. Once they are in touch again, targets of one failure domain leave,
-// some of them without a word.
-func domainLeaves(f *Fleet, rng *rand.Rand, _ time.Duration) {
+// leaveDomainAfterCut blocks some entries' links to the store without closing connections
+// while configurations are published. Once the entries can reach the store again, targets
+// of one failure domain leave, some of them without being marked as leaving.
+func leaveDomainAfterCut(f *Fleet, rng *rand.Rand, _ time.Duration) {
 	var cuts sync.WaitGroup
-	for _, i := range rng.Perm(len(f.links))[:max(1, len(f.links)/silencedOf)] {
-		cuts.Go(func() { f.cutEntry(i, LinkSilent, silentFor) })
+	for _, i := range rng.Perm(len(f.storeLinks))[:max(1, len(f.storeLinks)/silentCutOneIn)] {
+		cuts.Go(func() { f.breakStoreLink(i, LinkSilent, silentCutDuration) })
 	}
 	for range configsMissed {
-		time.Sleep(between(rng, 0, configsEach/2))
+		time.Sleep(randomDuration(rng, 0, configInterval/2))
 		f.nextConfig()
 	}
 	cuts.Wait()
-	time.Sleep(touchFor)
+	time.Sleep(storeReachableWindow)
 	domain := rng.IntN(len(domains))
-	until := time.Now().Add(lingerFor)
+	until := time.Now().Add(serveAfterLeaving)
 	var leaving sync.WaitGroup
 	for i, t := range f.engines {
 		if i%len(domains) == domain && rng.IntN(2) == 0 {
-			silent := rng.IntN(wordlessOf) == 0
-			leaving.Go(func() { f.leaveAmid(t, 0, silent, until) })
+			silent := rng.IntN(unannouncedOneIn) == 0
+			leaving.Go(func() { f.leaveAndReplace(t, 0, silent, until) })
 		}
 	}
 	leaving.Wait()
--- a/soak/process.go
+++ b/soak/process.go
@@ -13,31 +13,31 @@
 	"github.com/springgate/springgate/platform/fake"
 )
 
-// Process is one of the real programs as a process of its own.
+// Process is one of the real programs, run as a separate process.
 type Process struct {
 	node fake.Node
 	dir  string
 	args []string
 
-	restarting sync.Mutex // held while it is ended and started again
-	contact    contact    // with the store
+	restarting   sync.Mutex   // held while it is stopped and started again
+	reachability reachability // of the store
 
-	mu       sync.Mutex
-	cmd      *exec.Cmd
-	exited   chan struct{} // closed when cmd has ended
-	starts   int
-	ending   bool // its end is wanted
-	ownExits int
-	troubled time.Time // until when the process, or its links, misbehave
+	mu              sync.Mutex
+	cmd             *exec.Cmd
+	exited          chan struct{} // closed when cmd has exited
+	starts          int
+	stopping        bool // it was told to stop
+	unexpectedExits int
+	faultyUntil     time.Time // until when the process or its links may misbehave
 }
 
-// NewProcess returns a process that is not started. Its settings file and its
-// output go to dir.
+// NewProcess returns a process without starting it. Its settings file and its output are
+// written to dir.
 func NewProcess(node fake.Node, dir string, args ...string) *Process {
 	return &Process{node: node, dir: dir, args: args}
 }
 
-// Start starts the program with the settings in force.
+// Start starts the program with its current settings.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -45,7 +45,7 @@
 		return err
 	}
 	p.starts++
-	p.ending = false
+	p.stopping = false
 	out, err := os.OpenFile(p.logPath(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return err
@@ -61,45 +61,46 @@
 	exited := make(chan struct{})
 	p.cmd, p.exited = cmd, exited
 	go func() {
-		_ = cmd.Wait() // how it ended is seen by its callers
-		again := p.ended()
-		close(exited) // who waits may start it again from here on
-		if again {
-			p.startAgain()
+		_ = cmd.Wait() // a failure shows in the attempts of its callers
+		unexpected := p.recordExit()
+		close(exited) // waiters may start it again from here on
+		if unexpected {
+			p.restartAfterExit()
 		}
 	}()
 	return nil
 }
 
-// restartDelay is how long after its end the platform starts a process again.
+// restartDelay is how long after its exit the platform restarts a process.
 const restartDelay = 200 * time.Millisecond
 
-// ended notes that the process has ended and reports whether it did by itself.
-func (p *Process) ended() bool {
+// recordExit records that the process has exited and reports whether the exit was
+// unexpected.
+func (p *Process) recordExit() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ending {
+	if p.stopping {
 		return false
 	}
-	p.ownExits++
+	p.unexpectedExits++
 	return true
 }
 
-// startAgain starts a process that ended by itself, as the platform does.
-func (p *Process) startAgain() {
-	p.contact.lose()
-	defer p.contact.regain()
+// restartAfterExit restarts a process that exited unexpectedly, as the platform does.
+func (p *Process) restartAfterExit() {
+	p.reachability.faultBegan()
+	defer p.reachability.faultEnded()
 	time.Sleep(restartDelay)
 	if err := p.Start(); err != nil {
-		return // the fleet is seen not to serve
+		return // awaitService then reports what is not served
 	}
 }
 
-// UnexpectedExits returns how often the process ended by itself.
+// UnexpectedExits returns how often the process exited without having been told to stop.
 func (p *Process) UnexpectedExits() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.ownExits
+	return p.unexpectedExits
 }
 
 func (p *Process) logPath() string { return filepath.Join(p.dir, p.node.Name+".log") }
@@ -110,15 +111,15 @@
 	return os.WriteFile(p.settingsPath(), []byte(p.node.Settings()), 0o600)
 }
 
-// Signal sends a signal to the process, by its id.
+// Signal sends a signal to the process, by its process ID.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.ending = p.ending || s == syscall.SIGTERM || s == syscall.SIGKILL
-	_ = p.cmd.Process.Signal(s) // it may have ended
+	p.stopping = p.stopping || s == syscall.SIGTERM || s == syscall.SIGKILL
+	_ = p.cmd.Process.Signal(s) // it may have exited
 }
 
-// Reload writes the settings again and tells the process.
+// Reload rewrites the settings with the seeds rotated and sends SIGHUP to the process.
 func (p *Process) Reload() error {
 	p.mu.Lock()
 	p.node.Seeds = append(p.node.Seeds[1:], p.node.Seeds[0])
@@ -128,7 +129,7 @@
 	return err
 }
 
-// Wait waits until the process has ended, or a time. It reports whether it has.
+// Wait waits at most timeout for the process to exit and reports whether it has.
 func (p *Process) Wait(timeout time.Duration) bool {
 	p.mu.Lock()
 	exited := p.exited
@@ -141,31 +142,31 @@
 	}
 }
 
-// Kill ends the process at once.
+// Kill sends SIGKILL to the process and waits for its exit.
 func (p *Process) Kill() {
 	p.Signal(syscall.SIGKILL)
 	p.Wait(time.Minute)
 }
 
-// Incarnation names the run of the process.
+// Incarnation identifies the current start of the process.
 func (p *Process) Incarnation() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return fmt.Sprintf("%s#%d", p.node.Name, p.starts)
 }
 
-// MarkFaulty notes that the process or its links misbehave for a time.
+// MarkFaulty records that the process or its links may misbehave for d.
 func (p *Process) MarkFaulty(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if until := time.Now().Add(d); until.After(p.troubled) {
-		p.troubled = until
+	if until := time.Now().Add(d); until.After(p.faultyUntil) {
+		p.faultyUntil = until
 	}
 }
 
-// FaultySince reports whether the process misbehaved at a time or later.
+// FaultySince reports whether the process was faulty at t or later.
 func (p *Process) FaultySince(t time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.troubled.After(t)
+	return p.faultyUntil.After(t)
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// LinkMode is how a link misbehaves.
+// LinkMode is how a link treats connections.
 type LinkMode int
 
 // Modes of a link.
@@ -17,31 +17,32 @@
 	LinkRefused          // new connections are closed at once
 	LinkReset            // all connections are reset
 	LinkSilent           // nothing passes; connections stay open
-	LinkOneWay           // only what callers send passes
+	LinkOneWay           // only data sent by callers passes
 )
 
 const linkModes = 6
 
-// linkDelay is how late bytes arrive on a delayed link.
+// linkDelay is the delay of bytes on a delayed link.
 const linkDelay = 60 * time.Millisecond
 
-// heldPoll is the time between two looks at a link that lets nothing pass.
-const heldPoll = 10 * time.Millisecond
+// pollInterval is the time between two checks of a link that lets nothing pass, or of the
+// entries' reachability.
+const pollInterval = 10 * time.Millisecond
 
-// Link is a loopback proxy before one address.
+// Link is a loopback proxy in front of one address.
 type Link struct {
 	ln net.Listener
 	to string
 
-	broken sync.Mutex // held while Break goes on
+	breaking sync.Mutex // held during Break
 
 	mu    sync.Mutex
-	down  bool // nothing listens
+	down  bool // not listening
 	mode  LinkMode
 	conns map[net.Conn]bool
 }
 
-// NewLink starts a proxy. to is where it leads.
+// NewLink starts a proxy that forwards connections to the address to.
 func NewLink(to string) (*Link, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -52,8 +53,8 @@
 	return l, nil
 }
 
-// SetDown makes the address refuse connections, as that of a host whose process has
-// ended, or listen again.
+// SetDown makes the address refuse connections, like that of a host whose process has
+// exited, or accept them again.
 func (l *Link) SetDown(down bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -67,7 +68,7 @@
 	}
 	ln, err := net.Listen("tcp", l.ln.Addr().String())
 	if err != nil {
-		return // the port was taken meanwhile: the fleet is seen not to serve
+		return // the port was taken meanwhile; awaitService then reports what is not served
 	}
 	l.ln = ln
 	go l.accept(ln)
@@ -80,13 +81,13 @@
 	return l.ln.Addr().String()
 }
 
-// Close ends the proxy and its connections.
+// Close closes the proxy and its connections.
 func (l *Link) Close() {
 	l.SetDown(true)
 	l.SetMode(LinkReset)
 }
 
-// SetMode changes how the link misbehaves. LinkReset breaks what is open now.
+// SetMode changes the link's mode. LinkReset also resets open connections.
 func (l *Link) SetMode(m LinkMode) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,16 +103,17 @@
 	}
 }
 
-// Break makes the link misbehave for a time, after any other such time.
+// Break sets the link's mode for d and then restores LinkWorks. Concurrent calls run one
+// after another.
 func (l *Link) Break(m LinkMode, d time.Duration) {
-	l.broken.Lock()
-	defer l.broken.Unlock()
+	l.breaking.Lock()
+	defer l.breaking.Unlock()
 	l.SetMode(m)
 	time.Sleep(d)
 	l.SetMode(LinkWorks)
 }
 
-func (l *Link) now() LinkMode {
+func (l *Link) currentMode() LinkMode {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.mode
@@ -123,7 +125,7 @@
 		if err != nil {
 			return
 		}
-		if m := l.now(); m == LinkRefused || m == LinkReset {
+		if m := l.currentMode(); m == LinkRefused || m == LinkReset {
 			_ = c.Close()
 			continue
 		}
@@ -160,14 +162,15 @@
 	}
 }
 
-// copy passes bytes on as the mode says. A side that ends ends the other.
+// copy forwards bytes as the mode allows. When one direction ends, serve closes both
+// connections.
 func (l *Link) copy(dst io.Writer, src io.Reader, fromCaller bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, 32<<10)
 	for {
 		n, err := src.Read(buf)
 		if n > 0 {
-			l.hold(fromCaller)
+			l.delay(fromCaller)
 			if _, err := dst.Write(buf[:n]); err != nil {
 				return
 			}
@@ -178,16 +181,17 @@
 	}
 }
 
-// hold waits while the link lets nothing pass in this direction.
-func (l *Link) hold(fromCaller bool) {
-	if l.now() == LinkDelayed {
+// delay waits for linkDelay on a delayed link, and while the link lets nothing pass in
+// this direction.
+func (l *Link) delay(fromCaller bool) {
+	if l.currentMode() == LinkDelayed {
 		time.Sleep(linkDelay)
 	}
 	for {
-		m := l.now()
+		m := l.currentMode()
 		if m != LinkSilent && (m != LinkOneWay || fromCaller) {
 			return
 		}
-		time.Sleep(heldPoll)
+		time.Sleep(pollInterval)
 	}
 }
--- a/soak/rest.go
+++ b/soak/rest.go
@@ -7,72 +7,72 @@
 	"time"
 )
 
-// Course of targets that turn requests away and ask for rest.
+// Parameters of targets that refuse requests and request back-off.
 const (
-	restingOf = 3 // one target in so many does
-	restFrom  = 3 * time.Second
-	restTo    = 6 * time.Second
+	backoffOneIn = 3 // one target in this many does
+	backoffMin   = 3 * time.Second
+	backoffMax   = 6 * time.Second
 )
 
-// Bounds of the promise about rest, as the platform's pages have them.
+// Bounds of InvariantBackoff, as the platform documents them.
 const (
-	restGrace = 500 * time.Millisecond
-	restSends = 2
+	backoffGrace        = 500 * time.Millisecond
+	backoffAllowedSends = 2
 )
 
-// restAsked makes some targets turn all requests away and ask for rest.
-func restAsked(f *Fleet, rng *rand.Rand, _ time.Duration) {
-	var asking sync.WaitGroup
+// requestBackoff makes some targets refuse all requests and request back-off.
+func requestBackoff(f *Fleet, rng *rand.Rand, _ time.Duration) {
+	var requesting sync.WaitGroup
 	targets := f.targets()
-	for _, i := range rng.Perm(len(targets))[:max(len(targets)/restingOf, 1)] {
-		t, rest, d := targets[i], pick(rng, []float64{0.8, 2, 3}), between(rng, restFrom, restTo)
-		asking.Go(func() {
-			f.troubleTarget(t, d+aftermath)
-			f.logf("%s turns requests away and asks for %v s of rest for %v", t.Life(), rest, d.Round(time.Millisecond))
-			t.AskRest(rest)
+	for _, i := range rng.Perm(len(targets))[:max(len(targets)/backoffOneIn, 1)] {
+		t, backoff, d := targets[i], pick(rng, []float64{0.8, 2, 3}), randomDuration(rng, backoffMin, backoffMax)
+		requesting.Go(func() {
+			f.markTargetFaulty(t, d+settleTime)
+			f.logf("%s turns requests away and asks for %v s of rest for %v", t.Life(), backoff, d.Round(time.Millisecond))
+			t.AskRest(backoff)
 			time.Sleep(d)
 			t.AskRest(0)
 		})
 	}
-	asking.Wait()
+	requesting.Wait()
 }
 
-// atRest returns the attempts that reached a target from an entry that it had asked for
-// rest, beyond those that are allowed.
-func atRest(attempts []Attempt, facts Facts) []Attempt {
+// sentDuringBackoff returns the attempts beyond backoffAllowedSends that reached a target
+// from an entry during a back-off that the target had requested from it.
+func sentDuringBackoff(attempts []Attempt, facts Facts) []Attempt {
 	byID := map[string]Attempt{}
 	for _, a := range attempts {
 		byID[a.ID] = a
 	}
-	late := map[string]bool{}
-	for life, rests := range facts.Backoffs {
-		for _, r := range rests {
-			entry, n := byID[r.Request].Incarnation, 0
-			for _, x := range facts.Arrivals[life] {
+	excess := map[string]bool{}
+	for incarnation, backoffs := range facts.Backoffs {
+		for _, b := range backoffs {
+			entry, n := byID[b.Request].Incarnation, 0
+			for _, x := range facts.Arrivals[incarnation] {
 				a := byID[x.Request]
-				if a.Incarnation != entry || !a.EntryFaultFree || x.At < r.At+restGrace || x.At > r.At+r.Duration {
+				if a.Incarnation != entry || !a.EntryFaultFree || x.At < b.At+backoffGrace || x.At > b.At+b.Duration {
 					continue
 				}
-				if n++; n > restSends {
-					late[x.Request] = true
+				if n++; n > backoffAllowedSends {
+					excess[x.Request] = true
 				}
 			}
 		}
 	}
 	var out []Attempt
 	for _, a := range attempts {
-		if late[a.ID] {
+		if excess[a.ID] {
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// Backoff is an answer in which a target asked for rest.
+// Backoff is a response in which a target requested back-off.
 type Backoff struct {
-	Request string
-	At      time.Duration // since the start of the run
-	Duration    time.Duration
+	Request  string
+	At       time.Duration // since the start of the run
+	Duration time.Duration
 }
 
-func (r Backoff) String() string { return fmt.Sprintf("%s at %v for %v", r.Request, r.At, r.Duration) }
+func (b Backoff) String() string { return fmt.Sprintf("%s at %v for %v", b.Request, b.At, b.Duration) }
--- a/soak/rest_test.go
+++ b/soak/rest_test.go
@@ -8,14 +8,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// Targets that turned requests away and asked for rest got more requests than the others.
-func TestSoakTargetsAskForRest(t *testing.T) {
+// Guards against entries that send targets which refuse requests and request back-off more
+// requests than the others.
+func TestSoakTargetsRequestBackoff(t *testing.T) {
 	const seed = 9401
 	runAndCheck(t, Config{Seed: seed, Only: regexp.MustCompile("targets ask for rest"), Duration: time.Second, Entries: 5, Engines: 6,
 		PlainTargets: 6, Bin: buildPrograms(t), Dir: seedDir(t, seed), Logf: t.Logf})
 }
 
-func TestJudgeOfRest(t *testing.T) {
+func TestJudgeBackoff(t *testing.T) {
 	attempts := []Attempt{{ID: "refused", Incarnation: "e#1", EntryFaultFree: true}, {ID: "other", Incarnation: "e#2", EntryFaultFree: true}}
 	arrivals := []Arrival{{"refused", 0}, {"other", 1000 * ms}}
 	for id, at := range map[string]time.Duration{"soon": 400 * ms, "first": 600 * ms, "second": 700 * ms, "third": 2900 * ms, "after": 3100 * ms} {
@@ -25,5 +26,5 @@
 	attempts = append(attempts, Attempt{ID: "paused", Incarnation: "e#1"})
 	arrivals = append(arrivals, Arrival{"paused", 800 * ms})
 	facts := Facts{Arrivals: map[string][]Arrival{"a": arrivals}, Backoffs: map[string][]Backoff{"a": {{"refused", 0, 3 * second}}}}
-	assert.Equal(t, len(judged(t, attempts, facts)), 1)
+	assert.Equal(t, len(invariantsByID(t, attempts, facts)), 1)
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -23,28 +23,28 @@
 	soakEngines = flag.Int("soak.engines", 4, "number of engines, each with an agent")
 )
 
-// failedSeeds are seeds that failed once, each with its cause.
+// failedSeeds are seeds that exposed a fault, each with its cause.
 var failedSeeds = []uint64{
-	814, // weights not whole: pieces of a newer version lay over those of an order without an answer
+	814, // mixed weights: pieces of a newer version overwrote those of an order that got no response
 }
 
-// failedScenarios are seeds that failed once with settings of their own, each with its
+// failedScenarios are seeds that exposed a fault with settings of their own, each with its
 // cause.
 var failedScenarios = []Config{
-	// Requests to a target that had left, from two of 14 entries: its removal came between
-	// two pages of a whole read, and followers of the entry that read them never heard of it.
+	// Two of 14 entries sent requests to a target that had left: its removal came between
+	// two pages of a full read, and followers of the entry that read them did not receive
+	// it.
 	{Seed: 5012, Only: regexp.MustCompile("news overtaken"), Duration: 9 * time.Second, Entries: 14, Engines: 40},
 }
 
-// Callers of one service saw a tenth to three fifths of their requests refused for ten
-// seconds, three times. A request that ends each target that runs it had come, and came
-// again with another ID each time, at any entry. Each entry sent each attempt to two
-// targets, 40 of which ended, and their other streams with them: nothing remembered the
-// request from one attempt to the next, nor from one entry to another.
+// Guards against a request that crashes each target that runs it and is sent again with a
+// new ID to any entry. Each entry sent each attempt to two targets, and crashes were
+// remembered neither between attempts nor between entries. 40 targets crashed, breaking
+// their other streams, and three times a tenth to three fifths of one service's requests
+// were refused for ten seconds.
 //
-// The evidence: of each target that ended one request was lost without an event, of one
-// team on one route each time, while the streams beside it broke midway and went on
-// elsewhere.
+// Each crashed target lost one request without an event, in each incident of one team on
+// one route, while the other streams on the target broke midway and resumed elsewhere.
 func TestSoakRequestThatCrashesTargets(t *testing.T) {
 	bin := buildPrograms(t)
 	for _, seed := range []uint64{9101, 9102, 9103} {
@@ -62,10 +62,10 @@
 	}
 }
 
-// plainTargets is how many plain targets the fleets of the tests have.
+// plainTargets is the number of plain targets in the fleets of the tests.
 const plainTargets = 3
 
-// buildPrograms returns the folder of the real programs.
+// buildPrograms builds the real programs and returns their directory.
 func buildPrograms(t *testing.T) string {
 	bin := t.TempDir()
 	out, err := exec.Command("go", "build", "-o", bin, "../cmd/...").CombinedOutput()
@@ -85,7 +85,8 @@
 	}
 }
 
-// runAndCheck runs a fleet; no promise may be broken.
+// runAndCheck runs a fleet and fails the test if an invariant is violated, a process exits
+// unexpectedly, copies of the store differ, weights are mixed or requests are not served.
 func runAndCheck(t *testing.T, cfg Config) {
 	seed := cfg.Seed
 	r, err := Run(t.Context(), cfg)
@@ -101,7 +102,7 @@
 	assert.Check(t, r.Served > 0, "seed %d", seed)
 }
 
-// seedDir returns the folder of a seed's settings and logs.
+// seedDir returns the directory for a seed's settings and logs.
 func seedDir(t *testing.T, seed uint64) string {
 	if *soakDir == "" {
 		return t.TempDir()
