--- a/soak/callers.go
+++ b/soak/callers.go
@@ -131,7 +131,7 @@
 	signed := fake.Signed(resp.Header)
 	switch {
 	case resp.StatusCode/100 == 2 && !signed:
-		a.Fault = "success without a target's signature"
+		a.Fault = "success response without a target's signature"
 	case resp.StatusCode/100 != 2:
 		_, err := io.Copy(io.Discard, resp.Body)
 		a.Truncated = err != nil
@@ -141,7 +141,7 @@
 		b, err := io.ReadAll(resp.Body)
 		a.Truncated = err != nil
 		if err == nil && string(b) != fake.Body(a.ID) {
-			a.Fault = fmt.Sprintf("body %.40q", b)
+			a.Fault = fmt.Sprintf("unexpected body %.40q", b)
 		}
 	}
 }
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -33,7 +33,7 @@
 func sendCrashingRequests(f *Fleet, rng *rand.Rand, _ time.Duration) {
 	body := fmt.Sprintf("%s%d", fake.CrashPrefix, rng.Uint64())
 	k := pick(rng, kinds)
-	f.logf("a request of kind %s that crashes targets, %s", k.name, body)
+	f.logf("sending a request of kind %s that crashes targets, body %s", k.name, body)
 	f.sendCrashWave(rng, k, body, waveDuration)
 	switch rng.IntN(3) {
 	case 0:
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -40,7 +40,7 @@
 	{"agent paused", func(f *Fleet, rng *rand.Rand, d time.Duration) { f.pause(pick(rng, f.agents), d) }},
 	{"settings changed", func(f *Fleet, rng *rand.Rand, _ time.Duration) {
 		if err := pick(rng, f.entries).Reload(); err != nil {
-			f.logf("settings not written: %v", err)
+			f.logf("writing the settings failed: %v", err)
 		}
 	}},
 	{"link to the store", func(f *Fleet, rng *rand.Rand, d time.Duration) {
@@ -206,7 +206,7 @@
 	}
 	time.Sleep(after / 4)
 	if err := p.Start(); err != nil {
-		f.logf("%s not started: %v", p.node.Name, err)
+		f.logf("starting %s failed: %v", p.node.Name, err)
 	}
 }
 
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -96,7 +96,7 @@
 			return addr, ln.Close()
 		}
 	}
-	return "", fmt.Errorf("soak: no free port from %d on", firstPort)
+	return "", fmt.Errorf("soak: no free port at or above %d", firstPort)
 }
 
 // newFleet starts the fake platform, the targets and the programs.
@@ -318,7 +318,7 @@
 		return nil, err
 	}
 	if missing := f.awaitService(ctx); len(missing) > 0 {
-		return nil, fmt.Errorf("soak: not serving after the start: %v", missing)
+		return nil, fmt.Errorf("soak: not serving after start-up: %v", missing)
 	}
 	loadCtx, stopLoad := context.WithCancel(ctx)
 	var load sync.WaitGroup
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -38,24 +38,24 @@
 // String describes the violation.
 func (v Violation) String() string {
 	a := v.Attempt
-	return fmt.Sprintf("%s: request %s (%s) at %s, key %d, sent %v, answered %v, status %d, ran at %v, late there by %v; %s", v.Invariant, a.ID, a.Kind,
+	return fmt.Sprintf("%s: request %s (%s) at %s, key %d, sent %v, answered %v, status %d, ran on %v, late there by %v; %s", v.Invariant, a.ID, a.Kind,
 		a.Incarnation, a.Key, a.Sent.Round(time.Millisecond), a.Answered.Round(time.Millisecond), a.Status, v.Runs, v.SchedulingDelay.Round(time.Millisecond), a.Fault)
 }
 
 // Invariants that are checked.
 const (
-	InvariantRunsOnce         = "what is not repeatable runs once"
-	InvariantRefusedNotRun    = "a refusal that says so has not run"
-	InvariantResponseIntact   = "an answer is whole and the caller's own"
-	InvariantValidKeyAccepted = "what is allowed is not denied"
-	InvariantGracefulStop     = "an orderly stop cuts no request"
-	InvariantConfigMonotonic  = "a configuration never goes back"
-	InvariantConfigFresh      = "a configuration is in force in time"
-	InvariantLeavingTarget    = "a target that leaves gets no new request"
-	InvariantCrashLimit       = "a request that crashed three targets is sent no more"
-	InvariantAnnouncedLeaving = "a target that said that it leaves gets no new request from those it told"
-	InvariantBackoff          = "a target gets no request from an entry that it asked for rest"
-	InvariantRateLimit        = "a target gets no more than the limit that it names"
+	InvariantRunsOnce         = "a request that is not repeatable runs at most once"
+	InvariantRefusedNotRun    = "a request refused as not run has not run"
+	InvariantResponseIntact   = "a response is complete and belongs to its request"
+	InvariantValidKeyAccepted = "a request with a valid key is not denied"
+	InvariantGracefulStop     = "a graceful stop truncates no response"
+	InvariantConfigMonotonic  = "an entry never reverts to an older configuration"
+	InvariantConfigFresh      = "a configuration takes effect within the bound"
+	InvariantLeavingTarget    = "a leaving target receives no new request"
+	InvariantCrashLimit       = "a request that crashed three targets is no longer sent"
+	InvariantAnnouncedLeaving = "a target that announced leaving receives no new request from the entries that forwarded the announcement"
+	InvariantBackoff          = "a target receives no request from an entry during the back-off that it requested"
+	InvariantRateLimit        = "a target receives no more requests than the limit that it announces"
 )
 
 // Judge checks the invariants by comparing what callers observed with what the targets and
--- a/soak/judge_test.go
+++ b/soak/judge_test.go
@@ -44,7 +44,7 @@
 		{ID: "old key", Key: 1, Status: http.StatusUnauthorized},
 		{ID: "overlapping", Incarnation: "e#1", Key: 2, Status: 200, Began: 1, End: 5},
 		{ID: "other process", Incarnation: "e#2", Key: 1, Status: 200, Began: 6, End: 7},
-		{ID: "honest", Status: http.StatusServiceUnavailable},
+		{ID: "refused, not run", Status: http.StatusServiceUnavailable},
 	}
 	assert.DeepEqual(t, invariantsByID(t, attempts, Facts{Runs: runs}), map[string]string{"twice": InvariantRunsOnce, "refused": InvariantRefusedNotRun,
 		"garbled": InvariantResponseIntact, "denied": InvariantValidKeyAccepted, "cut": InvariantGracefulStop, "old": InvariantConfigMonotonic})
@@ -57,23 +57,23 @@
 	const denied = http.StatusUnauthorized
 	facts := Facts{Configs: map[int]Write{1: {0, 1 * ms}, 2: {10 * second, 10*second + 5*ms}, 3: {20 * second, 20*second + 5*ms}}}
 	attempts := []Attempt{
-		{ID: "taken away", Key: 1, Status: 200, StoreReachable: true, Sent: 12*second + 6*ms},
-		{ID: "taken away long ago", Key: 1, Status: 200, StoreReachable: true, Sent: 25 * second},
+		{ID: "removed", Key: 1, Status: 200, StoreReachable: true, Sent: 12*second + 6*ms},
+		{ID: "removed long ago", Key: 1, Status: 200, StoreReachable: true, Sent: 25 * second},
 		{ID: "added", Key: 2, Status: denied, StoreReachable: true, Sent: 12*second + 6*ms, Answered: 13 * second},
 		{ID: "newest", Key: 3, Status: denied, StoreReachable: true, Sent: 40 * second, Answered: 41 * second},
 
-		{ID: "taken away just now", Key: 1, Status: 200, StoreReachable: true, Sent: 12*second + 5*ms},
-		{ID: "taken away, out of touch", Key: 1, Status: 200, Sent: 15 * second},
-		{ID: "taken away, denied", Key: 1, Status: denied, StoreReachable: true, Sent: 15 * second, Answered: 16 * second},
+		{ID: "removed just now", Key: 1, Status: 200, StoreReachable: true, Sent: 12*second + 5*ms},
+		{ID: "removed, store unreachable", Key: 1, Status: 200, Sent: 15 * second},
+		{ID: "removed, denied", Key: 1, Status: denied, StoreReachable: true, Sent: 15 * second, Answered: 16 * second},
 		{ID: "added just now", Key: 2, Status: denied, StoreReachable: true, Sent: 12*second + 5*ms, Answered: 13 * second},
-		{ID: "added, out of touch", Key: 2, Status: denied, Sent: 15 * second, Answered: 16 * second},
-		{ID: "taken away meanwhile", Key: 2, Status: denied, StoreReachable: true, Sent: 19 * second, Answered: 20*second + 1*ms},
+		{ID: "added, store unreachable", Key: 2, Status: denied, Sent: 15 * second, Answered: 16 * second},
+		{ID: "removed meanwhile", Key: 2, Status: denied, StoreReachable: true, Sent: 19 * second, Answered: 20*second + 1*ms},
 		{ID: "allowed", Key: 2, Status: 200, StoreReachable: true, Sent: 15 * second},
 		{ID: "not served", Key: 1, Status: http.StatusServiceUnavailable, StoreReachable: true, Sent: 15 * second},
 		{ID: "of another incarnation", Key: -1, Status: denied, StoreReachable: true, Sent: 15 * second},
 		{ID: "not written yet", Key: 4, Status: denied, StoreReachable: true, Sent: 50 * second, Answered: 51 * second},
 	}
-	assert.DeepEqual(t, invariantsByID(t, attempts, facts), map[string]string{"taken away": InvariantConfigFresh, "taken away long ago": InvariantConfigFresh,
+	assert.DeepEqual(t, invariantsByID(t, attempts, facts), map[string]string{"removed": InvariantConfigFresh, "removed long ago": InvariantConfigFresh,
 		"added": InvariantConfigFresh, "newest": InvariantConfigFresh})
 }
 
@@ -82,7 +82,7 @@
 func TestJudgeLeaving(t *testing.T) {
 	facts := Facts{Leaving: map[string]time.Duration{"gone": 10 * second, "gone later": 20 * second},
 		Runs: map[string][]string{"late": {"gone"}, "second choice": {"stays", "gone"}, "both": {"gone later", "gone"},
-			"in time": {"gone"}, "before": {"gone"}, "cut off": {"gone"}, "other": {"stays"}, "early": {"gone later"}}}
+			"in time": {"gone"}, "before": {"gone"}, "store unreachable": {"gone"}, "other": {"stays"}, "early": {"gone later"}}}
 	attempts := []Attempt{
 		{ID: "late", Status: 200, StoreReachable: true, Sent: 12*second + 1*ms},
 		{ID: "second choice", Status: 200, Repeatable: true, StoreReachable: true, Sent: 13 * second},
@@ -90,7 +90,7 @@
 
 		{ID: "in time", Status: 200, StoreReachable: true, Sent: 12 * second},
 		{ID: "before", Status: 200, StoreReachable: true, Sent: 1 * second},
-		{ID: "cut off", Status: 200, Sent: 13 * second},
+		{ID: "store unreachable", Status: 200, Sent: 13 * second},
 		{ID: "other", Status: 200, StoreReachable: true, Sent: 13 * second},
 		{ID: "early", Status: 200, StoreReachable: true, Sent: 13 * second},
 		{ID: "never ran", Status: http.StatusServiceUnavailable, StoreReachable: true, Sent: 13 * second},
@@ -104,12 +104,12 @@
 func TestJudgeCrashed(t *testing.T) {
 	facts := Facts{Crashes: map[string][]time.Duration{"bad": {1 * second, 2 * second, 4 * second}, "twice only": {1 * second, 2 * second}},
 		Reached: map[string][]string{"at once": {"t"}, "first": {"t", "u"}, "third": {"v"}, "fourth": {"t"}, "fifth": {"u"},
-			"out of touch": {"t"}, "disturbed": {"t"}, "other": {"t"}}}
+			"store unreachable": {"t"}, "entry faulty": {"t"}, "other": {"t"}}}
 	late := func(id, body string) Attempt {
 		return Attempt{ID: id, Body: body, Status: http.StatusBadGateway, StoreReachable: true, EntryFaultFree: true, Repeatable: true, Sent: 8 * second}
 	}
 	attempts := []Attempt{late("at once", "bad"), late("first", "bad"), late("third", "bad"), late("fourth", "bad"), late("fifth", "bad"),
-		late("out of touch", "bad"), late("disturbed", "bad"), late("refused", "bad"), late("other", "twice only")}
+		late("store unreachable", "bad"), late("entry faulty", "bad"), late("refused", "bad"), late("other", "twice only")}
 	attempts[0].Sent = 7 * second
 	attempts[5].StoreReachable = false
 	attempts[6].EntryFaultFree = false
@@ -124,9 +124,9 @@
 	r.faultBegan()
 	r.faultEnded()
 	r.lastEnded = r.lastEnded.Add(-storeReachableWindow)
-	assert.Assert(t, !r.reachable(), "another fault goes on")
+	assert.Assert(t, !r.reachable(), "another fault is in progress")
 	r.faultEnded()
-	assert.Assert(t, !r.reachable(), "just over")
+	assert.Assert(t, !r.reachable(), "the last fault ended less than storeReachableWindow ago")
 	r.lastEnded = r.lastEnded.Add(-storeReachableWindow)
 	assert.Assert(t, r.reachable())
 }
--- a/soak/leaving.go
+++ b/soak/leaving.go
@@ -31,7 +31,7 @@
 
 func (f *Fleet) leaveWhileListed(t *fake.Target, after time.Duration) {
 	incarnation := t.SayLeaving()
-	f.logf("%s says that it leaves, listed as ready for %v", incarnation, after.Round(time.Millisecond))
+	f.logf("%s announces that it is leaving, remains listed as ready for %v", incarnation, after.Round(time.Millisecond))
 	time.Sleep(after)
 	if t.Life() != incarnation {
 		return
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -54,7 +54,7 @@
 func (f *Fleet) announceLimit(t *fake.Target, perS float64, d time.Duration) {
 	began, from := time.Now(), f.recorder.elapsed()
 	incarnation := t.SayLimit(strconv.FormatFloat(perS, 'f', -1, 64))
-	f.logf("%s names a limit of %v/s for %v", incarnation, perS, d.Round(time.Millisecond))
+	f.logf("%s announces a limit of %v/s for %v", incarnation, perS, d.Round(time.Millisecond))
 	time.Sleep(d)
 	if t.Life() == incarnation && !f.targetFaultySince(t, began) {
 		f.recorder.recordLimit(LimitSpan{Incarnation: incarnation, From: from, To: f.recorder.elapsed(), PerS: perS})
--- a/soak/long.go
+++ b/soak/long.go
@@ -98,7 +98,7 @@
 	var cuts sync.WaitGroup
 	for _, i := range rng.Perm(n)[:size] {
 		m := randomCutMode(rng)
-		f.logf("%s cut off from the store for %v, mode %d", f.entries[i].node.Name, d.Round(time.Millisecond), m)
+		f.logf("%s disconnected from the store for %v, mode %d", f.entries[i].node.Name, d.Round(time.Millisecond), m)
 		cuts.Go(func() { f.breakStoreLink(i, m, d) })
 	}
 	for end := time.Now().Add(d); time.Now().Before(end); {
@@ -113,7 +113,7 @@
 	t, d := pick(rng, f.targets()), randomDuration(rng, leaveMin, leaveMax)
 	incarnation := t.Leave()
 	f.recorder.recordLeaving(incarnation)
-	f.logf("%s leaves for %v", incarnation, d.Round(time.Millisecond))
+	f.logf("%s is marked as leaving, serves for %v", incarnation, d.Round(time.Millisecond))
 	time.Sleep(d)
 	f.markTargetFaulty(t, settleTime)
 	t.Replace(incarnation)
@@ -171,9 +171,9 @@
 // leaving.
 func (f *Fleet) leaveAndReplace(t *fake.Target, after time.Duration, silent bool, until time.Time) {
 	time.Sleep(after)
-	leave, how := t.Leave, "leaves"
+	leave, how := t.Leave, "is marked as leaving"
 	if silent {
-		leave, how = t.Vanish, "leaves without a word"
+		leave, how = t.Vanish, "is removed without being marked as leaving"
 	}
 	incarnation := leave()
 	f.recorder.recordLeaving(incarnation)
--- a/soak/rest.go
+++ b/soak/rest.go
@@ -28,7 +28,7 @@
 		t, backoff, d := targets[i], pick(rng, []float64{0.8, 2, 3}), randomDuration(rng, backoffMin, backoffMax)
 		requesting.Go(func() {
 			f.markTargetFaulty(t, d+settleTime)
-			f.logf("%s turns requests away and asks for %v s of rest for %v", t.Life(), backoff, d.Round(time.Millisecond))
+			f.logf("%s refuses requests and requests a back-off of %v s, for %v", t.Life(), backoff, d.Round(time.Millisecond))
 			t.AskRest(backoff)
 			time.Sleep(d)
 			t.AskRest(0)
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -14,12 +14,12 @@
 )
 
 var (
-	soakSeed    = flag.Uint64("soak.seed", 1, "first seed of the soak")
+	soakSeed    = flag.Uint64("soak.seed", 1, "first seed")
 	soakSeeds   = flag.Int("soak.seeds", 1, "number of seeds")
-	soakFor     = flag.Duration("soak.for", 6*time.Second, "time under faults for each seed")
+	soakFor     = flag.Duration("soak.for", 6*time.Second, "duration of fault injection for each seed")
 	soakEntries = flag.Int("soak.entries", 5, "number of entries")
-	soakDir     = flag.String("soak.dir", "", "folder in which settings and logs of each seed stay; none keeps none")
-	soakOnly    = flag.String("soak.only", "", "regular expression of the names of faults that are injected; all if empty")
+	soakDir     = flag.String("soak.dir", "", "directory for the settings and logs of each seed; they are not kept if empty")
+	soakOnly    = flag.String("soak.only", "", "regular expression for the names of the faults to inject; all if empty")
 	soakEngines = flag.Int("soak.engines", 4, "number of engines, each with an agent")
 )
 
@@ -95,11 +95,11 @@
 	for _, v := range r.Violations {
 		t.Errorf("seed %d: %v", seed, v)
 	}
-	assert.Check(t, r.DifferingCopies == 0, "seed %d: copies of the store differ, %d lines", seed, r.DifferingCopies)
-	assert.Check(t, r.UnexpectedExits == 0, "seed %d: %d processes ended by themselves", seed, r.UnexpectedExits)
-	assert.Check(t, len(r.Mixed) == 0, "seed %d: weights that were not whole: %+v", seed, r.Mixed)
-	assert.Check(t, len(r.Unserved) == 0, "seed %d: %v", seed, r.Unserved)
-	assert.Check(t, r.Served > 0, "seed %d", seed)
+	assert.Check(t, r.DifferingCopies == 0, "seed %d: copies of the store differ according to %d log lines", seed, r.DifferingCopies)
+	assert.Check(t, r.UnexpectedExits == 0, "seed %d: %d unexpected process exits", seed, r.UnexpectedExits)
+	assert.Check(t, len(r.Mixed) == 0, "seed %d: engines loaded mixed weights: %+v", seed, r.Mixed)
+	assert.Check(t, len(r.Unserved) == 0, "seed %d: not served after the faults: %v", seed, r.Unserved)
+	assert.Check(t, r.Served > 0, "seed %d: no request was served", seed)
 }
 
 // seedDir returns the directory for a seed's settings and logs.
