--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -34,9 +34,8 @@
 	MaxLoad int           // requests already at the target; zero for no limit
 }
 
-// admits reports whether a target with the given load and forecast may take the request. A
-// target that would start on it immediately may always take it: refusing would not help any
-// other request.
+// admits reports whether a target with the given load and forecast may take the request. The
+// wait at an idle target is always accepted: refusing would not help any other request.
 func (a Admission) admits(l Load, f Forecast) bool {
 	if a.MaxLoad > 0 && l.Requests >= a.MaxLoad {
 		return false
--- a/dispatch/admission_test.go
+++ b/dispatch/admission_test.go
@@ -74,9 +74,9 @@
 // A target in the same failure domain costs less, but if it is full, a request is sent to a
 // remote one with capacity and not refused.
 func TestRemoteTargetIsChosenIfTheLocalOneIsFull(t *testing.T) {
-	near, remote := engine(1, 1), engine(2, 1)
+	local, remote := engine(1, 1), engine(2, 1)
 	remote.Domain = "b"
-	b := newTestBalancer(engineModel(), Config{RemoteCost: time.Second}, near, remote)
+	b := newTestBalancer(engineModel(), Config{RemoteCost: time.Second}, local, remote)
 	b.SetLoads("other", map[string]Load{"i-1": {Requests: 20}})
 	assert.Equal(t, picked(b, start), "i-2")
 }
--- a/dispatch/balancer_test.go
+++ b/dispatch/balancer_test.go
@@ -311,7 +311,7 @@
 	assert.Equal(t, picked(b, start), "no_target")
 }
 
-// Entries that see the same idle engine request reservations from its home. The home counts
+// Entries that see the same idle engine request reservations from its home entry, which counts
 // each grant at once, so that it admits only as many requests as the engine can serve.
 func TestHomeGrantsOnlyWhatTheTargetCanServe(t *testing.T) {
 	home := newTestBalancer(engineModel(), Config{}, engine(1, 1))
@@ -342,13 +342,13 @@
 		for i := range n {
 			list = append(list, engine(i, 1))
 		}
-		bk := newTestBalancer(engineModel(), Config{}, list...)
+		balancer := newTestBalancer(engineModel(), Config{}, list...)
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				c, v := bk.Pick(start, testService, demand(), nil)
+				c, v := balancer.Pick(start, testService, demand(), nil)
 				if v == Chosen {
-					bk.Cancel(c.Target, demand())
+					balancer.Cancel(c.Target, demand())
 				}
 			}
 		})
--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -1,6 +1,8 @@
 // Package dispatch chooses the target of a request in the mode of `springgate gateway`. It uses
 // the engines' cost model, the load that all entries report, and the observed health of
-// targets. It does no I/O; clock readings and randomness are arguments.
+// targets. Each target has one home entry, which counts the requests that all entries send to
+// it and grants them reservations. The package does no I/O; clock readings and randomness are
+// arguments.
 package dispatch
 
 import (
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -86,7 +86,7 @@
 	h.eject(now)
 }
 
-// reportSilent reports whether other entries are to be notified that the target is silent.
+// reportSilent reports whether to report the target to other entries as silent.
 func (h *health) reportSilent(now time.Time, limit time.Duration) bool {
 	return h.silent(now, limit) || h.activeAt.Before(h.abandonedAt) && now.Sub(h.abandonedAt) < silenceReportDuration
 }
--- a/dispatch/leaving_test.go
+++ b/dispatch/leaving_test.go
@@ -53,7 +53,7 @@
 	assert.Equal(t, picked(b, start), "p-1")
 }
 
-// A home that knows that a target is leaving reports so to an entry that does not.
+// A home entry that knows that a target is leaving reports this to an entry that does not.
 func TestHomeDeniesReservationAtLeavingTarget(t *testing.T) {
 	draining := plain(2)
 	draining.Draining = true
--- a/dispatch/loads.go
+++ b/dispatch/loads.go
@@ -56,8 +56,7 @@
 	return out
 }
 
-// SilentTargets returns the sorted IDs of the targets that other entries are to be notified of
-// as silent.
+// SilentTargets returns the sorted IDs of the targets to report to other entries as silent.
 func (b *Balancer) SilentTargets(now time.Time) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -7,8 +7,8 @@
 	"github.com/springgate/springgate/notice"
 )
 
-// RecordStatement records the statement in a response of a target to a request sent at the
-// given time.
+// RecordStatement records the statement in a target's response to a request that was sent at
+// the given time.
 func (b *Balancer) RecordStatement(now time.Time, i fleet.Instance, s notice.Statement, sent time.Time) notice.Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -67,7 +67,7 @@
 }
 
 // UpdateNotices marks targets that are draining in the list as leaving, and removes the state
-// of targets that have not been listed for long.
+// of targets that have been unlisted for some time.
 func (b *Balancer) UpdateNotices(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/dispatch/objectives.go
+++ b/dispatch/objectives.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// shareHalfLife is the half-life of the request counts by objective. At some seconds of
-	// traffic, a route that is no longer used soon stops affecting admission.
+	// shareHalfLife is the half-life of the request counts by objective. It is short so that a
+	// route that is no longer used soon stops affecting admission.
 	shareHalfLife = 5 * time.Second
 	// minObjectiveShare is the smallest fraction of a service's requests for which an objective
 	// is considered. Without it, a few callers would determine the wait of all.
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -45,8 +45,8 @@
 	kinds    []callerKind
 	retries  int
 	// timeout draws a caller's timeout; if nil, refused callers retry after 1 to 2 s.
+	timeout func(*rand.Rand) time.Duration
 	// detector detects retries; if nil, they are known.
-	timeout  func(*rand.Rand) time.Duration
 	detector *RetryDetector
 	burst    func(now time.Time) float64 // factor applied to the arrival rate
 
@@ -173,10 +173,10 @@
 	for _, j := range taken {
 		tokens += j.pendingPrefill
 	}
-	s.after(prefillTime(s.model, tokens)+passTime(s.model, len(e.running)), func() { s.passed(e) })
+	s.after(prefillTime(s.model, tokens)+passTime(s.model, len(e.running)), func() { s.finishPass(e) })
 }
 
-func (s *fleetSim) passed(e *simEngine) {
+func (s *fleetSim) finishPass(e *simEngine) {
 	e.busy = false
 	running := e.running[:0]
 	for _, j := range e.running {
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -14,11 +14,11 @@
 	// limit: without any request no entry would learn that the limit has been lifted.
 	minRate = 0.2
 	// unansweredBackoff is how long a target with a limited rate gets no requests after its
-	// home did not answer.
+	// home entry did not answer a reservation request.
 	unansweredBackoff = 100 * time.Millisecond
 	// initialColdQuota is how many requests an entry may send to a cold target in the first
 	// pacingWindow after discovering it: entries that start together do not know each other
-	// yet.
+	// yet, so each may take itself for the target's home entry.
 	initialColdQuota = 1
 )
 
@@ -36,17 +36,17 @@
 	return rate{true, perS}
 }
 
-// window returns how many requests may be sent within which span.
+// window returns how many requests may be sent, and the span in which they may be sent.
 func (r rate) window() (n int, span time.Duration) {
 	n = min(max(int(r.perS*pacingWindow.Seconds()), 1), maxPacingSamples)
 	return n, time.Duration(float64(n) / r.perS * float64(time.Second))
 }
 
-// pacer limits the rate of requests to a target. The target's home counts the requests of all
-// entries, every other entry only its own.
+// pacer limits the rate of requests to a target. The target's home entry counts the requests of
+// all entries, every other entry only its own.
 type pacer struct {
 	sent         []time.Time // in order
-	blockedUntil time.Time   // the home grants no reservation before this time
+	blockedUntil time.Time   // the home entry grants no reservation before this time
 }
 
 // next returns when the next request may be sent; a time that is not after now means at once.
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -15,7 +15,7 @@
 	return notice.Statement{Limit: notice.Limit{Declared: true, PerS: perS}}
 }
 
-// entryGroup is a group of entries, the first of which is the home of the only target.
+// entryGroup is a group of entries, the first of which is the home entry of the only target.
 type entryGroup struct {
 	entries []*Balancer
 	sent    []time.Time
@@ -29,8 +29,8 @@
 	return f
 }
 
-// send lets an entry choose the target, request a reservation from its home, and record the
-// response.
+// send lets an entry choose the target, request a reservation from its home entry, and record
+// the response.
 func (f *entryGroup) send(now time.Time, entry int, statement notice.Statement) {
 	b, home := f.entries[entry], f.entries[0]
 	c, v := b.Pick(now, testService, demand(), nil)
@@ -164,7 +164,7 @@
 }
 
 // Entries that start at the same time know few other entries, so each takes itself for the home
-// of the first engine that serves. Each would then grant the full cold rate.
+// entry of the first engine that serves. Each would then grant the full cold rate.
 func TestSimultaneousEntryStartsDoNotOverloadColdTarget(t *testing.T) {
 	const entries, perS, coldFor = 15, 26, 5 * time.Second
 	var balancers []*Balancer
--- a/dispatch/pick.go
+++ b/dispatch/pick.go
@@ -34,7 +34,7 @@
 	// the list.
 	Instance      fleet.Instance
 	EntryRevision int64 // revision of the target's list entry at the time of the choice
-	Unlisted      bool  // the list entry had vanished
+	Unlisted      bool  // the target's list entry had disappeared
 	// StartBy is when the request must have started at the target, because the version that it
 	// serves expires then; zero for no limit.
 	StartBy   time.Time
@@ -42,7 +42,7 @@
 	Admission Admission
 	Load      Load         // at the target before the request
 	Limit     notice.Limit // declared by the target
-	Paced     bool         // the target has a limited rate, so its home must grant a reservation
+	Paced     bool         // the target has a limited rate, so its home entry must grant a reservation
 	FreeAt    time.Time    // if the verdict is Paced: when a target accepts the next request
 }
 
--- a/dispatch/reserve.go
+++ b/dispatch/reserve.go
@@ -16,18 +16,20 @@
 	ReservationDeferred             // the target accepts no requests for now and is backed off from
 )
 
-// ReserveResult is a home's answer to a reservation request of another entry.
+// ReserveResult is the answer of a target's home entry to the reservation request of another
+// entry.
 type ReserveResult struct {
 	Granted bool
-	Known   bool          // the home knows the target
+	Known   bool          // the home entry knows the target
 	Wait    time.Duration // until the target accepts the next request; zero if its rate is not the reason
-	Report  notice.Report // state of the target known to the home
+	Report  notice.Report // state of the target known to the home entry
 }
 
-// Reserve decides for another entry whether one more request with the given prompt may be sent
-// to a target, under the entry's admission limits. A granted request counts as that entry's
-// load until its next load report. A target that is unknown here is granted, since the
-// requesting entry may have a newer list. In an evacuated failure domain none is granted.
+// Reserve decides, as the home entry of a target, whether another entry may send one more
+// request with the given prompt to it, under that entry's admission limits. A granted request
+// counts as that entry's load until its next load report. A reservation at an unknown target is
+// granted, since the requesting entry may have a newer list. In an evacuated failure domain no
+// reservation is granted.
 func (b *Balancer) Reserve(now time.Time, from, instance string, prompt int, a Admission) ReserveResult {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -50,7 +52,8 @@
 	return p
 }
 
-// BackOff sends a target no requests for a duration in which its home grants no reservations.
+// BackOff stops sending requests to a target for the time in which its home entry grants no
+// reservations.
 func (b *Balancer) BackOff(now time.Time, instance string, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,8 +62,8 @@
 	}
 }
 
-// BackOffUnanswered backs off from a target with a limited rate because its home did not
-// answer: the requests of other entries are unknown.
+// BackOffUnanswered backs off from a target with a limited rate because its home entry did not
+// answer: without it, the number of requests that other entries send is unknown.
 func (b *Balancer) BackOffUnanswered(now time.Time, instance string) {
 	b.BackOff(now, instance, unansweredBackoff)
 }
--- a/dispatch/residency_test.go
+++ b/dispatch/residency_test.go
@@ -71,7 +71,8 @@
 	assert.Assert(t, domainsOf(t, b, demand())["a"], "evacuation lifted")
 }
 
-// A home that knows of an evacuation grants no reservation there to an entry that does not.
+// A home entry that knows of an evacuation grants no reservation there to an entry that does
+// not.
 func TestHomeDeniesReservationInEvacuatedDomain(t *testing.T) {
 	b := newRegionalBalancer(t, "a")
 	a := Admission{MaxWait: time.Hour}
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// retrySlack is the factor by which a caller's initial time may exceed the typical one of
+	// retrySlack is the factor by which a caller's initial timeout may exceed the typical one of
 	// its route and its retry still be recognized.
 	retrySlack = 1.05
 	// retrySampleSize is how many of a route's latest requests are used to estimate the typical
-	// initial time.
+	// initial timeout.
 	retrySampleSize = 32
 	// typicalRank is the rank, by time left, of the request that is taken as typical. It is not
 	// the highest, as a few callers allow more time than the others; most requests are first
@@ -25,15 +25,16 @@
 // a new one, and a new one with a far shorter timeout than the others for a retry. Its methods
 // may be called concurrently.
 type RetryDetector struct {
-	// share is the largest fraction of its initial time that a caller has left when it retries.
+	// share is the largest fraction of its initial timeout that a caller has left when it
+	// retries.
 	share float64
 
 	mu     sync.Mutex
 	routes map[string]*timesLeft
 }
 
-// NewRetryDetector returns a detector for callers that are told to retry after the fraction
-// part of their time left, reduced by a random share of up to spread.
+// NewRetryDetector returns a detector for callers whose Retry-After is the fraction part of
+// their time left, reduced by a random share of up to spread.
 func NewRetryDetector(part, spread float64) *RetryDetector {
 	return &RetryDetector{share: 1 - part*(1-spread), routes: map[string]*timesLeft{}}
 }
--- a/dispatch/versions.go
+++ b/dispatch/versions.go
@@ -15,7 +15,7 @@
 }
 
 // wantedVersions are the wanted versions of one model, oldest first. Each has its own deadline:
-// a newer version does not postpone the one for leaving an older version.
+// a newer version does not postpone the time at which an older one expires.
 type wantedVersions []wanted
 
 // due returns the newest version whose deadline has passed, or zero.
@@ -33,8 +33,8 @@
 func (w wantedVersions) expiresAt(version int, timeout time.Duration) time.Time {
 	var first time.Time
 	for _, x := range w {
-		if over := x.since.Add(timeout); x.version > version && (first.IsZero() || over.Before(first)) {
-			first = over
+		if expiry := x.since.Add(timeout); x.version > version && (first.IsZero() || expiry.Before(first)) {
+			first = expiry
 		}
 	}
 	return first
