--- a/mechanism/mechanism.go
+++ b/mechanism/mechanism.go
@@ -18,7 +18,7 @@
 	OverdueLast                     // retries of refused callers count as fresh requests
 	Patience                        // fresh requests are refused without waiting for a target
 	RetryAfter                      // refused callers are told to retry after 1 s
-	Homes                           // entries choose targets without a reservation from the target's home
+	Homes                           // entries choose targets without a reservation from the target's home entry
 	SharedLoads                     // entries know only their own load
 	SharedSilence                   // each entry detects silent targets on its own
 	RemoteCost                      // targets in other failure domains cost no more than local ones
