--- a/notice/backoff.go
+++ b/notice/backoff.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// probeTimeout is how long the first request after a back-off remains the only one. A target
-// that serves answers sooner.
+// probeTimeout is how long the first request after a back-off remains the only one while it is
+// unanswered. A working target responds sooner.
 const probeTimeout = 500 * time.Millisecond
 
 // Backoff is a period in which a target wants no requests from this entry. It is not reported
 // to other entries, since it concerns this one only. After it a single request is sent as a
-// probe, and others follow once it has been answered: sent together, all would be refused
-// again.
+// probe, and others follow once the probe has been answered: sent together, all would be
+// refused again.
 type Backoff struct {
 	until       time.Time
 	unconfirmed bool      // no request sent after the back-off has been answered
 	probedAt    time.Time // when the latest probe was sent
 }
 
-// record applies the response to a request sent at the given time, in which the target asks for
-// a back-off or not. It reports whether a back-off begins.
+// record applies the response to a request sent at the given time, in which the target requests
+// a back-off of the given duration, or none if it is zero. It reports whether a back-off begins.
 func (b *Backoff) record(now time.Time, duration time.Duration, sent time.Time) bool {
 	if duration <= 0 {
 		b.unconfirmed = b.unconfirmed && sent.Before(b.until)
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -1,5 +1,5 @@
 // Package notice keeps the state that targets declare in their responses, by incarnation of the
-// target. It does no I/O; a Table is guarded by its owner.
+// target. It does no I/O. A Table must not be used concurrently.
 package notice
 
 import (
@@ -22,12 +22,12 @@
 // Statement is the state that a target declares in one response.
 type Statement struct {
 	Limit   Limit
-	Leaving bool // it will end soon and accepts no more requests
+	Leaving bool // the target will shut down soon and accepts no more requests
 	// Backoff is how long the target wants no requests from the entry whose request it refused.
 	Backoff time.Duration
-	// LimitUnreadable is set if a declared limit could not be parsed; Limit then holds a limit
-	// that could be parsed beside it, if any. LeavingUnreadable and BackoffUnreadable are set
-	// if Leaving and Backoff could not be parsed.
+	// LimitUnreadable is set if a declared limit could not be parsed; Limit then holds the
+	// limit from the same response that could be parsed, if any. LeavingUnreadable and
+	// BackoffUnreadable are set if Leaving and Backoff could not be parsed.
 	LimitUnreadable, LeavingUnreadable, BackoffUnreadable bool
 }
 
@@ -71,7 +71,7 @@
 // incarnation.
 const unlistedRetention = time.Minute
 
-// record is what this process knows of an incarnation.
+// record is what this process knows about an incarnation.
 type record struct {
 	startMs    int64
 	state      State
@@ -220,8 +220,8 @@
 	return out
 }
 
-// Prune removes targets that have not been listed for long. listed reports whether a target is
-// listed now.
+// Prune removes targets that have been unlisted for unlistedRetention. listed reports whether a
+// target is listed now.
 func (t *Table) Prune(now time.Time, listed func(target string) bool) {
 	for id, r := range t.records {
 		if listed(id) {
