--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -21,11 +21,11 @@
 	Domain       string
 	Slots        int
 	Revision     int64 // of its list entry
-	HeartbeatSeq int64 // sequence number of the heartbeat that wrote the list entry, counted from the start
+	HeartbeatSeq int64 // sequence number of the heartbeat that wrote the list entry, counted from the instance's start
 	Draining     bool
-	Unlisted     bool // its list entry vanished a moment ago
-	// ColdFor is how long the instance stays cold after its list entry was written, and
-	// ColdUntil when it becomes warm by this process's clock.
+	Unlisted     bool // its list entry disappeared recently
+	// ColdFor is how long the instance stays cold after its list entry was written, that is,
+	// limited to the service's ColdRate. ColdUntil is when that ends by this process's clock.
 	ColdFor   time.Duration
 	ColdUntil time.Time
 	Models    []ModelVersion
