--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -16,7 +16,7 @@
 //   - It never succeeds. A run that the target survives clears all earlier crashes, and a
 //     content that succeeded recently must crash targets at recentSuccessThreshold
 //     separate moments.
-//   - Its targets crash one at a time. Where many other targets crash in the same moment,
+//   - Its targets crash one at a time. Where many other targets crash at the same moment,
 //     a common cause is likelier, and the crashes of that moment count once.
 package quarantine
 
--- a/quarantine/storm_test.go
+++ b/quarantine/storm_test.go
@@ -154,7 +154,7 @@
 }
 
 // run sends each cause ten times a second on average, among 60 other requests a second;
-// these have unique contents or are one of four polls.
+// these have unique contents or are one of four that are sent repeatedly.
 func (s *storm) run(causes []Fingerprint) {
 	unique := 0
 	for now := time.Duration(0); now < stormDuration; now += stormStep {
@@ -196,7 +196,7 @@
 }
 
 // Three requests of different callers crash targets at the same time: each of them is
-// quarantined, and contents that ran beside several of them are not.
+// quarantined, and contents that ran concurrently with several of them are not.
 func TestCrashStormWithThreeCauses(t *testing.T) {
 	causes := []Fingerprint{content(1, 1), content(7, 2), content(8, 3)}
 	most, sum, late := 0, 0, 0
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -21,9 +21,9 @@
 	// evictionBatch is how many contents are evicted at once, because the search for them
 	// takes 10 ms of CPU time.
 	evictionBatch = 32
-	// idleSuspectAge is the age of its last crash from which a suspect is evicted before
-	// quarantined contents. A content that is retried immediately crashes the next target
-	// sooner than that.
+	// idleSuspectAge is the time since its last crash after which a suspect is evicted
+	// before quarantined contents. A content that is retried immediately crashes the next
+	// target sooner than that.
 	idleSuspectAge = 2 * time.Second
 )
 
@@ -80,7 +80,7 @@
 	seq         uint64
 	changed     chan struct{}
 	lastPrune   time.Time
-	digest      uint64 // cached for sequence number digestAt, because every other entry requests it
+	digest      uint64 // cached until seq differs from digestAt, because every other entry requests it
 	digestAt    uint64
 	findings    map[Fingerprint]Finding
 	stale       bool      // the findings must be recomputed
@@ -349,9 +349,9 @@
 	return newest
 }
 
-// Digest returns a hash by which two tables are compared for holding the same crashes. It
-// is 0 for an empty table and for one that is nearly full, because two full tables may have
-// evicted different contents.
+// Digest returns a hash of all crashes in the table, by which two processes find out whether
+// they hold the same ones. It is 0 for an empty table and for one that is nearly full,
+// because two full tables may have evicted different contents.
 func (t *Table) Digest() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -22,8 +22,8 @@
 
 func incarnation(n int) Incarnation { return Incarnation{fmt.Sprintf("i-%d", n), int64(n)} }
 
-func crash(f Fingerprint, l int, when time.Duration) Crash {
-	return Crash{Content: f, Incarnation: incarnation(l), At: at(when), Reporter: "entry-0"}
+func crash(f Fingerprint, n int, when time.Duration) Crash {
+	return Crash{Content: f, Incarnation: incarnation(n), At: at(when), Reporter: "entry-0"}
 }
 
 // notHome is the home function of an entry that probes no content.
@@ -36,8 +36,8 @@
 }
 
 var (
-	bad  = content(1, 1)
-	poll = content(2, 1)
+	bad  = content(1, 1) // crashes the targets that run it
+	poll = content(2, 1) // is sent at regular intervals and crashes no target
 )
 
 func TestThirdCrashQuarantines(t *testing.T) {
@@ -53,26 +53,26 @@
 	assert.Assert(t, !refused(x, time.Second, poll))
 }
 
-// Requests that ran beside the cause are not quarantined, not even one that did at every
-// crash.
+// Requests that ran concurrently with the cause are not quarantined, not even one that did
+// at every crash.
 func TestBystanders(t *testing.T) {
 	x := NewTable()
-	beside := make([]Fingerprint, 4)
-	for i := range beside {
-		beside[i] = content(3, i)
+	bystanders := make([]Fingerprint, 4)
+	for i := range bystanders {
+		bystanders[i] = content(3, i)
 		for l := range i { // the last one was in flight at all three
-			x.RecordCrashes(at(0), crash(beside[i], l, time.Duration(l)*time.Second))
+			x.RecordCrashes(at(0), crash(bystanders[i], l, time.Duration(l)*time.Second))
 		}
 	}
 	for l := range 3 {
 		x.RecordCrashes(at(0), crash(bad, l, time.Duration(l)*time.Second))
 	}
-	assert.Assert(t, !refused(x, 3*time.Second, beside[3]))
+	assert.Assert(t, !refused(x, 3*time.Second, bystanders[3]))
 	assert.Assert(t, !refused(x, 3*time.Second, bad), "cannot be distinguished from the bystander yet")
 	x.RecordCrashes(at(0), crash(bad, 3, 3*time.Second))
 	assert.Assert(t, refused(x, 4*time.Second, bad))
-	x.RecordCrashes(at(0), crash(beside[3], 4, 4*time.Second)) // for another reason
-	for _, f := range beside {
+	x.RecordCrashes(at(0), crash(bystanders[3], 4, 4*time.Second)) // for another reason
+	for _, f := range bystanders {
 		assert.Assert(t, !refused(x, 5*time.Second, f))
 	}
 }
@@ -134,7 +134,7 @@
 	assert.Assert(t, refused(x, 9*time.Second, bad))
 }
 
-// A rack loses power: twelve targets end, and a poll was in flight on four of them.
+// A rack loses power: twelve targets crash, and a poll was in flight on four of them.
 func TestCorrelatedCrashes(t *testing.T) {
 	for name, succeeded := range map[string]bool{"succeeded before": true, "new": false} {
 		x := NewTable()
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -172,8 +172,8 @@
 	return out
 }
 
-// otherCrashes counts the unexplained crashes around the time of a group that the content
-// was not in flight at.
+// otherCrashes counts the unexplained crashes around the time of a group at which the
+// content was not in flight.
 func (e *evaluation) otherCrashes(s *suspect, group []Crash) (n int) {
 	from, to := group[0].At.Add(-correlationWindow), group[len(group)-1].At.Add(correlationWindow)
 	i, _ := slices.BinarySearchFunc(e.crashes, from, func(c Crash, t time.Time) int { return c.At.Compare(t) })
