--- a/membership/readers.go
+++ b/membership/readers.go
@@ -14,8 +14,9 @@
 	// PerDomain is how many processes of a failure domain watch the platform.
 	// A higher number tolerates more failures and uses more calls. Default 3.
 	PerDomain int
-	// StaleAfter is the age of the last confirmation of the head after which
-	// a process reads the platform itself. Default 3 s.
+	// StaleAfter is the age of the last confirmation of the head, the newest
+	// published revision, after which a process reads the platform itself.
+	// Default 3 s.
 	StaleAfter time.Duration
 	// FallbackRate limits the calls per second of all fallback reads in the
 	// fleet. Default 400, a fifth of the platform's limit.
@@ -107,7 +108,8 @@
 	return out
 }
 
-// strideOf returns a random step that visits every index of n once.
+// strideOf returns a random step that is coprime to n, so that n steps modulo
+// n visit every index once.
 func strideOf(n int, rng *rand.Rand) int {
 	for {
 		if s := 1 + rng.IntN(n); gcd(s, n) == 1 {
--- a/membership/view.go
+++ b/membership/view.go
@@ -64,7 +64,8 @@
 	// sooner and suspects more paused ones. Default 2 s.
 	SuspectAfter time.Duration
 	// GoneAfter is how long a host that is no longer listed is kept after
-	// the last contact. Default 30 s.
+	// its removal from the list or the last contact, whichever is later.
+	// Default 30 s.
 	GoneAfter time.Duration
 	// NoticeTTL is how long a leaving notice is forwarded. Default 20 s.
 	NoticeTTL time.Duration
@@ -95,7 +96,7 @@
 	listLeaving    bool
 	listLeavingInc uint64
 	revision       uint64
-	lastContact    time.Time
+	lastContact    time.Time // also set when the host is added to or removed from the list
 	failedSince    time.Time // zero while the host is reachable
 }
 
