--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -22,8 +22,8 @@
 	// SlowStart is how long a target takes to receive its full share after it
 	// became ready. Default 5 s.
 	SlowStart time.Duration
-	// SpillThreshold is the load per slot of the best near host above which hosts of
-	// other failure domains are considered too. Default 1.
+	// SpillThreshold is the load per slot of the better of two hosts of the entry's
+	// failure domain above which hosts of other domains are considered too. Default 1.
 	SpillThreshold float64
 	// PrefixMaxLoad is the load per slot up to which the host that holds a
 	// prompt's prefix is preferred to less loaded ones. Default 1.
@@ -31,8 +31,8 @@
 	// EjectAfter is the number of consecutive failures that ejects a host.
 	// Default 5.
 	EjectAfter int
-	// EjectFor is how long the first ejection lasts; each further one lasts
-	// that much longer, up to ten times. Default 2 s.
+	// EjectFor is how long the first ejection lasts. Each further one lasts
+	// EjectFor longer than the one before, up to ten times EjectFor. Default 2 s.
 	EjectFor time.Duration
 	// MaxEjected is the largest fraction of the hosts that may be ejected at
 	// once. Default 0.3.
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -9,9 +9,9 @@
 
 // Table is an immutable set of candidates of one service.
 type Table struct {
-	cfg  Config
-	near []Candidate // in the entry's failure domain
-	far  []Candidate
+	cfg    Config
+	local  []Candidate // in the entry's failure domain
+	remote []Candidate // in other failure domains
 }
 
 // NewTable returns a table for an entry in the given failure domain. Hosts
@@ -23,30 +23,31 @@
 			continue
 		}
 		if c.Endpoint.Domain == domain {
-			t.near = append(t.near, c)
+			t.local = append(t.local, c)
 		} else {
-			t.far = append(t.far, c)
+			t.remote = append(t.remote, c)
 		}
 	}
 	return t
 }
 
 // Len returns how many candidates the table holds.
-func (t *Table) Len() int { return len(t.near) + len(t.far) }
+func (t *Table) Len() int { return len(t.local) + len(t.remote) }
 
-// maxDraws is how many random draws may hit an excluded or stale host before all
-// hosts are scanned.
+// maxDraws is how many random draws may hit an excluded host or one with a stale
+// report before all hosts are scanned.
 const maxDraws = 4
 
-// Pick returns the host for a request, or nil. Two random near hosts are
-// compared by load; if the better one is above SpillThreshold, two far hosts
-// compete with it. The cost does not grow with the table.
+// Pick returns the host for a request, or nil. Two random hosts of the entry's
+// failure domain are compared by load; if the load of the better one is above
+// SpillThreshold, two random hosts of other domains are compared with it. The
+// cost does not grow with the table.
 func (t *Table) Pick(now time.Time, rng *rand.Rand, exclude []string) *Candidate {
-	best, load := t.pickFrom(t.near, now, rng, exclude)
+	best, load := t.pickFrom(t.local, now, rng, exclude)
 	if best != nil && load <= t.cfg.SpillThreshold {
 		return best
 	}
-	other, otherLoad := t.pickFrom(t.far, now, rng, exclude)
+	other, otherLoad := t.pickFrom(t.remote, now, rng, exclude)
 	if best == nil || other != nil && otherLoad < load {
 		return other
 	}
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -26,7 +26,7 @@
 func (t *Table) prefixHost(prefix string) *Candidate {
 	var best *Candidate
 	var bestScore uint64
-	for _, cands := range [...][]Candidate{t.near, t.far} {
+	for _, cands := range [...][]Candidate{t.local, t.remote} {
 		for i := range cands {
 			if s := membership.Score(prefix, cands[i].Endpoint.Host); best == nil || s > bestScore {
 				best, bestScore = &cands[i], s
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -15,17 +15,17 @@
 func TestPickPrefix(t *testing.T) {
 	a, b := endpoint(0, "d"), endpoint(1, "e")
 	tab := NewTable(Config{}, "d", []Candidate{ready(a, start), ready(b, start)})
-	home := tab.PickPrefix(start, rng(), "p", nil).Endpoint
+	first := tab.PickPrefix(start, rng(), "p", nil).Endpoint
 	for range 20 {
-		assert.Equal(t, tab.PickPrefix(start, rng(), "p", nil).Endpoint, home)
+		assert.Equal(t, tab.PickPrefix(start, rng(), "p", nil).Endpoint, first)
 	}
 	other := NewTable(Config{}, "e", []Candidate{ready(b, start), ready(a, start)})
-	assert.Equal(t, other.PickPrefix(start, rng(), "p", nil).Endpoint.Host, home.Host, "another entry selects the same host")
-	assert.Assert(t, tab.PickPrefix(start, rng(), "p", []string{home.Host}).Endpoint != home)
+	assert.Equal(t, other.PickPrefix(start, rng(), "p", nil).Endpoint.Host, first.Host, "another entry selects the same host")
+	assert.Assert(t, tab.PickPrefix(start, rng(), "p", []string{first.Host}).Endpoint != first)
 	for range 9 {
-		home.Started()
+		first.Started()
 	}
-	assert.Assert(t, tab.PickPrefix(start, rng(), "p", nil).Endpoint != home, "its load is above PrefixMaxLoad")
+	assert.Assert(t, tab.PickPrefix(start, rng(), "p", nil).Endpoint != first, "its load is above PrefixMaxLoad")
 }
 
 // The benchmark below compares strategies for routing to prompt caches, with
@@ -209,8 +209,8 @@
 
 // prefer returns the named host if its load is at most PrefixMaxLoad.
 func (s *affinitySim) prefer(t *Table, host string) *Candidate {
-	for i := range t.near {
-		if c := &t.near[i]; c.Endpoint.Host == host && t.load(c, s.clock()) <= t.cfg.PrefixMaxLoad {
+	for i := range t.local {
+		if c := &t.local[i]; c.Endpoint.Host == host && t.load(c, s.clock()) <= t.cfg.PrefixMaxLoad {
 			return c
 		}
 	}
--- a/routing/routing_test.go
+++ b/routing/routing_test.go
@@ -73,11 +73,11 @@
 }
 
 func TestNearHostsPreferredUnlessLoaded(t *testing.T) {
-	near, far := endpoint(0, "d"), endpoint(1, "e")
-	tab := NewTable(Config{}, "d", []Candidate{ready(near, start), ready(far, start)})
+	local, remote := endpoint(0, "d"), endpoint(1, "e")
+	tab := NewTable(Config{}, "d", []Candidate{ready(local, start), ready(remote, start)})
 	assert.DeepEqual(t, picks(tab, start, 100), map[string]int{"h0000": 100})
 	for range 9 {
-		near.Started()
+		local.Started()
 	}
 	assert.DeepEqual(t, picks(tab, start, 100), map[string]int{"h0001": 100})
 }
@@ -145,16 +145,16 @@
 	for _, e := range entries {
 		s := Subset(e, entries, targets, "svc", 64)
 		assert.Equal(t, len(s), 64)
-		near, seen := 0, map[string]bool{}
+		local, seen := 0, map[string]bool{}
 		for _, n := range s {
 			entriesPerTarget[n.Host]++
 			assert.Assert(t, !seen[n.Host])
 			seen[n.Host] = true
 			if n.Domain == e.Domain {
-				near++
+				local++
 			}
 		}
-		assert.Assert(t, near >= 48)
+		assert.Assert(t, local >= 48)
 	}
 	lo, hi := 1<<30, 0
 	for _, n := range targets {
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -13,9 +13,9 @@
 	Domain string
 }
 
-// nearShare is the fraction of a subset that is taken from the entry's own
-// failure domain, in quarters.
-const nearShare = 3
+// localQuarters is how many quarters of a subset are taken from the entry's own
+// failure domain.
+const localQuarters = 3
 
 // Subset returns the targets that an entry keeps connections to: at most
 // size, three quarters from its own failure domain if it has as many. Targets
@@ -30,8 +30,8 @@
 	inDomain := func(n Node) bool { return n.Domain == self.Domain }
 	all := func(Node) bool { return true }
 	outside := func(n Node) bool { return !inDomain(n) }
-	near := ringSegment(self, filter(entries, inDomain), filter(targets, inDomain), key, size*nearShare/4, all)
-	return append(near, ringSegment(self, entries, targets, key, size-len(near), outside)...)
+	local := ringSegment(self, filter(entries, inDomain), filter(targets, inDomain), key, size*localQuarters/4, all)
+	return append(local, ringSegment(self, entries, targets, key, size-len(local), outside)...)
 }
 
 // ringSegment returns the first size targets that match, starting at the
