--- a/admission/queue.go
+++ b/admission/queue.go
@@ -296,8 +296,8 @@
 	return math.Exp2(float64(urgency-neutralUrgency)) / float64(weight)
 }
 
-// Done ends a running request that had the given service time, or zero if it did
-// not run after all.
+// Done ends a running request. took is its service time, or zero if it did not
+// run after all.
 func (q *Queue) Done(now time.Time, id uint64, took time.Duration) Effects {
 	name, ok := q.running[id]
 	if !ok {
