--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -16,11 +16,11 @@
 // DefaultLease is the lease of a permit unless configured.
 const DefaultLease = 5 * time.Second
 
-// Config holds the times of an Issuer.
+// Config holds the durations of an Issuer.
 type Config struct {
-	// Lease is how long a permit lasts unless renewed. A longer lease
-	// survives longer pauses of the holder and delays a new issuer more.
-	// Default 5 s.
+	// Lease is how long a permit is valid unless renewed. With a longer lease
+	// a permit survives longer pauses of its holder, and a new issuer waits
+	// longer. Default 5 s.
 	Lease time.Duration
 	// StuckAfter is how long one holder may renew a permit, and how long an
 	// unreachable host counts as unavailable, before it no longer blocks the
@@ -67,7 +67,7 @@
 	activeSince time.Time // when this host became the issuer
 	permits     []permit
 	stuck       map[string]time.Time // host -> when its permit was revoked
-	reports     map[string]report    // hosts whose engine does not serve
+	reports     map[string]report    // by host whose engine does not serve
 }
 
 type report struct {
@@ -139,7 +139,7 @@
 	delete(i.reports, host)
 }
 
-// Holders returns the hosts with a permit, for the status page.
+// Holders returns the hosts that hold a permit.
 func (i *Issuer) Holders(now time.Time) []string {
 	i.expire(now)
 	out := make([]string, len(i.permits))
