--- a/dispatch/backoff_test.go
+++ b/dispatch/backoff_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// recordBackoff records a response in which a target refused a request and asked for a
+// recordBackoff records a response in which a target refused a request and requested a
 // back-off.
 func recordBackoff(b *Balancer, now time.Time, i *fleet.Instance, d time.Duration) {
 	b.RecordStatement(now, *i, notice.Statement{Backoff: d}, now)
@@ -59,7 +59,8 @@
 	assert.Equal(t, len(b.SilentTargets(start.Add(20*time.Second))), 0)
 }
 
-// A back-off applies only to the entry that the target asked; others are not notified.
+// A back-off applies only to the entry whose request the target refused; it is not reported to
+// other entries.
 func TestBackoffIsNotReportedToOtherEntries(t *testing.T) {
 	b := newTestBalancer(nil, Config{}, plain(1))
 	recordBackoff(b, start, plain(1), time.Second)
--- a/dispatch/balancer_test.go
+++ b/dispatch/balancer_test.go
@@ -214,7 +214,7 @@
 	assert.Assert(t, p.Silent(start.Add(2*time.Second), c.Target))
 }
 
-// Giving up requests at a dead target must not make it look responsive.
+// Abandoning requests at a target that does not respond must not make it look responsive.
 func TestAbandonedRequestDoesNotEndSilence(t *testing.T) {
 	b := newTestBalancer(engineModel(), Config{}, engine(1, 1))
 	first, _ := b.Pick(start, testService, demand(), nil)
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -18,7 +18,7 @@
 	unansweredBackoff = 100 * time.Millisecond
 	// initialColdQuota is how many requests an entry may send to a cold target in the first
 	// pacingWindow after discovering it: entries that start together do not know each other
-	// yet, so each may take itself for the target's home entry.
+	// yet, so each may assume that it is the target's home entry.
 	initialColdQuota = 1
 )
 
--- a/dispatch/pace_test.go
+++ b/dispatch/pace_test.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// Entries that start at the same time know few other entries, so each takes itself for the home
-// entry of the first engine that serves. Each would then grant the full cold rate.
+// Entries that start at the same time know few other entries, so each assumes that it is the
+// home entry of the first engine that serves. Each would then grant the full cold rate.
 func TestSimultaneousEntryStartsDoNotOverloadColdTarget(t *testing.T) {
 	const entries, perS, coldFor = 15, 26, 5 * time.Second
 	var balancers []*Balancer
