--- a/intent/fold.go
+++ b/intent/fold.go
@@ -19,7 +19,7 @@
 type Accepted struct {
 	Head  Head
 	Fleet *Fleet
-	At    time.Time // when it was accepted, or replaced if returned by History
+	At    time.Time // time of acceptance; in the results of History, time of replacement
 }
 
 // Rejection records why a revision was rejected.
@@ -277,7 +277,7 @@
 }
 
 // RejectedBetween reports whether every revision number strictly between lo and
-// hi was rejected here, which means that no process had it in force.
+// hi was rejected here, which means that none of them was in force at any process.
 func (t *Tracker) RejectedBetween(lo, hi uint64) bool {
 	if hi-lo > maxRejected {
 		return false
--- a/intent/parse_test.go
+++ b/intent/parse_test.go
@@ -42,7 +42,7 @@
 	assert.Equal(t, len(s.Versions()), 1)
 }
 
-func TestParseFaults(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	edit := func(old, new string) string {
 		assert.Assert(t, strings.Contains(goodFile, old), old)
 		return strings.Replace(goodFile, old, new, 1)
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestParseListsAllFaults(t *testing.T) {
+func TestParseListsAllErrors(t *testing.T) {
 	file := strings.NewReplacer("weight: 4", "weight: 0", "kind: plain", "kind: simple", "fleet: wallet", "fleet: ' '").Replace(goodFile)
 	_, err := Parse("f", []byte(file))
 	assert.Equal(t, len(err.(ValidationErrors)), 3, "%s", err)
--- a/intent/replay_test.go
+++ b/intent/replay_test.go
@@ -21,7 +21,7 @@
 	//   parts     process p reads the parts of rev
 	//   hear      process p reads the revision in force at process from
 	//   restart   process p restarts with empty state
-	//   in-force  process p must have rev in force; 0 is none
+	//   in-force  process p must have rev in force, or no revision if rev is 0
 	//   rejected  process p must have rejected rev
 	Do, P, From      string
 	Rev              uint64
