--- a/control/gossip.go
+++ b/control/gossip.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Each round draws its targets from a small set of peers, which is replaced
+// Each round selects its hosts from a small set of peers, which is replaced
 // regularly: a process has few open connections at a time, yet exchanges
 // heartbeats with all others over time.
 const (
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -37,7 +37,7 @@
 	m.nodes[addr] = memoryNode{self: self, handler: h}
 }
 
-// dial implements peer.Dial.
+// dial implements peer.DialFunc.
 func (m *memoryNet) dial(_ context.Context, addr string) (net.Conn, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/control/node.go
+++ b/control/node.go
@@ -83,7 +83,7 @@
 	awake            bool
 	reader           bool
 	stopReader       context.CancelFunc
-	gossipPeers      []membership.Member // set from which the targets of heartbeats are drawn
+	gossipPeers      []membership.Member // set from which each round of heartbeats selects its hosts
 	gossipPeersSince time.Time
 	pulling          map[string]bool // kinds of fetches in progress
 	historyRequested map[string]bool // peers whose history was requested
--- a/control/node_test.go
+++ b/control/node_test.go
@@ -22,8 +22,8 @@
 
 // Only the readers watch the platform and the other processes receive revisions
 // from peers, so the number of platform calls per revision is bounded. The test
-// runs in virtual time, because a process that is paused for longer than its lease
-// reads the platform by design, and on a busy machine many are.
+// runs in virtual time, because a process that was paused for longer than
+// PauseThreshold reads the platform by design, and on a busy machine many are.
 func TestPlatformCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleetInMemory(t, 40, 40, 2)
@@ -92,8 +92,8 @@
 	}))
 }
 
-// A process that was paused must not act on its state until the head is confirmed
-// again.
+// A process that was paused must not act on its state until the head has been
+// confirmed again.
 func TestPauseIsDetected(t *testing.T) {
 	f := startFleet(t, 3, 3, 1)
 	defer f.close()
--- a/control/platform.go
+++ b/control/platform.go
@@ -104,7 +104,8 @@
 }
 
 // applyHead offers a head to the tracker, fetches its missing parts and then
-// records it as confirmed at the time requested, when the head was requested.
+// records it as confirmed at the time requested, at which it was requested from
+// the platform.
 func (n *Node) applyHead(ctx context.Context, h intent.Head, requested time.Time, get partReader) error {
 	var missing []intent.PartRef
 	if err := n.loop.Call(func() {
