--- a/intake/intake.go
+++ b/intake/intake.go
@@ -158,7 +158,8 @@
 	switch {
 	case d.Verdict == idempotency.KeyReplay:
 		// This attempt does not run. It is recorded as refused, so that the
-		// caller is told to retry if the connection breaks.
+		// caller receives KeyRunning if the connection breaks and may send the
+		// key again.
 		k.table.Refuse(now, a.ID, outcome.KeyRunning)
 		return Decision{Action: Replay, Source: d.Replay}
 	case d.Verdict == idempotency.KeyRefuse:
@@ -210,7 +211,7 @@
 }
 
 // FencingFailed refuses an attempt for which Arrive returned FenceHomes, because
-// an earlier home could not be reached or knows the key.
+// an earlier home could not be reached or has a record of the key.
 func (k *Intake) FencingFailed(now time.Time, a Attempt) Decision {
 	if s := k.table.Begin(a.ID); s != idempotency.Unseen {
 		return Decision{Action: Refuse, Reason: outcome.KeyHomeMoved}
