--- a/agent/config.go
+++ b/agent/config.go
@@ -61,7 +61,7 @@
 	c.AnswerMemory = cmp.Or(c.AnswerMemory, 32<<20)
 	c.WeightMemory = cmp.Or(c.WeightMemory, 1<<30)
 	c.HaveInterval = cmp.Or(c.HaveInterval, 200*time.Millisecond)
-	c.Idempotency.AtDate = clock.FromWallTime
+	c.Idempotency.FromWallTime = clock.FromWallTime
 	c.Idempotency = c.Idempotency.ApplyDefaults()
 	c.Control.HistoryRetention = c.Idempotency.History()
 	return c
--- a/idempotency/attempt.go
+++ b/idempotency/attempt.go
@@ -45,10 +45,10 @@
 	ClockSkew time.Duration
 	// MaxKeys is the maximum number of key records. Default 100,000.
 	MaxKeys int
-	// AtDate converts a date (time of day) to a time of the agent's clock. Keys
+	// FromWallTime converts a date (time of day) to a time of the agent's clock. Keys
 	// carry dates, and all other times are readings of that clock. By default
 	// the two are the same.
-	AtDate func(date time.Time) time.Time
+	FromWallTime func(date time.Time) time.Time
 }
 
 // ApplyDefaults returns c with zero fields set to their defaults.
@@ -57,8 +57,8 @@
 	c.KeyWindow = cmp.Or(c.KeyWindow, 10*time.Minute)
 	c.ClockSkew = cmp.Or(c.ClockSkew, 2*time.Second)
 	c.MaxKeys = cmp.Or(c.MaxKeys, 100000)
-	if c.AtDate == nil {
-		c.AtDate = func(date time.Time) time.Time { return date }
+	if c.FromWallTime == nil {
+		c.FromWallTime = func(date time.Time) time.Time { return date }
 	}
 	return c
 }
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -87,7 +87,7 @@
 	if !ok {
 		return time.Time{}, false
 	}
-	return t.cfg.AtDate(date), true
+	return t.cfg.FromWallTime(date), true
 }
 
 // BeginKey decides on a request with a key that arrives with a new attempt. It
--- a/idempotency/key_test.go
+++ b/idempotency/key_test.go
@@ -26,7 +26,7 @@
 	const offset = time.Minute // the clock is ahead of the time of day
 	date := time.Date(2020, 1, 2, 3, 4, 5, 0, time.UTC)
 	now := date.Add(offset)
-	cfg := Config{KeyWindow: time.Minute, ClockSkew: time.Second, AtDate: func(d time.Time) time.Time { return d.Add(offset) }}
+	cfg := Config{KeyWindow: time.Minute, ClockSkew: time.Second, FromWallTime: func(d time.Time) time.Time { return d.Add(offset) }}
 	table := NewTable(cfg, now.Add(-time.Hour))
 	decide := func(age, knownFor time.Duration) KeyDecision {
 		history := HomeHistory{Self: "a", CurrentHosts: []string{"a"}, KnownSince: now.Add(-knownFor)}
