--- a/idempotency/attempt.go
+++ b/idempotency/attempt.go
@@ -1,4 +1,4 @@
-// Package idempotency records the requests that an agent was asked to run: by
+// Package idempotency records the requests that an agent has received: by
 // attempt, so that the outcome can be determined after a connection broke, and by
 // idempotency key, so that a request runs at most once. It does no I/O and reads
 // no clock: times are passed in.
@@ -45,9 +45,9 @@
 	ClockSkew time.Duration
 	// MaxKeys is the maximum number of key records. Default 100,000.
 	MaxKeys int
-	// FromWallTime converts a date (time of day) to a time of the agent's clock. Keys
-	// carry dates, and all other times are readings of that clock. By default
-	// the two are the same.
+	// FromWallTime converts a wall-clock time, such as the timestamp of a key, to
+	// a time of the agent's clock, which all other times are readings of. By
+	// default the two clocks are the same.
 	FromWallTime func(date time.Time) time.Time
 }
 
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -155,8 +155,8 @@
 	return out
 }
 
-// StartKey records that the attempt runs for the key. It returns false if a record
-// of the key was added since BeginKey; the caller must then call BeginKey again.
+// StartKey records that the attempt was accepted for the key. It returns false if a
+// record of the key was added since BeginKey; the caller must then call BeginKey again.
 func (t *Table) StartKey(now time.Time, k KeyID, p Fingerprint, id AttemptID) bool {
 	if t.keys[k] != nil {
 		return false
@@ -201,8 +201,8 @@
 	return false
 }
 
-// expireKeys removes the oldest key records, except those whose attempt is still
-// queued or running.
+// expireKeys removes the key records that are older than the window, except those
+// whose attempt is still queued or running.
 func (t *Table) expireKeys(now time.Time) {
 	kept := t.keyOrder[:0]
 	for i, k := range t.keyOrder {
--- a/idempotency/key_test.go
+++ b/idempotency/key_test.go
@@ -19,11 +19,11 @@
 	return u.String()
 }
 
-// The date in a key must be converted to the clock of the table, which may differ
-// from the time of day. Otherwise a key from a time for which the homes are unknown
-// is accepted, although it may have run elsewhere.
-func TestKeyDatesAreConvertedToTableClock(t *testing.T) {
-	const offset = time.Minute // the clock is ahead of the time of day
+// The timestamp of a key must be converted to the clock of the table, which may
+// differ from the wall clock. Otherwise a key from a time for which the homes are
+// unknown is accepted, although it may have run elsewhere.
+func TestKeyTimestampsAreConvertedToTableClock(t *testing.T) {
+	const offset = time.Minute // the table's clock is ahead of the wall clock
 	date := time.Date(2020, 1, 2, 3, 4, 5, 0, time.UTC)
 	now := date.Add(offset)
 	cfg := Config{KeyWindow: time.Minute, ClockSkew: time.Second, FromWallTime: func(d time.Time) time.Time { return d.Add(offset) }}
