--- a/submission/submission.go
+++ b/submission/submission.go
@@ -250,7 +250,7 @@
 // Answers to a fence.
 const (
 	FenceNotRun  FenceState = iota + 1 // has not run and cannot run any more
-	FenceRunning                       // runs, or has finished and its answer is held
+	FenceRunning                       // queued or running, or has finished and its answer is retained
 	FenceFailed                        // ran; the answer is not available
 	FenceGone                          // the agent has restarted and has no record of the attempt
 )
