--- a/agent/fetch.go
+++ b/agent/fetch.go
@@ -91,13 +91,13 @@
 	case b.Found:
 		return b.Data, nil
 	case b.Pending:
-		return nil, errComing
+		return nil, errPending
 	}
 	return nil, weightstore.ErrNotFound
 }
 
-// errComing is returned if the peer itself is still waiting for the chunk.
-var errComing = errors.New("agent: peer is still waiting for the chunk")
+// errPending is returned if the peer itself is still waiting for the chunk.
+var errPending = errors.New("agent: peer is still waiting for the chunk")
 
 // handleFetched processes the result of a fetch. It runs on the loop.
 func (w *weights) handleFetched(t *transfer, f spread.Fetch, want digest.Digest, b []byte, err error) {
@@ -111,7 +111,7 @@
 	if err == nil {
 		err = w.chunks.put(want, b)
 	}
-	var limited *httpclient.ThrottledError
+	var throttled *httpclient.ThrottledError
 	switch {
 	case err == nil:
 		w.recordFetched(t, f, len(b), now)
@@ -121,10 +121,10 @@
 		w.counters.corrupt.Inc(1)
 		w.log.WithField("chunk", f.Chunk).WithField("from", f.Kind.String()+" "+f.Peer).Warn("Chunk is corrupt.")
 		t.planner.Failed(now, f, spread.FaultCorrupt, 0)
-	case errors.As(err, &limited):
+	case errors.As(err, &throttled):
 		w.counters.limited.Inc(1)
-		t.planner.Failed(now, f, spread.FaultRateLimited, limited.RetryAfter)
-	case errors.Is(err, errComing):
+		t.planner.Failed(now, f, spread.FaultRateLimited, throttled.RetryAfter)
+	case errors.Is(err, errPending):
 		t.planner.Failed(now, f, spread.FaultPending, 0)
 	case errors.Is(err, weightstore.ErrNotFound):
 		t.planner.Failed(now, f, spread.FaultMissing, 0)
@@ -144,7 +144,7 @@
 	case f.Kind == spread.FromOrigin:
 		w.counters.fromOrigin.Inc(int64(n))
 	case f.CrossDomain:
-		w.counters.fromFar.Inc(int64(n))
+		w.counters.fromOtherDomain.Inc(int64(n))
 		w.counters.fromPeer.Inc(int64(n))
 	default:
 		w.counters.fromPeer.Inc(int64(n))
--- a/agent/finish_test.go
+++ b/agent/finish_test.go
@@ -84,7 +84,7 @@
 // answer again or the reason why it is not available. If the record were written after the
 // answer's end, the repeat could be refused because the request seems to be running still.
 func TestRecordIsWrittenBeforeAnswerEnds(t *testing.T) {
-	const recordDelay = 100 * time.Millisecond // how long the loop is blocked, and the record with it
+	const recordDelay = 100 * time.Millisecond // how long the loop, which writes the record, is blocked
 	for name, c := range map[string]struct {
 		answer http.HandlerFunc
 		ends   outcome.Reason
--- a/agent/holdings.go
+++ b/agent/holdings.go
@@ -139,22 +139,22 @@
 }
 
 // handleGetChunk serves a chunk or manifest at the rate of the link. If this host is
-// still fetching the chunk, the request is held for at most the time that the peer
+// still fetching the chunk, it waits for the chunk for at most the time that the peer
 // allows.
 func (w *weights) handleGetChunk(ctx context.Context, s *peer.Stream, m *peer.GetChunk) {
-	b, coming := w.awaitChunk(ctx, m)
+	b, pending := w.awaitChunk(ctx, m)
 	if b != nil && w.up.wait(ctx, len(b)) != nil {
 		return
 	}
 	w.counters.served.Inc(int64(len(b)))
-	_ = s.SendLast(ctx, &peer.Blob{Found: b != nil, Pending: coming, Data: b})
+	_ = s.SendLast(ctx, &peer.Blob{Found: b != nil, Pending: pending, Data: b})
 }
 
-// recheckInterval is how often a held request is checked for whether the chunk is still
-// expected.
+// recheckInterval is how often a waiting request checks whether the chunk is still
+// pending.
 const recheckInterval = time.Second
 
-func (w *weights) awaitChunk(ctx context.Context, m *peer.GetChunk) (b []byte, coming bool) {
+func (w *weights) awaitChunk(ctx context.Context, m *peer.GetChunk) (b []byte, pending bool) {
 	limit := clock.NewTimer(time.Duration(m.WaitMs) * time.Millisecond)
 	defer limit.Stop()
 	for {
@@ -162,7 +162,7 @@
 		if b := w.chunks.get(m.Digest); b != nil {
 			return b, false
 		}
-		if !w.coming(m) {
+		if !w.pending(m) {
 			return nil, false
 		}
 		recheck := clock.NewTimer(recheckInterval)
@@ -191,19 +191,19 @@
 	return w.holdingAdded
 }
 
-// coming reports whether a chunk that is not held is expected to arrive here.
-func (w *weights) coming(m *peer.GetChunk) bool {
-	coming := false
+// pending reports whether a chunk that is not held here is expected to arrive.
+func (w *weights) pending(m *peer.GetChunk) bool {
+	pending := false
 	_ = w.loop.Call(func() {
 		t := w.transfers[m.Manifest]
 		switch {
 		case t == nil || t.failed != nil:
-			coming = false
+			pending = false
 		case t.planner == nil:
-			coming = true // the manifest is being fetched
+			pending = true // the manifest is being fetched
 		default:
-			coming = m.Index >= 0 && m.Index < len(t.manifest.Chunks) && t.planner.Pending(clock.Now(), m.Index)
+			pending = m.Index >= 0 && m.Index < len(t.manifest.Chunks) && t.planner.Pending(clock.Now(), m.Index)
 		}
 	})
-	return coming
+	return pending
 }
--- a/agent/permits.go
+++ b/agent/permits.go
@@ -174,8 +174,8 @@
 	return is
 }
 
-// refresh updates whether this host is the active issuer of its service. So the initial
-// wait of a new issuer starts when it becomes one and not at the first request.
+// refresh updates whether this host is the active issuer of its service, so that the
+// initial wait of a new issuer starts when it becomes one and not at the first request.
 func (p *permits) refresh(s *control.Snapshot) {
 	if s.Fleet() == nil {
 		return
--- a/agent/requests.go
+++ b/agent/requests.go
@@ -181,9 +181,9 @@
 	return nil
 }
 
-// cancelWaiting cancels a queued request whose stream has ended. It reports false if the
+// cancelQueued cancels a queued request whose stream has ended. It reports false if the
 // request is no longer queued.
-func (r *requests) cancelWaiting(att *attempt) bool {
+func (r *requests) cancelQueued(att *attempt) bool {
 	if !r.intake.Cancel(clock.Now(), att.id) {
 		return false
 	}
--- a/agent/run.go
+++ b/agent/run.go
@@ -122,9 +122,9 @@
 			return
 		}
 	case <-ctx.Done():
-		waiting := false
-		_ = a.requests.loop.Call(func() { waiting = a.requests.cancelWaiting(att) })
-		if waiting {
+		queued := false
+		_ = a.requests.loop.Call(func() { queued = a.requests.cancelQueued(att) })
+		if queued {
 			return
 		}
 		if v := <-att.admissionResult; v.Reason != "" {
--- a/agent/supervisor.go
+++ b/agent/supervisor.go
@@ -36,8 +36,8 @@
 	index    int
 }
 
-// supervisor keeps the engine at the versions in force. All orders to the engine come
-// from it, one at a time. Its steps run on one goroutine.
+// supervisor makes the engine load the versions in force. It sends all orders to the
+// engine, one at a time. Its steps run on one goroutine.
 type supervisor struct {
 	cfg     Config
 	node    *control.Node
--- a/agent/weights.go
+++ b/agent/weights.go
@@ -29,13 +29,13 @@
 )
 
 type weightCounters struct {
-	fromPeer, fromFar, fromStore, fromOrigin, served metrics.Counter // bytes
-	corrupt, failed, limited                         metrics.Counter
+	fromPeer, fromOtherDomain, fromStore, fromOrigin, served metrics.Counter // bytes
+	corrupt, failed, limited                                 metrics.Counter
 }
 
 func newWeightCounters(r metrics.Registry) weightCounters {
 	c := func(name string) metrics.Counter { return metrics.NewRegisteredCounter("weights."+name, r) }
-	return weightCounters{fromPeer: c("bytes_from_peer"), fromFar: c("bytes_from_other_domain"),
+	return weightCounters{fromPeer: c("bytes_from_peer"), fromOtherDomain: c("bytes_from_other_domain"),
 		fromStore: c("bytes_from_store"), fromOrigin: c("bytes_from_origin"), served: c("bytes_served"),
 		corrupt: c("corrupt_chunks"), failed: c("failed_fetches"), limited: c("limited_fetches")}
 }
@@ -147,7 +147,7 @@
 	}
 }
 
-// participants returns the hosts of the service that are not known to be gone.
+// participants returns the hosts of the service that are in the host list and not gone.
 func participants(s *control.Snapshot, svc *intent.Service) []spread.Node {
 	var out []spread.Node
 	for _, h := range svc.Hosts {
