--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -57,7 +57,7 @@
 	firstByte   time.Duration // time to the first byte of the response
 	written     int64
 	status      int
-	fences      int
+	fences      int // fence calls since the last one that was answered
 }
 
 // run executes the actions of the submission until it finishes.
@@ -239,8 +239,8 @@
 	return submission.Action{}, false
 }
 
-// fence asks the agent for the state of the current attempt and prevents it
-// from running if it has not started yet.
+// fence queries the state of the current attempt at its agent, which bars the
+// attempt from running if it has not arrived there yet.
 func (x *exchange) fence(ctx context.Context) submission.Action {
 	x.release(false)
 	if x.fences > 0 {
