--- a/command/explain.go
+++ b/command/explain.go
@@ -23,7 +23,7 @@
 	file       string
 	timestamp  string // RFC 3339
 	lineNumber int
-	part       string
+	part       string // name of the component
 	text       string
 	fields     map[string]any
 }
--- a/command/gateway.go
+++ b/command/gateway.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// The listener of the mesh is the control. The methods below forward to it because the
-// control is created after the mesh.
+// The methods below implement mesh.Listener. They forward to the control, which is created
+// after the mesh and so cannot be passed to it.
 
 // Loads implements mesh.Listener.
 func (e *entryProcess) Loads(from string, l *peer.Loads) { e.control.Loads(from, l) }
--- a/command/platform.go
+++ b/command/platform.go
@@ -30,7 +30,8 @@
 	// memoryShare is the fraction of the process's memory limit that is set as the soft
 	// limit of the Go runtime; the rest is for kernel buffers and the program itself.
 	memoryShare = 0.6
-	// gcPercent is lower than Go's default of 100 because memory is charged by its peak.
+	// gcPercent is lower than Go's default of 100 because it is the peak memory use that
+	// counts, not the average.
 	gcPercent = 30
 	// logFlushTimeout bounds the wait at exit for the last log lines to be written.
 	logFlushTimeout = 500 * time.Millisecond
@@ -40,8 +41,8 @@
 	// rosterCatchUp is how long after an outage of the store running targets may be missing
 	// from its list: they register again within about 2 s.
 	rosterCatchUp = 2500 * time.Millisecond
-	// budgetShare is the fraction of the retry budget that the entries use. Each spends its
-	// share without knowing of the others' retries; the rest covers the resulting error.
+	// budgetShare is the fraction of the retry budget that the entries use. Each entry spends
+	// its part without coordination with the others; the rest covers the resulting error.
 	budgetShare = 0.8
 	// sweepInterval is the time between two sweeps of idle connections.
 	sweepInterval = time.Second
