--- a/command/springgate.go
+++ b/command/springgate.go
@@ -313,7 +313,7 @@
 	set.Bytes(&cfg.Size, "size", "size of a version", "64MiB", 1<<16, 1<<30)
 	set.Choice(&cfg.Spread, "spread", "what weight distribution minimizes", string(intent.SpreadTime), string(intent.SpreadTime), string(intent.SpreadOriginBytes))
 	set.Int(&seed, "seed", "seed for the generated weights and requests", 1, 0, 1<<53)
-	set.Duration(&cfg.Duration, "duration", "maximum time for one version to reach all hosts; the link window is 0.4 of it", 40*time.Second, 5*time.Second, time.Hour)
+	set.Duration(&cfg.Duration, "duration", "maximum time for one version to reach all hosts; the link window, which determines the link rates, is 0.4 of it", 40*time.Second, 5*time.Second, time.Hour)
 	set.Choice(&logLevel, "log-level", "minimum severity of log records", "error", "debug", "info", "warning", "error")
 	flags := append(set.Flags(),
 		&cli.BoolFlag{Name: "faults", Usage: "kill and restart an agent, corrupt chunks, take the platform down", Sources: cli.EnvVars(settings.EnvPrefix + "FAULTS")},
