--- a/demo/demo.go
+++ b/demo/demo.go
@@ -53,7 +53,7 @@
 	keyWindow = 4 * time.Second
 	clockSkew = 50 * time.Millisecond
 	loadTime  = 150 * time.Millisecond
-	// baselineTime is how long requests are measured before the second version is published.
+	// baselineTime is how long live requests are measured before the second version is published.
 	baselineTime = 5 * time.Second
 	loopback     = "127.0.0.1:0"
 )
--- a/demo/layout.go
+++ b/demo/layout.go
@@ -35,8 +35,8 @@
 	engine  string     // engine service that gets requests and new versions
 	plain   string     // plain service that gets the other requests, "" if none
 	team    string     // team of all requests
-	engines int        // number of hosts of the service engine
-	hosts   []hostSpec // hosts of the service engine first
+	engines int        // number of hosts of that engine service
+	hosts   []hostSpec // those of that engine service first
 }
 
 // newLayout returns the layout of cfg.Fleet, or of the default fleet if that is nil.
--- a/demo/watch.go
+++ b/demo/watch.go
@@ -70,12 +70,12 @@
 	return g.Value()
 }
 
-// Faults that are injected after the second version is published.
+// Parameters of the faults that are injected after the second version is published.
 const (
 	faultAfter   = time.Second
 	restartAfter = 1500 * time.Millisecond
 	platformDown = 3 * time.Second
-	corruptEvery = 40 // one in so many chunks
+	corruptEvery = 40 // calls of the origin per corrupt answer
 )
 
 // injectFaults corrupts chunks at the origin, kills an agent and restarts it with empty memory,
