--- a/standin/engine.go
+++ b/standin/engine.go
@@ -248,6 +248,6 @@
 // slowed returns the time of a token that takes d on an idle engine. It grows in proportion to
 // the running requests once there are more than Slots.
 func (e *Engine) slowed(d time.Duration) time.Duration {
-	over := float64(e.running.Load()) / float64(max(1, e.cfg.Slots))
-	return time.Duration(float64(d) * max(1, over))
+	utilization := float64(e.running.Load()) / float64(max(1, e.cfg.Slots))
+	return time.Duration(float64(d) * max(1, utilization))
 }
--- a/standin/plain.go
+++ b/standin/plain.go
@@ -13,7 +13,7 @@
 // like any other header.
 const CallHeader = "X-Call"
 
-// Runs records which calls ran, on all targets.
+// Runs records which calls ran on which targets.
 type Runs struct {
 	mu   sync.Mutex
 	runs map[string][]string // by call ID: URLs of the targets that ran it
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -26,13 +26,13 @@
 	list    hostlist.List
 	changed chan struct{} // closed when the head changes
 
-	down     atomic.Bool
-	refuse   atomic.Int64 // number of calls out of ten that are rejected with 429
-	stale    atomic.Bool
-	calls    atomic.Int64 // calls of the configuration service; a watch counts as one
-	peak     atomic.Int64 // maximum number of calls in one second
-	second   atomic.Int64 // second of the last call, Unix time
-	inSecond atomic.Int64 // calls in that second
+	down        atomic.Bool
+	rateLimited atomic.Int64 // number of calls out of ten that are rejected with 429
+	stale       atomic.Bool
+	calls       atomic.Int64 // calls of the configuration service; a watch counts as one
+	peak        atomic.Int64 // maximum number of calls in one second
+	second      atomic.Int64 // second of the last call, Unix time
+	inSecond    atomic.Int64 // calls in that second
 }
 
 // NewPlatform starts a platform on addr.
@@ -97,7 +97,7 @@
 
 // SetRateLimited makes n out of ten calls of the configuration service fail with 429, as if it had
 // reached its rate limit.
-func (p *Platform) SetRateLimited(n int) { p.refuse.Store(int64(n)) }
+func (p *Platform) SetRateLimited(n int) { p.rateLimited.Store(int64(n)) }
 
 // SetStale makes the configuration service return the head before the current one.
 func (p *Platform) SetStale(on bool) { p.stale.Store(on) }
@@ -116,7 +116,7 @@
 func (p *Platform) counted(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		p.countCall(time.Now().Unix())
-		if p.calls.Load()%10 < p.refuse.Load() {
+		if p.calls.Load()%10 < p.rateLimited.Load() {
 			http.Error(w, "rate limit exceeded", http.StatusTooManyRequests)
 			return
 		}
