--- a/target/engine.go
+++ b/target/engine.go
@@ -132,7 +132,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return errors.Wrap(err, "target: request")
+		return errors.Wrap(err, "target: create request")
 	}
 	resp, err := e.http.DoRequest(req)
 	if err != nil {
