--- a/caller/request.go
+++ b/caller/request.go
@@ -46,9 +46,9 @@
 	Service    string
 	Team       string
 	URI        string // path and query sent to the target
-	Key        string
+	Key        string // idempotency key; empty if none
 	Repeatable bool
-	Urgency    int
+	Urgency    int           // 0 is the most urgent (RFC 9218)
 	Timeout    time.Duration // 0 if not set by the caller
 }
 
