--- a/httpclient/dialer.go
+++ b/httpclient/dialer.go
@@ -12,7 +12,7 @@
 // down, no reset arrives, so without these a write or read would hang for minutes.
 const (
 	// userTimeout is how long sent data may remain unacknowledged (TCP_USER_TIMEOUT). It is
-	// longer than two retransmissions on a lossy link take.
+	// longer than two retransmissions take on a lossy link.
 	userTimeout       = 3 * time.Second
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
--- a/httpclient/httpclient.go
+++ b/httpclient/httpclient.go
@@ -41,7 +41,8 @@
 
 // NewShortIdle is like New, for a server that limits the total number of connections from
 // all clients: idle connections are closed early so that they do not exclude other clients.
-// The server keeps the connections of a host that loses power open for a long time.
+// This also limits how many are left over if the host loses power: the server keeps such
+// connections open for a long time.
 func NewShortIdle(name string) httpc.Service {
 	breaker.NoBreakerFor(name)
 	t := Transport()
