--- a/settings/settings.go
+++ b/settings/settings.go
@@ -36,24 +36,24 @@
 }
 
 // Error returns the flag, its environment variable, the value and the allowed values.
-func (f ValidationError) Error() string {
-	return fmt.Sprintf("--%s (%s): %q: want %s", f.Flag, f.Env, f.Value, f.Want)
+func (e ValidationError) Error() string {
+	return fmt.Sprintf("--%s (%s): %q: want %s", e.Flag, e.Env, e.Value, e.Want)
 }
 
 // ValidationErrors are the errors of all invalid settings.
 type ValidationErrors []ValidationError
 
 // Error returns one line for each invalid setting.
-func (f ValidationErrors) Error() string {
-	lines := make([]string, len(f))
-	for i, x := range f {
+func (e ValidationErrors) Error() string {
+	lines := make([]string, len(e))
+	for i, x := range e {
 		lines[i] = x.Error()
 	}
 	return strings.Join(lines, "\n")
 }
 
 // ExitCode returns the exit status of the program, 2.
-func (f ValidationErrors) ExitCode() int { return 2 }
+func (e ValidationErrors) ExitCode() int { return 2 }
 
 // Set holds the settings of one command.
 type Set struct{ list []*Setting }
@@ -75,15 +75,15 @@
 
 // Load parses and validates all settings. Its error is a ValidationErrors.
 func (s *Set) Load(c *cli.Command) error {
-	var faults ValidationErrors
+	var invalid ValidationErrors
 	for _, x := range s.list {
 		v := c.String(x.Name)
 		if x.parse(v) != nil {
-			faults = append(faults, ValidationError{Flag: x.Name, Env: x.Env(), Value: v, Want: x.Want})
+			invalid = append(invalid, ValidationError{Flag: x.Name, Env: x.Env(), Value: v, Want: x.Want})
 		}
 	}
-	if len(faults) > 0 {
-		return faults
+	if len(invalid) > 0 {
+		return invalid
 	}
 	return nil
 }
