--- a/outcome/outcome_test.go
+++ b/outcome/outcome_test.go
@@ -36,7 +36,7 @@
 
 func TestLookup(t *testing.T) {
 	assert.Equal(t, Lookup(QueueFull).Outcome, NotRun)
-	assert.Equal(t, Lookup("never heard of").Outcome, Unknown)
+	assert.Equal(t, Lookup("undefined").Outcome, Unknown)
 	seen := map[Reason]bool{}
 	for _, i := range All() {
 		assert.Assert(t, !seen[i.Reason], "%s twice", i.Reason)
