--- a/digest/digest.go
+++ b/digest/digest.go
@@ -16,8 +16,8 @@
 // Size is the length of a digest in bytes.
 const Size = 32
 
-// Digest is the BLAKE3 digest of a byte string. docs/design/spread.md compares it with the
-// alternative.
+// Digest is the BLAKE3 digest of a byte string. docs/design/spread.md explains the choice of
+// the algorithm.
 type Digest [Size]byte
 
 // Of returns the digest of b.
