--- a/mesh/crashes.go
+++ b/mesh/crashes.go
@@ -18,7 +18,7 @@
 // Entries whose records still differ, because a message was lost with a broken link or
 // because two entries are connected only through a third one, send each other all records.
 const (
-	// agentCrashThreshold is the number of crashes from which on a content is sent to agents.
+	// agentCrashThreshold is the minimum number of crashes for a content to be sent to agents.
 	// Most contents that are running when a target crashes are not its cause and are never
 	// seen again.
 	agentCrashThreshold = 2
--- a/mesh/differ.go
+++ b/mesh/differ.go
@@ -22,7 +22,7 @@
 }
 
 // differences holds the copies that differ, by the address of the peer. Copies are compared
-// when both have the same revision; until the next comparison the last result stands. It
+// when both have the same revision; the result stays in effect until the next comparison. It
 // performs no I/O and reads no clock.
 type differences map[string]difference
 
--- a/mesh/follow_test.go
+++ b/mesh/follow_test.go
@@ -26,15 +26,14 @@
 // changeInterval is the time from one change to the next.
 const changeInterval = 2 * maxLag
 
-// Guards against stale copies after all readers lose the store: entries that reached the store
-// throughout sent requests to targets 3 s after these had announced that they leave, and kept
-// replaced configurations in effect as long.
+// Guards against stale copies after all readers lose the store: entries that still reached it
+// did not call it for 3 s, sent requests to targets that had announced that they leave, and
+// kept replaced configurations in effect.
 //
-// No answer of the store was wrong and no watch missed a change; these entries did not
-// call the store for 3 s. A reader that had lost the store followed one of its own followers,
-// and each answered the other from a copy that nobody had compared with the store. An answer
-// stated its age as of the arrival of the request, which took a second off the age in each
-// round, so that the peers were left as stale only 3.4 s after the loss.
+// A reader that had lost the store followed one of its own followers, and each answered the
+// other from a copy that neither had compared with the store. An answer stated its age as of
+// the arrival of the request, which understated the age by a second in each round, so that the
+// copies were considered stale only 3.4 s after the loss.
 func TestChangesArriveWhenAllReadersLoseTheStore(t *testing.T) {
 	for _, f := range []fault{silent, refused, reset, killed, frozen} {
 		for phase := 0 * time.Millisecond; phase < time.Second; phase += 250 * time.Millisecond {
--- a/mesh/link.go
+++ b/mesh/link.go
@@ -177,7 +177,7 @@
 }
 
 // receive handles the messages of the entry: members, assignments and crash records. An
-// agent, which receives no load reports, also learns from them that the entry is live.
+// agent receives no load reports; for it, a members message shows that the entry is live.
 func (l *link) receive(ctx context.Context, s *peer.Stream, ended chan struct{}) {
 	defer close(ended)
 	for {
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -1,7 +1,7 @@
 // Package mesh connects the processes of `springgate gateway` and their agents. Entries
-// discover each other from a few seeds, exchange the loads that they have in flight, and
-// receive from the agents the state of the engines beside them. There is no leader and no
-// shared state; what a process has reported is discarded once it is no longer reachable.
+// discover each other from a few seeds, exchange their loads in flight, and receive the state
+// of each engine from the agent beside it. There is no leader and no shared state; what a
+// process has reported is discarded once it is no longer reachable.
 package mesh
 
 import (
--- a/mesh/members_test.go
+++ b/mesh/members_test.go
@@ -36,7 +36,7 @@
 	assert.Assert(t, !m.Observe(start, presence("b:1", 1, 0)), "the member is live already")
 	assert.DeepEqual(t, addrs(m.Live(start.Add(expire))), []string{"b:1"})
 	assert.Equal(t, len(m.Live(start.Add(expire+1))), 0)
-	assert.DeepEqual(t, m.Addrs(), []string{"b:1"}) // it is still dialed
+	assert.DeepEqual(t, m.Addrs(), []string{"b:1"}) // it is still dialled
 }
 
 func TestEarlierIncarnationIsIgnored(t *testing.T) {
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -21,13 +21,13 @@
 	Loads(from string, l *peer.Loads)
 	// EntryLost is called when an entry is no longer live.
 	EntryLost(addr string)
-	// EngineState receives the state of an agent's engine; s is nil once it is not
-	// reported any more.
+	// EngineState receives the state of an agent's engine; s is nil once no report of
+	// it is left.
 	EngineState(agent peer.Presence, s *peer.EngineState)
 	// Assignment returns what the engine beside an agent must serve, or nil, and a
 	// channel that is closed when that may have changed.
 	Assignment(agent peer.Presence) (*peer.Assignment, <-chan struct{})
-	// Announced returns the model versions that operators have recently named.
+	// Announced returns the model versions that operators have recently announced.
 	Announced(now time.Time) []peer.ObservedVersion
 	// Notices returns the current notices of targets about themselves.
 	Notices() []peer.TargetNotice
@@ -123,14 +123,14 @@
 	p := m.self
 	p.Leaving = m.leaving
 	if m.table != nil {
-		p.Revision, p.Store = m.storeContact(clock.Now())
+		p.Revision, p.Store = m.storeStatus(clock.Now())
 	}
 	return p
 }
 
-// storeContact returns the revision of the own copy, and what the calls of this process
+// storeStatus returns the revision of the own copy, and what the calls of this process
 // show about the store.
-func (m *Mesh) storeContact(now time.Time) (int64, peer.StoreStatus) {
+func (m *Mesh) storeStatus(now time.Time) (int64, peer.StoreStatus) {
 	at, revision := m.table.LastStoreRead()
 	c := peer.StoreStatus{Known: !at.IsZero(), Failing: m.failing(), UptimeMs: now.Sub(m.startedAt).Milliseconds()}
 	if c.Known {
@@ -152,7 +152,7 @@
 		return msg
 	}
 	out := *loads
-	out.Revision, out.Store = m.storeContact(clock.Now())
+	out.Revision, out.Store = m.storeStatus(clock.Now())
 	if out.Full {
 		if m.crashes != nil {
 			out.CrashDigest = m.crashes.Digest()
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -22,7 +22,7 @@
 type node struct {
 	mesh     *Mesh
 	table    *mirror.Table
-	book     *dispatch.Balancer
+	balancer *dispatch.Balancer
 	reserver *Reserver
 	server   *peer.Server
 
@@ -38,7 +38,7 @@
 	t.Helper()
 	n := &node{table: mirror.NewTable(""), loads: map[string]int{}, engines: map[string]*peer.EngineState{},
 		assignments: make(chan peer.Assignment, 16), changed: make(chan struct{}),
-		book: dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))}
+		balancer: dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))}
 	hello, meter := peer.Hello{Host: name}, &peer.Meter{}
 	self := peer.Presence{Host: name, Domain: "a", Incarnation: incarnation}
 	if agent {
@@ -59,7 +59,7 @@
 		o.Listener, o.Table = n, n.table
 	}
 	n.mesh = New(o)
-	n.reserver = NewReserver(n.mesh, n.book, 0)
+	n.reserver = NewReserver(n.mesh, n.balancer, 0)
 	ctx, cancel := context.WithCancel(t.Context())
 	var loads func() []peer.TargetLoad
 	if !agent {
@@ -104,7 +104,7 @@
 		}
 		for _, x := range l.Notices {
 			if notice, ok := x.Decode(); ok {
-				n.book.MergeReport(clock.Now(), notice)
+				n.balancer.MergeReport(clock.Now(), notice)
 			}
 		}
 	})
@@ -124,7 +124,7 @@
 
 func (n *node) Notices() []peer.TargetNotice {
 	var out []peer.TargetNotice
-	for _, notice := range n.book.Reports() {
+	for _, notice := range n.balancer.Reports() {
 		out = append(out, peer.EncodeNotice(notice))
 	}
 	return out
@@ -201,7 +201,7 @@
 	instance := &fleet.Instance{ID: id, Service: "s", Domain: "a", Models: []fleet.ModelVersion{{Model: "m", Version: 1, Layers: 1}}}
 	services := map[string]*fleet.Service{"s": {Name: "s", Engine: model}}
 	for _, n := range []*node{a, b} {
-		n.book.Apply([]*fleet.Instance{instance}, services)
+		n.balancer.Apply([]*fleet.Instance{instance}, services)
 	}
 	b.reserver.timeout = time.Minute
 	choice := dispatch.Choice{Instance: *instance, Admission: dispatch.Admission{MaxWait: 100 * time.Millisecond}}
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -15,12 +15,12 @@
 // Reserver reserves places at targets with their home entries. The home of a target is an
 // entry of its failure domain, chosen by rendezvous hashing. It implements gateway.Reserver.
 type Reserver struct {
-	mesh *Mesh
-	book *dispatch.Balancer
+	mesh     *Mesh
+	balancer *dispatch.Balancer
 	// timeout bounds a call to a home. The round trip to another region takes 6 ms; a
-	// home that is slower is not waited for.
+	// home that takes longer is treated as unreachable.
 	timeout time.Duration
-	off     bool // homes are not asked
+	off     bool // homes are not called
 
 	granted, denied, unanswered metrics.Counter // results of calls to other homes
 }
@@ -28,10 +28,10 @@
 // reserveTimeout is four times the longest round trip.
 const reserveTimeout = 25 * time.Millisecond
 
-// NewReserver returns a reserver that serves other entries from this entry's book.
+// NewReserver returns a reserver that serves other entries from this entry's balancer.
 func NewReserver(m *Mesh, b *dispatch.Balancer, off mechanism.Off) *Reserver {
 	counter := func(name string) metrics.Counter { return metrics.NewRegisteredCounter("mesh.places_"+name, m.metrics) }
-	return &Reserver{mesh: m, book: b, timeout: reserveTimeout, off: off.Has(mechanism.Homes),
+	return &Reserver{mesh: m, balancer: b, timeout: reserveTimeout, off: off.Has(mechanism.Homes),
 		granted: counter("granted"), denied: counter("denied"), unanswered: counter("unanswered")}
 }
 
@@ -40,15 +40,15 @@
 	t := c.Instance
 	home := r.mesh.home(t.ID, t.Domain)
 	if r.off || home == r.mesh.self.Addr {
-		return dispatch.ReservationGranted // the choice made from the own book stands
+		return dispatch.ReservationGranted // the choice of the own balancer is final
 	}
-	reply, ok := r.ask(ctx, home, c, prompt)
+	reply, ok := r.callHome(ctx, home, c, prompt)
 	if !ok {
 		r.unanswered.Inc(1)
 		return r.decideWithoutHome(c)
 	}
 	if notice, ok := reply.Notice.Decode(); ok {
-		r.book.MergeReport(clock.Now(), notice)
+		r.balancer.MergeReport(clock.Now(), notice)
 	}
 	switch {
 	case reply.Granted && !reply.Known:
@@ -62,7 +62,7 @@
 	case reply.Notice.Leaving:
 		return dispatch.ReservationDeferred
 	case reply.WaitMs > 0:
-		r.book.BackOff(clock.Now(), t.ID, time.Duration(reply.WaitMs)*time.Millisecond)
+		r.balancer.BackOff(clock.Now(), t.ID, time.Duration(reply.WaitMs)*time.Millisecond)
 		return dispatch.ReservationDeferred
 	}
 	return dispatch.ReservationDenied
@@ -75,17 +75,17 @@
 	if !c.Paced {
 		return dispatch.ReservationGranted
 	}
-	r.book.BackOffUnanswered(clock.Now(), c.Instance.ID)
+	r.balancer.BackOffUnanswered(clock.Now(), c.Instance.ID)
 	return dispatch.ReservationDeferred
 }
 
-// ask requests a place from a home; ok is false if the home does not answer in time.
-func (r *Reserver) ask(ctx context.Context, home string, c dispatch.Choice, prompt int) (reply *peer.ReserveReply, ok bool) {
+// callHome requests a place from a home; ok is false if the home does not answer in time.
+func (r *Reserver) callHome(ctx context.Context, home string, c dispatch.Choice, prompt int) (reply *peer.ReserveReply, ok bool) {
 	ctx, cancel := clock.WithTimeout(ctx, r.timeout)
 	defer cancel()
 	msg, err := r.mesh.pool.Call(ctx, home, peer.Traffic, &peer.Reserve{From: r.mesh.self.Addr, Instance: c.Instance.ID,
 		PromptTokens: prompt, MaxWaitMs: c.Admission.MaxWait.Milliseconds(), MaxGapMs: c.Admission.MaxGap.Milliseconds(),
-		MaxLoad: c.Admission.MaxLoad, Notice: peer.EncodeNotice(r.book.ReportOf(c.Instance.ID))})
+		MaxLoad: c.Admission.MaxLoad, Notice: peer.EncodeNotice(r.balancer.ReportOf(c.Instance.ID))})
 	if err != nil {
 		return nil, false
 	}
@@ -96,9 +96,9 @@
 // Serve answers a request of another entry.
 func (r *Reserver) Serve(ctx context.Context, s *peer.Stream, q *peer.Reserve) {
 	if notice, ok := q.Notice.Decode(); ok {
-		r.book.MergeReport(clock.Now(), notice)
+		r.balancer.MergeReport(clock.Now(), notice)
 	}
-	p := r.book.Reserve(clock.Now(), q.From, q.Instance, q.PromptTokens, dispatch.Admission{
+	p := r.balancer.Reserve(clock.Now(), q.From, q.Instance, q.PromptTokens, dispatch.Admission{
 		MaxWait: time.Duration(q.MaxWaitMs) * time.Millisecond, MaxGap: time.Duration(q.MaxGapMs) * time.Millisecond,
 		MaxLoad: q.MaxLoad})
 	// On failure the requester's timeout applies.
--- a/mesh/reserve_test.go
+++ b/mesh/reserve_test.go
@@ -19,7 +19,7 @@
 	home.until(t, "both entries to discover each other", func() bool { return len(home.mesh.Entries()) == 1 && len(requester.mesh.Entries()) == 1 })
 	target = &fleet.Instance{ID: targetIDWithHome(requester, home, "i"), Service: "s", Domain: "a", Slots: 8}
 	for _, n := range []*node{home, requester} {
-		n.book.Apply([]*fleet.Instance{target}, map[string]*fleet.Service{"s": {Name: "s"}})
+		n.balancer.Apply([]*fleet.Instance{target}, map[string]*fleet.Service{"s": {Name: "s"}})
 	}
 	requester.reserver.timeout = time.Minute
 	return home, requester, target
@@ -37,7 +37,7 @@
 
 func announceLimit(n *node, target *fleet.Instance, perS float64) {
 	now := clock.Now()
-	n.book.RecordStatement(now, *target, notice.Statement{Limit: notice.Limit{Declared: true, PerS: perS}}, now)
+	n.balancer.RecordStatement(now, *target, notice.Statement{Limit: notice.Limit{Declared: true, PerS: perS}}, now)
 }
 
 func paced(target *fleet.Instance) dispatch.Choice {
@@ -50,7 +50,7 @@
 	home, requester, target := startHomeAndRequester(t)
 	announceLimit(requester, target, 1)
 	assert.Equal(t, requester.reserver.Reserve(t.Context(), paced(target), 10), dispatch.ReservationDeferred)
-	assert.Equal(t, home.book.ReportOf(target.ID).Limit.PerS, 1.0)
+	assert.Equal(t, home.balancer.ReportOf(target.ID).Limit.PerS, 1.0)
 }
 
 func TestRequesterLearnsALimitFromTheHome(t *testing.T) {
@@ -59,7 +59,7 @@
 	choice := paced(target)
 	choice.Paced = false
 	assert.Equal(t, requester.reserver.Reserve(t.Context(), choice, 10), dispatch.ReservationDeferred)
-	assert.Equal(t, requester.book.ReportOf(target.ID).Limit.PerS, 1.0)
+	assert.Equal(t, requester.balancer.ReportOf(target.ID).Limit.PerS, 1.0)
 }
 
 // Guards against using a target whose limit is shared by all entries when its home cannot be
@@ -80,5 +80,5 @@
 func TestFullLoadReportsCarryLimits(t *testing.T) {
 	home, requester, target := startHomeAndRequester(t)
 	announceLimit(requester, target, 2)
-	home.until(t, "the home to receive the limit", func() bool { return home.book.ReportOf(target.ID).Limit.PerS == 2 })
+	home.until(t, "the home to receive the limit", func() bool { return home.balancer.ReportOf(target.ID).Limit.PerS == 2 })
 }
--- a/mesh/role_test.go
+++ b/mesh/role_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func contactOf(age time.Duration) peer.StoreStatus {
+func storeStatusOf(age time.Duration) peer.StoreStatus {
 	return peer.StoreStatus{Known: true, AgeMs: age.Milliseconds()}
 }
 
@@ -19,7 +19,7 @@
 func TestCopyIsConfirmedByEntriesThatSawTheStore(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
 	b, c, d := presence("b:1", 1, 7), presence("c:1", 1, 9), presence("d:1", 1, 7)
-	b.Store, c.Store = contactOf(300*time.Millisecond), contactOf(100*time.Millisecond)
+	b.Store, c.Store = storeStatusOf(300*time.Millisecond), storeStatusOf(100*time.Millisecond)
 	for _, p := range []peer.Presence{b, c, d} {
 		m.Observe(start, p)
 	}
--- a/mesh/source.go
+++ b/mesh/source.go
@@ -33,7 +33,7 @@
 	begun := clock.Now()
 	msg, err := s.mesh.pool.Call(ctx, s.addr, peer.Control, q)
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return mirror.Batch{}, ctx.Err() // canceled by the caller; the peer may be healthy
+		return mirror.Batch{}, ctx.Err() // cancelled by the caller; the peer may be healthy
 	}
 	if err != nil {
 		s.mesh.markUnreachable(s.addr)
@@ -83,8 +83,8 @@
 }
 
 // answer returns the message for a batch, in reply to a request that arrived at begun. The
-// request counts as held until the age was read; later delays are not part of HeldMs, so
-// that the reader adds them to the age.
+// request counts as held until the age was read; later delays are not part of WaitedMs,
+// so that the reader adds them to the age.
 func answer(begun time.Time, b mirror.Batch) *peer.MirrorBatch {
 	out := &peer.MirrorBatch{Revision: b.Revision, UpTo: b.MaxRevision, AgeMs: milliseconds(b.Age), WaitedMs: b.AgeMeasuredAt.Sub(begun).Milliseconds()}
 	for _, e := range b.Events {
--- a/mesh/suspension_test.go
+++ b/mesh/suspension_test.go
@@ -10,12 +10,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against faults after a host was suspended: it claimed to have just seen the store,
-// took entries for live that had been silent for long, and its clock, by which others date
-// what it saw, lagged by the suspension for good.
+// Ages, and the clock that an entry sends to others, must include the time for which its host
+// was suspended. Guards against an entry that reported an old read of the store as recent,
+// considered entries live that had sent nothing during the suspension, and whose clock
+// permanently lagged by it.
 //
 // The store stops answering before the suspension. Otherwise an entry might call it as soon as
-// the host resumes, and its copy would then be as young as it claims.
+// the host resumes, and its copy would then be as recent as reported.
 func TestSuspension(t *testing.T) {
 	for _, d := range []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
--- a/mesh/updates.go
+++ b/mesh/updates.go
@@ -15,8 +15,8 @@
 const memberUpdateInterval = 100 * time.Millisecond
 
 // introducerCount is how many entries, besides the seeds, announce the other members to an
-// entry. A few suffice: an entry that learns the members links to all of them, so that all
-// learn of it.
+// entry. A few suffice: an entry that receives the members links to all of them, so that all
+// discover it.
 const introducerCount = 3
 
 // memberUpdates tracks which members have been announced on a stream. Each is announced
