--- a/mirror/contact_test.go
+++ b/mirror/contact_test.go
@@ -110,9 +110,8 @@
 }
 
 // At any rate of changes, a reader's copy gets no older than one watch and the interval
-// before the next, and is never read because it is stale. Each change costs at maxCalls one
-// call in addition to those without changes, and a burst costs at maxCalls five calls per
-// second.
+// before the next, and no read because of a stale copy is needed. Each change costs at most one
+// call in addition to those without changes, and a burst costs at most five calls per second.
 func TestCopyStaysFreshAtAnyRateOfChanges(t *testing.T) {
 	for _, every := range []time.Duration{20, 150, 500, 850, 950, 990, 1050, 1900, 3700} {
 		every *= time.Millisecond
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -18,7 +18,7 @@
 	// but a watch whose connection was dropped silently is detected only after
 	// Wait. Default 1 s, because a configuration must take effect within 2 s.
 	Wait time.Duration
-	// MinWatchInterval is the least time between the starts of two watches at a source
+	// MinWatchInterval is the minimum time between the starts of two watches at a source
 	// whose calls are billed: each change ends a watch, and changes come in bursts.
 	// A change after an idle period is received at once. Default 200 ms, a tenth of
 	// the time within which a configuration must take effect.
--- a/mirror/guard.go
+++ b/mirror/guard.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// storeCallDelay returns the least time since the last call to the store before
+// storeCallDelay returns the minimum time since the last call to the store before
 // readStoreWhenStale calls it. Calls are billed, including those that fail.
 func (f *Follower) storeCallDelay(failures int, stale bool, jitter float64) time.Duration {
 	switch {
@@ -49,7 +49,7 @@
 }
 
 // backupMinFailures is the number of consecutive failures after which a backup probes
-// the store only each ProbeInterval. They take about 2 s of back-off, in which processes
+// the store only each ProbeInterval. By then it has backed off for about 2 s, and processes
 // that reach the store have reported it.
 const backupMinFailures = 6
 
--- a/mirror/guard_test.go
+++ b/mirror/guard_test.go
@@ -76,10 +76,10 @@
 		}}
 		peer := &scripted{name: "peer", all: func() (Batch, error) { return Batch{Revision: 1}, nil },
 			watch: func(after int64) (Batch, error) { return Batch{Revision: after}, nil }}
-		contact := NewMonitoredStore(store, discardLogger())
-		_, err := contact.Watch(ctx, "", 1, 0)
+		monitored := NewMonitoredStore(store, discardLogger())
+		_, err := monitored.Watch(ctx, "", 1, 0)
 		assert.ErrorContains(t, err, "refused")
-		f := newFollower(NewTable(""), contact, func() Source { return peer })
+		f := newFollower(NewTable(""), monitored, func() Source { return peer })
 		go f.Run(ctx)
 		time.Sleep(time.Minute)
 		assert.Assert(t, calls.Load() >= 14 && calls.Load() <= 16, "%d calls", calls.Load())
--- a/mirror/overtaken_test.go
+++ b/mirror/overtaken_test.go
@@ -11,12 +11,9 @@
 // stale, and reads of peers that are ahead start at the same revision, and a full copy is
 // read in pages, each later than the one before.
 //
-// In a run of real processes with a store that delayed its responses, a target was removed
-// between the pages of one entry's full read. That entry dropped the target, but two of its
-// followers kept it: ten of their requests reached the target up to 9.7 s after it had left,
-// sent by copies that were 0.3 to 0.6 s old but never received the removal. In another run,
-// several entries of one failure domain sent 232 requests to targets more than 3 s after
-// the store had accepted their removal; the same cause is likely there, but not proven.
+// A target that was removed between the pages of one entry's full read stayed in the copies of
+// two followers of that entry. They sent requests to it up to 9.7 s after it had left, while
+// their copies were 0.3 to 0.6 s old but had not received the removal.
 
 // A target changed its entry and was then removed. A response that was created between
 // these two changes arrived last, and the copy added the target again, permanently because
--- a/mirror/suspension_test.go
+++ b/mirror/suspension_test.go
@@ -12,10 +12,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// suspensions are the times for which the tests suspend the machine.
+// suspensions are the times for which the tests suspend the host.
 var suspensions = []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second}
 
-// Guards against a stale copy after the machine was suspended. The monotonic clock stops
+// Guards against a stale copy after the host was suspended. The monotonic clock stops
 // during a suspension, so a copy whose age was measured by it counted as fresh, and the
 // entry served an outdated configuration until a watch ended.
 func TestSuspension(t *testing.T) {
