--- a/mirror/overtaken_test.go
+++ b/mirror/overtaken_test.go
@@ -33,8 +33,8 @@
 // for its followers. A follower whose copy had the first page's revision then never
 // received either change, although the age of its copy stayed low.
 func TestFollowerReceivesChangesThatItsSourceReadAhead(t *testing.T) {
-	before := Batch{Events: []Event{set("a leaver", 5), set("a vanisher", 6), set("config", 9)}, Revision: 10}
-	leaving, removed := set("a leaver", 11), removal("a vanisher", 12)
+	before := Batch{Events: []Event{set("a leaving target", 5), set("a removed target", 6), set("config", 9)}, Revision: 10}
+	leaving, removed := set("a leaving target", 11), removal("a removed target", 12)
 	source, follower := NewTable(""), NewTable("")
 	follower.Replace(start, before)
 	source.Replace(start, Batch{Events: []Event{leaving, set("config", 9)}, Revision: 10}) // the second page has a later state
@@ -43,5 +43,5 @@
 	assert.NilError(t, err)
 	follower.Apply(start, b)
 	assert.Equal(t, follower.Revision(), int64(12))
-	assert.DeepEqual(t, contents(follower), map[string]string{"a leaver": "11", "config": "9"})
+	assert.DeepEqual(t, contents(follower), map[string]string{"a leaving target": "11", "config": "9"})
 }
