--- a/spread/bench_test.go
+++ b/spread/bench_test.go
@@ -49,7 +49,7 @@
 	}
 	b.ReportMetric(took.Seconds()/l.lowerBound(hosts, benchChunks).Seconds(), "x-bound")
 	b.ReportMetric(float64(l.originChunks)/benchChunks, "origin-copies")
-	b.ReportMetric(float64(l.farChunks)/benchChunks, "cross-domain-copies")
+	b.ReportMetric(float64(l.crossDomainChunks)/benchChunks, "cross-domain-copies")
 	b.ReportMetric(float64(l.controlBytes)/float64(hosts)/took.Seconds(), "control-B/s/host")
 }
 
--- a/spread/config.go
+++ b/spread/config.go
@@ -34,7 +34,7 @@
 	// PendingRetry is the mean delay before a chunk that was pending at its reader is
 	// requested again. Default 500 ms.
 	PendingRetry time.Duration
-	// ReaderInterval is the least time between two direct requests to readers that are
+	// ReaderInterval is the minimum time between two direct requests to readers that are
 	// made because neighbours do not fill the pipeline. Default 200 ms.
 	ReaderInterval time.Duration
 	// UnavailableFor is how long a reader is skipped that is unreachable or cannot
--- a/spread/failure_test.go
+++ b/spread/failure_test.go
@@ -25,7 +25,7 @@
 		copies  float64
 	}{
 		"the only host with a chunk fails": {func(l *links) {
-			// Each of the two hosts dies just after its first chunk arrived from the origin.
+			// Each of the two hosts fails just after its first chunk arrived from the origin.
 			at(l, 3*time.Second, func() { l.kill(l.hosts[4]) })
 			at(l, 6*time.Second, func() { l.kill(l.hosts[9]) })
 		}, 1.3},
--- a/spread/links_test.go
+++ b/spread/links_test.go
@@ -21,12 +21,12 @@
 	originFreeAt time.Duration // when the origin's link is free
 	rng          *rand.Rand
 
-	originChunks, farChunks int
-	controlBytes            int64
-	corruptEvery            int
-	remaining               int // live hosts that are not complete
-	lastDone                time.Duration
-	listPending             bool // a new host list is scheduled
+	originChunks, crossDomainChunks int
+	controlBytes                    int64
+	corruptEvery                    int
+	remaining                       int // live hosts that are not complete
+	lastDone                        time.Duration
+	listPending                     bool // a new host list is scheduled
 
 	originDown  func() bool               // reads from the origin fail
 	partitioned func(a, b *linkHost) bool // the two cannot reach each other
@@ -82,9 +82,9 @@
 	connectTimeout = 2 * time.Second  // of a call to a dead host
 	hostListDelay  = 10 * time.Second // until the host list drops a dead host
 	tickInterval   = 250 * time.Millisecond
-	haveHeader     = 60 // bytes of a message with its frame
-	requestBytes   = 90 // bytes of a request for a chunk and the header of its reply
-	window         = 5 * time.Minute
+	haveHeader     = 60              // bytes of a message with its frame
+	requestBytes   = 90              // bytes of a request for a chunk and the header of its reply
+	window         = 5 * time.Minute // in which a host's link transfers two copies and the origin's link four
 )
 
 func (l *links) after(d time.Duration, do func()) {
@@ -186,7 +186,7 @@
 		return
 	}
 	if f.CrossDomain {
-		l.farChunks++
+		l.crossDomainChunks++
 	}
 	start := max(l.now+linkLatency, src.upFreeAt)
 	src.upFreeAt = start + l.chunkTime
