--- a/mesh/source.go
+++ b/mesh/source.go
@@ -49,7 +49,7 @@
 	// The answer is older on arrival than the peer stated, by at most the elapsed time less
 	// the time for which the peer held the request.
 	transit := clock.Since(begun) - time.Duration(reply.WaitedMs)*time.Millisecond
-	b := mirror.Batch{Revision: reply.Revision, MaxRevision: reply.UpTo, Age: time.Duration(reply.AgeMs)*time.Millisecond + max(0, transit)}
+	b := mirror.Batch{Revision: reply.Revision, MaxRevision: reply.MaxRevision, Age: time.Duration(reply.AgeMs)*time.Millisecond + max(0, transit)}
 	for _, e := range reply.Events {
 		b.Events = append(b.Events, mirror.Event{Deleted: e.Deleted,
 			Item: mirror.Item{Key: e.Key, Value: e.Value, Revision: e.Revision}})
@@ -86,7 +86,7 @@
 // request counts as held until the age was read; later delays are not part of WaitedMs,
 // so that the reader adds them to the age.
 func answer(begun time.Time, b mirror.Batch) *peer.MirrorBatch {
-	out := &peer.MirrorBatch{Revision: b.Revision, UpTo: b.MaxRevision, AgeMs: milliseconds(b.Age), WaitedMs: b.AgeMeasuredAt.Sub(begun).Milliseconds()}
+	out := &peer.MirrorBatch{Revision: b.Revision, MaxRevision: b.MaxRevision, AgeMs: milliseconds(b.Age), WaitedMs: b.AgeMeasuredAt.Sub(begun).Milliseconds()}
 	for _, e := range b.Events {
 		out.Events = append(out.Events, peer.MirrorEvent{Key: e.Key, Value: e.Value, Revision: e.Revision, Deleted: e.Deleted})
 	}
