--- a/peer/control.go
+++ b/peer/control.go
@@ -40,8 +40,9 @@
 	Data    []byte
 }
 
-// Have reports which chunks of a manifest the sender stores. Bits is a bitmap. If
-// Bits is empty, Added lists the chunks added since the last message.
+// Have reports which chunks of a manifest the sender stores. Count is the number of
+// chunks of the manifest. Bits is a bitmap. If Bits is empty, Added lists the chunks
+// added since the last message.
 type Have struct {
 	Manifest digest.Digest
 	Count    int
@@ -103,7 +104,7 @@
 	RejectReason string
 	HeadAgeMs    int64
 	Reader       bool
-	Awake        bool
+	Awake        bool // false while the process recovers from a pause
 	Leaving      bool
 	HostsSerial  uint64
 	Target       Status // zero value for an entry
--- a/peer/mirror.go
+++ b/peer/mirror.go
@@ -30,12 +30,12 @@
 
 // MirrorBatch answers a MirrorRead.
 type MirrorBatch struct {
-	Status   MirrorStatus
-	Events   []MirrorEvent
-	Revision int64
-	MaxRevision     int64 // a read of all keys may contain some, but not all, of the changes up to this revision
-	AgeMs    int64 // upper bound of the time since the copy was known to match the store
-	WaitedMs int64 // lower bound of the time that the peer waited for changes
+	Status      MirrorStatus
+	Events      []MirrorEvent
+	Revision    int64
+	MaxRevision int64 // a read of all keys may contain some, but not all, of the changes up to this revision
+	AgeMs       int64 // upper bound of the time since the copy was known to match the store
+	WaitedMs    int64 // lower bound of the time that the peer waited for changes
 }
 
 // Kind implements Message.
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -7,8 +7,8 @@
 	Role        string
 	Domain      string
 	Addr        string // address of the peer listener; empty if the process has none
-	Service     string // service of the engine next to an agent
-	EngineAddr  string // address of the engine next to an agent
+	Service     string // service of the engine beside an agent
+	EngineAddr  string // address of the engine beside an agent
 	PiecesAddr  string // address on which an agent serves staged pieces
 	Incarnation uint64
 	Revision    int64 // store revision of the process's copy
@@ -33,7 +33,7 @@
 // Kind implements Message.
 func (*Presence) Kind() Kind { return kindPresence }
 
-// FastLinkRatio is the least link rate, as a ratio of the fastest link's rate, at which a
+// FastLinkRatio is the minimum link rate, as a ratio of the fastest link's rate, at which a
 // host carries bulk traffic.
 const FastLinkRatio = 0.5
 
@@ -104,13 +104,13 @@
 	Silent, Responsive bool
 }
 
-// EngineState is the state of an engine as reported by the agent next to it.
+// EngineState is the state of an engine as reported by the agent beside it.
 type EngineState struct {
 	Addr    string // address on which the engine serves
 	Model   string
 	Version int    // version that the engine serves completely; 0 if none
 	Loading bool   // an order to load a version is in progress: new requests would wait
-	Seq     uint64 // sequence number of the agent's reports; the highest one of an incarnation is in force
+	Seq     uint64 // sequence number of the agent's reports; the highest one of an incarnation is in effect
 	StartMs int64  // start of the engine's process, Unix milliseconds; 0 if unknown
 	Forward bool   // the entry is to forward this report to all other entries
 }
@@ -133,7 +133,7 @@
 // Kind implements Message.
 func (*EngineStates) Kind() Kind { return kindEngineStates }
 
-// Assignment tells an agent which version the engine next to it is to serve.
+// Assignment tells an agent which version the engine beside it is to serve.
 type Assignment struct {
 	Entry   string // address of the sender
 	Model   string
