--- a/mesh/follow_test.go
+++ b/mesh/follow_test.go
@@ -196,8 +196,8 @@
 	})
 }
 
-// A delay between the reading of the age and the sending of the answer does not count into
-// the time for which the request was held.
+// A delay between the measurement of the age and the sending of the answer does not count
+// into the time for which the peer waited.
 func TestDelayAfterTheAgeWasReadCountsAsTransit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := mirror.NewTable("")
--- a/mesh/source.go
+++ b/mesh/source.go
@@ -47,7 +47,7 @@
 		return mirror.Batch{}, mirror.ErrCompacted
 	}
 	// The answer is older on arrival than the peer stated, by at most the elapsed time less
-	// the time for which the peer held the request.
+	// the time for which the peer waited for changes.
 	transit := clock.Since(begun) - time.Duration(reply.WaitedMs)*time.Millisecond
 	b := mirror.Batch{Revision: reply.Revision, MaxRevision: reply.MaxRevision, Age: time.Duration(reply.AgeMs)*time.Millisecond + max(0, transit)}
 	for _, e := range reply.Events {
@@ -83,7 +83,7 @@
 }
 
 // answer returns the message for a batch, in reply to a request that arrived at begun. The
-// request counts as held until the age was read; later delays are not part of WaitedMs,
+// peer counts as waiting until it measured the age; later delays are not part of WaitedMs,
 // so that the reader adds them to the age.
 func answer(begun time.Time, b mirror.Batch) *peer.MirrorBatch {
 	out := &peer.MirrorBatch{Revision: b.Revision, MaxRevision: b.MaxRevision, AgeMs: milliseconds(b.Age), WaitedMs: b.AgeMeasuredAt.Sub(begun).Milliseconds()}
