--- a/mesh/source.go
+++ b/mesh/source.go
@@ -33,7 +33,7 @@
 	begun := clock.Now()
 	msg, err := s.mesh.pool.Call(ctx, s.addr, peer.Control, q)
 	if errors.Is(ctx.Err(), context.Canceled) {
-		return mirror.Batch{}, ctx.Err() // canceled by the caller; the peer may be healthy
+		return mirror.Batch{}, ctx.Err() // cancelled by the caller; the peer may be healthy
 	}
 	if err != nil {
 		s.mesh.markUnreachable(s.addr)
@@ -47,9 +47,9 @@
 		return mirror.Batch{}, mirror.ErrCompacted
 	}
 	// The answer is older on arrival than the peer stated, by at most the elapsed time less
-	// the time for which the peer held the request.
+	// the time for which the peer waited for changes.
 	transit := clock.Since(begun) - time.Duration(reply.WaitedMs)*time.Millisecond
-	b := mirror.Batch{Revision: reply.Revision, MaxRevision: reply.UpTo, Age: time.Duration(reply.AgeMs)*time.Millisecond + max(0, transit)}
+	b := mirror.Batch{Revision: reply.Revision, MaxRevision: reply.MaxRevision, Age: time.Duration(reply.AgeMs)*time.Millisecond + max(0, transit)}
 	for _, e := range reply.Events {
 		b.Events = append(b.Events, mirror.Event{Deleted: e.Deleted,
 			Item: mirror.Item{Key: e.Key, Value: e.Value, Revision: e.Revision}})
@@ -83,10 +83,10 @@
 }
 
 // answer returns the message for a batch, in reply to a request that arrived at begun. The
-// request counts as held until the age was read; later delays are not part of HeldMs, so
-// that the reader adds them to the age.
+// peer counts as waiting until it measured the age; later delays are not part of WaitedMs,
+// so that the reader adds them to the age.
 func answer(begun time.Time, b mirror.Batch) *peer.MirrorBatch {
-	out := &peer.MirrorBatch{Revision: b.Revision, UpTo: b.MaxRevision, AgeMs: milliseconds(b.Age), WaitedMs: b.AgeMeasuredAt.Sub(begun).Milliseconds()}
+	out := &peer.MirrorBatch{Revision: b.Revision, MaxRevision: b.MaxRevision, AgeMs: milliseconds(b.Age), WaitedMs: b.AgeMeasuredAt.Sub(begun).Milliseconds()}
 	for _, e := range b.Events {
 		out.Events = append(out.Events, peer.MirrorEvent{Key: e.Key, Value: e.Value, Revision: e.Revision, Deleted: e.Deleted})
 	}
