--- a/gateway/assign.go
+++ b/gateway/assign.go
@@ -120,7 +120,7 @@
 			}
 		}
 		if old := c.assignments[name]; old == nil || old.version < version {
-			c.relay.Want(ctx, s.Engine.Model, version, s.Engine.Chunks)
+			c.relay.Prefetch(ctx, s.Engine.Model, version, s.Engine.Chunks)
 			c.setAssignment(name, &assignment{model: s.Engine, version: version, since: clock.Now()})
 		}
 	}
--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -18,7 +18,7 @@
 // fakeRelay fails to read one version.
 type fakeRelay struct{ fails int }
 
-func (*fakeRelay) Want(context.Context, string, int, int) {}
+func (*fakeRelay) Prefetch(context.Context, string, int, int) {}
 func (*fakeRelay) Hold(string, int) bool                  { return true }
 func (r *fakeRelay) Failing(_ string, version int) bool   { return version == r.fails }
 
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -40,8 +40,8 @@
 
 // Relay fetches weights for the agents.
 type Relay interface {
-	// Want prefetches the pieces of a new version.
-	Want(ctx context.Context, model string, version, pieces int)
+	// Prefetch prefetches the pieces of a new version.
+	Prefetch(ctx context.Context, model string, version, pieces int)
 	// Hold makes a version that is not new available; its pieces are read when agents
 	// request them. It reports whether the version was not held before.
 	Hold(model string, version int) bool
@@ -218,7 +218,7 @@
 	}
 	for _, s := range c.gateway.Config().Services {
 		if s.Engine != nil && s.Engine.Model == v.Model {
-			c.relay.Want(ctx, v.Model, v.Version, s.Engine.Chunks)
+			c.relay.Prefetch(ctx, v.Model, v.Version, s.Engine.Chunks)
 			return
 		}
 	}
