--- a/weights/order_test.go
+++ b/weights/order_test.go
@@ -96,13 +96,13 @@
 		}
 		r := NewRelay(Config{}, peer.Presence{Addr: "a1", Domain: "a"}, func() []peer.Presence { return nil }, noHolders,
 			func() *fleet.Origin { return &fleet.Origin{Addr: "origin", Domain: "a"} }, o, noPeers, log)
-		r.Want(t.Context(), testModel, 2, slowOriginPieces)
+		r.Prefetch(t.Context(), testModel, 2, slowOriginPieces)
 		time.Sleep(perPiece*(slowOriginPieces-missing) + perPiece/2)
 		o.setUnavailable(true)
 		time.Sleep(time.Second)
 		before := o.sentUpToLast(2)
 		assert.Assert(t, before > slowOriginPieces/2 && before < slowOriginPieces, "%d pieces sent before the outage", before)
-		r.Want(t.Context(), testModel, 3, slowOriginPieces)
+		r.Prefetch(t.Context(), testModel, 3, slowOriginPieces)
 		time.Sleep(3 * time.Second)
 		o.setUnavailable(false)
 		time.Sleep(5 * time.Second)
--- a/weights/prefetch.go
+++ b/weights/prefetch.go
@@ -11,9 +11,9 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// Want holds the pieces of a version. It prefetches those for which this entry is the reader
+// Prefetch holds the pieces of a version. It prefetches those for which this entry is the reader
 // of its failure domain, since the origin may be unavailable when agents request them.
-func (r *Relay) Want(ctx context.Context, model string, version, pieces int) {
+func (r *Relay) Prefetch(ctx context.Context, model string, version, pieces int) {
 	if r.Hold(model, version) {
 		go r.prefetch(ctx, model, version, pieces)
 	}
--- a/weights/relay_test.go
+++ b/weights/relay_test.go
@@ -242,7 +242,7 @@
 	r := n.relays["a1"]
 	assert.Assert(t, r.Hold(testModel, 2))
 	assert.Assert(t, !r.Hold(testModel, 2))
-	r.Want(t.Context(), testModel, 2, testPieces)
+	r.Prefetch(t.Context(), testModel, 2, testPieces)
 	assert.Equal(t, len(n.origin.pieces), 0)
 	readAll(t, r, 2)
 }
@@ -270,7 +270,7 @@
 		n := newNetwork(map[string]string{"a1": "a"})
 		n.origin.down = true
 		r := n.relays["a1"]
-		r.Want(t.Context(), testModel, 2, testPieces)
+		r.Prefetch(t.Context(), testModel, 2, testPieces)
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, len(r.missingOwnPieces(testModel, 2, testPieces)), testPieces)
 		n.origin.mu.Lock()
@@ -330,6 +330,6 @@
 	n := newNetwork(map[string]string{"a1": "a"})
 	r := n.relays["a1"]
 	n.hold(3)
-	r.Want(t.Context(), testModel, 2, testPieces)
+	r.Prefetch(t.Context(), testModel, 2, testPieces)
 	assert.Equal(t, r.versions[testModel][0].version, 3)
 }
