--- a/command/gateway.go
+++ b/command/gateway.go
@@ -172,7 +172,7 @@
 func (e *entryProcess) Loads(from string, l *peer.Loads) { e.control.Loads(from, l) }
 
 // EntryLost implements mesh.Listener.
-func (e *entryProcess) EntryLost(addr string) { e.control.Lost(addr) }
+func (e *entryProcess) EntryLost(addr string) { e.control.EntryLost(addr) }
 
 // EngineState implements mesh.Listener.
 func (e *entryProcess) EngineState(p peer.Presence, s *peer.EngineState) { e.control.EngineState(p, s) }
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -66,8 +66,8 @@
 	return out
 }
 
-// Lost implements mesh.Listener.
-func (c *Control) Lost(addr string) { c.book.SetLoads(addr, nil) }
+// EntryLost implements mesh.Listener.
+func (c *Control) EntryLost(addr string) { c.book.SetLoads(addr, nil) }
 
 // EngineState implements mesh.Listener.
 func (c *Control) EngineState(agent peer.Presence, s *peer.EngineState) {
