--- a/gateway/control.go
+++ b/gateway/control.go
@@ -95,7 +95,7 @@
 	Config  ControlConfig
 	Addr    string
 	Gateway *Gateway
-	Book    *dispatch.Balancer
+	Balancer    *dispatch.Balancer
 	Decoder Decoder
 	Table   *mirror.Table
 	Outage  func() (down bool, ended time.Time)
@@ -112,7 +112,7 @@
 		o.Metrics = metrics.NewRegistry()
 	}
 	return &Control{cfg: o.Config, unknownEvacuations: metrics.NewRegisteredGauge("control.unknown_evacuations", o.Metrics), foreign: metrics.NewRegisteredGauge("control.foreign_entries", o.Metrics), endedWithRequests: metrics.NewRegisteredCounter("control.targets_ended_at_work", o.Metrics),
-		addr: o.Addr, gateway: o.Gateway, book: o.Book, decoder: o.Decoder, table: o.Table,
+		addr: o.Addr, gateway: o.Gateway, book: o.Balancer, decoder: o.Decoder, table: o.Table,
 		outage: o.Outage, relay: o.Relay, log: o.Log, roster: o.Roster,
 		decoded: map[string]decodedInstance{}, versionRev: map[string]int64{}, assignments: map[string]*assignment{},
 		holders: map[string]holder{},
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -29,7 +29,7 @@
 	log, lines := test.NewNullLogger()
 	book := dispatch.NewBalancer(dispatch.Config{Regions: map[string]string{"a": "north", "b": "south"}}, rand.New(rand.NewPCG(1, 2)))
 	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), log)
-	c := NewControl(ControlOptions{Gateway: g, Book: book, Decoder: evacuationDecoder{}, Log: log})
+	c := NewControl(ControlOptions{Gateway: g, Balancer: book, Decoder: evacuationDecoder{}, Log: log})
 	book.Apply([]*fleet.Instance{{ID: "i-a", Service: "s", Domain: "a", Slots: 1}, {ID: "i-b", Service: "s", Domain: "b", Slots: 1}},
 		map[string]*fleet.Service{"s": {Name: "s"}})
 	reached := func(homes ...string) string {
--- a/gateway/foreign_test.go
+++ b/gateway/foreign_test.go
@@ -42,7 +42,7 @@
 	book := dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
 	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), discard)
 	g.SetConfig(fleet.NewConfig(1, routes(), []*fleet.Service{{Name: "s"}}, nil, fleet.Limits{}))
-	c := NewControl(ControlOptions{Gateway: g, Book: book, Decoder: textDecoder{}, Log: log,
+	c := NewControl(ControlOptions{Gateway: g, Balancer: book, Decoder: textDecoder{}, Log: log,
 		Outage: func() (bool, time.Time) { return false, time.Time{} }, Roster: Roster{Hold: -1}})
 	usable := func(items ...mirror.Item) (ids []string) {
 		c.applyInstances(items)
