--- a/command/gateway.go
+++ b/command/gateway.go
@@ -94,7 +94,7 @@
 	e.mesh = mesh.New(mesh.Options{Self: p.self, Seeds: s.Seeds, Pool: p.pool, Listener: e, Crashes: crashes,
 		Table: table, Log: telemetry.Part(p.log, "mesh"), Metrics: p.metrics})
 	e.reserver = mesh.NewReserver(e.mesh, e.balancer, off)
-	e.gateway = gateway.New(gateway.Config{Off: off, Domain: s.Domain, Copy: mirrorState(table), Crashes: crashes,
+	e.gateway = gateway.New(gateway.Config{Off: off, Domain: s.Domain, MirrorState: mirrorState(table), Crashes: crashes,
 		Hasher: quarantine.NewHasher(contentKey), Host: p.self.Host, Probes: e.mesh.Probes, RetryRatio: budgetShare * s.Bounds.RetryBudgetRatio,
 		RetryBurst: budgetShare * s.Bounds.RetryBudgetExtra}, platform.Dialect{}, e.balancer, e.conns, e.reserver,
 		gateway.NewStats(p.metrics), telemetry.Part(p.log, "gateway"))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -75,9 +75,9 @@
 type Config struct {
 	Off    mechanism.Off // mechanisms that are switched off
 	Domain string        // failure domain of this entry
-	// Copy returns the state of the mirror, for the log records of requests. Default:
+	// MirrorState returns the state of the mirror, for the log records of requests. Default:
 	// unknown.
-	Copy func() Copy
+	MirrorState func() Copy
 
 	// Crashes records which requests crash targets. Default: a private table. Hasher
 	// computes the fingerprints of contents, Host names this entry in the table.
@@ -128,8 +128,8 @@
 }
 
 func (c Config) applyDefaults() Config {
-	if c.Copy == nil {
-		c.Copy = func() Copy { return Copy{} }
+	if c.MirrorState == nil {
+		c.MirrorState = func() Copy { return Copy{} }
 	}
 	if c.Crashes == nil {
 		c.Crashes = quarantine.NewTable()
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -153,7 +153,7 @@
 // distinguish updates that were lost (a current mirror beyond the target's last change),
 // updates that were late (an old mirror) and a request that was long in transit.
 func (x *exchange) logSending(c dispatch.Choice) {
-	listed := x.g.cfg.Copy()
+	listed := x.g.cfg.MirrorState()
 	f := logrus.Fields{"request": x.call.ID, "target": c.Instance.ID, "addr": c.Instance.Addr, "load": c.Load.Requests,
 		"unread": c.Load.PendingPrefill, "forecast_ms": c.Forecast.FirstEvent.Milliseconds(), "wait_ms": x.waited.Milliseconds(),
 		"send": x.sends + 1, "content": x.content.String(), "entry": c.EntryRevision, "copy": listed.Revision, "copy_age_ms": listed.Age.Milliseconds()}
