--- a/command/gateway.go
+++ b/command/gateway.go
@@ -111,9 +111,9 @@
 }
 
 // mirrorState returns a function that reports the state of this entry's mirror of the store.
-func mirrorState(t *mirror.Table) func() gateway.Copy {
-	return func() gateway.Copy {
-		return gateway.Copy{Revision: t.Revision(), Age: clock.Since(t.ConfirmedAt())}
+func mirrorState(t *mirror.Table) func() gateway.MirrorState {
+	return func() gateway.MirrorState {
+		return gateway.MirrorState{Revision: t.Revision(), Age: clock.Since(t.ConfirmedAt())}
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -65,8 +65,8 @@
 	Reserve(ctx context.Context, c dispatch.Choice, prompt int) dispatch.Reservation
 }
 
-// Copy describes the state of this entry's mirror of the store.
-type Copy struct {
+// MirrorState describes the state of this entry's mirror of the store.
+type MirrorState struct {
 	Revision int64         // the revision that it has reached
 	Age      time.Duration // since it was last confirmed to be current
 }
@@ -77,7 +77,7 @@
 	Domain string        // failure domain of this entry
 	// MirrorState returns the state of the mirror, for the log records of requests. Default:
 	// unknown.
-	MirrorState func() Copy
+	MirrorState func() MirrorState
 
 	// Crashes records which requests crash targets. Default: a private table. Hasher
 	// computes the fingerprints of contents, Host names this entry in the table.
@@ -129,7 +129,7 @@
 
 func (c Config) applyDefaults() Config {
 	if c.MirrorState == nil {
-		c.MirrorState = func() Copy { return Copy{} }
+		c.MirrorState = func() MirrorState { return MirrorState{} }
 	}
 	if c.Crashes == nil {
 		c.Crashes = quarantine.NewTable()
