--- a/gateway/announced.go
+++ b/gateway/announced.go
@@ -22,11 +22,11 @@
 
 // announcement returns when the version was announced, as far as this process knows.
 func (a *assignment) announcement() fleet.Announcement {
-	return fleet.Announcement{At: a.since, Estimated: a.guessed}
+	return fleet.Announcement{At: a.since, Estimated: a.estimated}
 }
 
-// Announced implements mesh.Listener. Guessed times are not sent: other entries may have
-// an observed time, and a guess that was sent would never be withdrawn.
+// Announced implements mesh.Listener. Estimated times are not sent: other entries may
+// have an observed time, and an estimate that was sent would never be withdrawn.
 func (c *Control) Announced(now time.Time) []peer.ObservedVersion {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -35,7 +35,7 @@
 	for _, newest := range c.assignments {
 		for a := newest; a != nil && a.explicit; a = a.previous {
 			v, age := fleet.VersionTarget{Model: a.model.Model, Version: a.version}, now.Sub(a.since)
-			if a.guessed || sent[v] || age >= 2*c.cfg.VersionTimeout {
+			if a.estimated || sent[v] || age >= 2*c.cfg.VersionTimeout {
 				continue
 			}
 			sent[v] = true
@@ -54,7 +54,7 @@
 		if !c.correctDate(target, reported) && !c.insertMissed(target, reported) {
 			continue
 		}
-		c.book.SetVersion(target, reported.At)
+		c.balancer.SetVersion(target, reported.At)
 		c.log.WithFields(logrus.Fields{"model": v.Model, "version": v.Version, "age_ms": v.AgeMs, "peer": from}).Info("Version was announced earlier than known.")
 	}
 }
@@ -77,7 +77,7 @@
 				continue
 			}
 			if old.Estimated || old.At.Sub(reported.At) >= minDateCorrection {
-				a.since, a.guessed, changed = reported.At, reported.Estimated, true
+				a.since, a.estimated, changed = reported.At, reported.Estimated, true
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 		if a.previous != nil && a.previous.explicit && a.previous.version == v.Version {
 			continue
 		}
-		a.previous = &assignment{model: newest.model, version: v.Version, since: reported.At, guessed: reported.Estimated, explicit: true, previous: a.previous}
+		a.previous = &assignment{model: newest.model, version: v.Version, since: reported.At, estimated: reported.Estimated, explicit: true, previous: a.previous}
 		missed = true
 	}
 	if missed {
--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -52,7 +52,7 @@
 }
 
 // relayPlain buffers a response until it is complete, then relays it. A response that
-// exceeds the buffer limit is relayed as it arrives.
+// reaches the buffer limit is relayed as it arrives.
 func (a *attempt) relayPlain(resp *targetconn.Response, watchdog *clock.Timer) result {
 	body, err := io.ReadAll(io.LimitReader(resp, a.x.g.cfg.MaxBufferedResponse))
 	if err == nil && int64(len(body)) == a.x.g.cfg.MaxBufferedResponse {
@@ -76,7 +76,7 @@
 	return result{sent: true, ran: true}
 }
 
-// relayLarge relays a response that exceeds the buffer limit. Once it has started, the
+// relayLarge relays a response that reached the buffer limit. Once it has started, the
 // request can no longer be retried.
 func (a *attempt) relayLarge(resp *targetconn.Response, head []byte) result {
 	copyHeader(a.x.w.Header(), resp.Header)
--- a/gateway/assign.go
+++ b/gateway/assign.go
@@ -15,14 +15,14 @@
 
 // assignment is the version that the engines of a service are to serve.
 type assignment struct {
-	model    *fleet.EngineModel
-	version  int
-	since    time.Time
-	order    []string // addresses of the engines in rollout order; empty if not known yet
-	explicit bool     // the operators announced the version
-	guessed  bool     // announced before this process started; since is the latest possible time
-	withheld bool     // its pieces cannot be read
-	previous *assignment
+	model      *fleet.EngineModel
+	version    int
+	since      time.Time // when the version was announced, or assigned if it was not
+	order      []string  // addresses of the engines in rollout order; empty if not known yet
+	explicit   bool      // the operators announced the version
+	estimated  bool      // announced before this process started; since is the latest possible time
+	unreadable bool      // its pieces cannot be read
+	previous   *assignment
 }
 
 // earlier returns the versions announced before this one that may not be served by all
@@ -31,7 +31,7 @@
 	var out []peer.AnnouncedVersion
 	for b := a.previous; b != nil && b.explicit && len(out) < maxEarlierVersions; b = b.previous {
 		if age := now.Sub(b.since); age < 2*timeout {
-			out = append(out, peer.AnnouncedVersion{Version: b.version, AgeMs: age.Milliseconds(), AgeEstimated: b.guessed})
+			out = append(out, peer.AnnouncedVersion{Version: b.version, AgeMs: age.Milliseconds(), AgeEstimated: b.estimated})
 		}
 	}
 	slices.Reverse(out)
@@ -65,7 +65,7 @@
 	if old := c.assignments[service]; old != nil && old.explicit && old.version >= version {
 		return
 	}
-	a := &assignment{model: m, version: version, since: since, explicit: true, guessed: !announced, previous: c.recent(service)}
+	a := &assignment{model: m, version: version, since: since, explicit: true, estimated: !announced, previous: c.recent(service)}
 	a.order = c.turnOrder(service, a)
 	c.setAssignment(service, a)
 }
@@ -134,17 +134,17 @@
 	c.changed = make(chan struct{})
 }
 
-// updateWithheld notifies the agents when pieces of a version become unreadable, and when
-// they become readable again.
-func (c *Control) updateWithheld() {
+// updateUnreadable notifies the agents when pieces of a version become unreadable, and
+// when they become readable again.
+func (c *Control) updateUnreadable() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for service, a := range c.assignments {
 		failing := c.relay.Failing(a.model.Model, a.version)
-		if failing == a.withheld {
+		if failing == a.unreadable {
 			continue
 		}
-		a.withheld = failing
+		a.unreadable = failing
 		c.log.WithFields(logrus.Fields{"service": service, "model": a.model.Model, "version": a.version,
 			"withheld": failing}).Info("Agents notified that readability of the version changed.")
 		close(c.changed)
@@ -161,8 +161,8 @@
 	if a == nil || a.explicit && len(a.order) == 0 {
 		return nil, c.changed
 	}
-	out := &peer.Assignment{Entry: c.addr, PiecesUnreadable: a.withheld, Model: a.model.Model, Version: a.version, Layers: a.model.Layers, Pieces: a.model.Chunks,
-		AgeMs: clock.Since(a.since).Milliseconds(), AgeEstimated: a.guessed, TimeoutMs: c.cfg.VersionTimeout.Milliseconds(), Turns: len(a.order)}
+	out := &peer.Assignment{Entry: c.addr, PiecesUnreadable: a.unreadable, Model: a.model.Model, Version: a.version, Layers: a.model.Layers, Pieces: a.model.Chunks,
+		AgeMs: clock.Since(a.since).Milliseconds(), AgeEstimated: a.estimated, TimeoutMs: c.cfg.VersionTimeout.Milliseconds(), Turns: len(a.order)}
 	out.Earlier = a.earlier(clock.Now(), c.cfg.VersionTimeout)
 	out.Turn = max(slices.Index(a.order, agent.EngineAddr), 0)
 	return out, c.changed
--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -19,8 +19,8 @@
 type fakeRelay struct{ fails int }
 
 func (*fakeRelay) Prefetch(context.Context, string, int, int) {}
-func (*fakeRelay) Hold(string, int) bool                  { return true }
-func (r *fakeRelay) Failing(_ string, version int) bool   { return version == r.fails }
+func (*fakeRelay) Hold(string, int) bool                      { return true }
+func (r *fakeRelay) Failing(_ string, version int) bool       { return version == r.fails }
 
 var (
 	assignModel = &fleet.EngineModel{Model: "m", Layers: 16, Chunks: 4}
@@ -69,11 +69,11 @@
 		engine := *assignModel
 		engine.Slots, engine.StepsPerPass, engine.PrefillRate = 8, 1, 1000
 		services := map[string]*fleet.Service{"svc": {Name: "svc", Engine: &engine}}
-		c.book = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
-		c.book.Apply(c.list, services)
+		c.balancer = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
+		c.balancer.Apply(c.list, services)
 		announcedAt := time.Now()
 		time.Sleep(4600 * time.Millisecond)
-		c.book.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, time.Now())
+		c.balancer.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, time.Now())
 		c.assignVersion("svc", assignModel, 2, time.Now(), true)
 		_, changed := c.Assignment(assignAgent)
 		for _, late := range []time.Duration{0, 20 * time.Millisecond} { // the later report changes nothing
@@ -93,17 +93,17 @@
 
 // canPick reports whether a request would be sent to an engine that holds version 1.
 func (c *Control) canPick(services map[string]*fleet.Service) bool {
-	c.book.Apply(c.list, services)
-	_, verdict := c.book.Pick(time.Now(), "svc", dispatch.Demand{}, nil)
+	c.balancer.Apply(c.list, services)
+	_, verdict := c.balancer.Pick(time.Now(), "svc", dispatch.Demand{}, nil)
 	return verdict != dispatch.NoTarget
 }
 
 // An entry that started after a version was announced assumes that its timeout has
 // expired, until another entry reports an observed time.
-func TestGuessedAgeIsCorrectedByPeers(t *testing.T) {
+func TestEstimatedAgeIsCorrectedByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControl(&fakeRelay{})
-		c.book = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
+		c.balancer = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 		c.assignVersion("svc", assignModel, 2, time.Now().Add(-8*time.Second), false)
 		assert.Equal(t, len(c.Announced(time.Now())), 0, "a guessed time must not be sent")
 		c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.ObservedVersion{{Model: "m", Version: 2, AgeMs: 1500}}})
@@ -125,21 +125,21 @@
 
 // Agents are notified when an entry fails to read a version, and when it can read it
 // again.
-func TestAgentsAreNotifiedOfAWithheldVersion(t *testing.T) {
+func TestAgentsAreNotifiedOfAnUnreadableVersion(t *testing.T) {
 	relay := &fakeRelay{}
 	c := newTestControl(relay)
 	c.assignVersion("svc", assignModel, 2, time.Now(), true)
 	for _, fails := range []int{2, 0} {
 		_, changed := c.Assignment(assignAgent)
 		relay.fails = fails
-		c.updateWithheld()
+		c.updateUnreadable()
 		<-changed
 		got, _ := c.Assignment(assignAgent)
 		assert.Equal(t, got.PiecesUnreadable, fails == 2)
 		assert.Equal(t, got.Entry, "entry-1")
 	}
 	_, changed := c.Assignment(assignAgent)
-	c.updateWithheld()
+	c.updateUnreadable()
 	select {
 	case <-changed:
 		t.Fatal("agents were notified although nothing changed")
@@ -148,9 +148,9 @@
 }
 
 // An entry that starts during a rollout in turns reads the version before the list of
-// engines. It must not assign the version until the engines are known: an agent that is
-// told that it is the only one changes at once, so that a single restart of an entry would
-// make all engines change together.
+// engines. It must not assign the version until the engines are known: an agent whose
+// engine is the only one in the order loads the version at once, so that a single restart
+// of an entry would make all engines load it together.
 func TestStartingEntryKeepsTheRolloutOrder(t *testing.T) {
 	c := newTestControl(&fakeRelay{})
 	list := c.list
@@ -187,22 +187,22 @@
 
 // Guards against a version that is overwritten in the store, by one announced a second
 // later, before an entry reads it. The timeout of the older version expires first. The
-// entry learns of it from other entries; without that it sent requests to engines of the
-// version before until the newer one's timeout expired.
+// entry must take it over from the reports of other entries. Otherwise it sends requests to
+// engines with a version before both until the newer one's timeout expires.
 func TestOverwrittenVersionKeepsItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControl(&fakeRelay{})
 		engine := *assignModel
 		engine.Slots, engine.StepsPerPass, engine.PrefillRate = 8, 1, 1000
 		services := map[string]*fleet.Service{"svc": {Name: "svc", Engine: &engine}}
-		c.book = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
-		c.book.Apply(c.list, services)
+		c.balancer = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
+		c.balancer.Apply(c.list, services)
 		c.setAssignment("svc", &assignment{model: assignModel, version: 1, since: time.Now()})
 		second := time.Now()
 		time.Sleep(time.Second)
 		third := time.Now()
 		time.Sleep(4 * time.Second)
-		c.book.SetVersion(fleet.VersionTarget{Model: "m", Version: 3}, time.Now())
+		c.balancer.SetVersion(fleet.VersionTarget{Model: "m", Version: 3}, time.Now())
 		c.assignVersion("svc", assignModel, 3, time.Now(), true)
 		_, changed := c.Assignment(assignAgent)
 		report := func() {
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -15,14 +15,14 @@
 
 // attempt is one send of a request to a target.
 type attempt struct {
-	x           *exchange
-	choice      dispatch.Choice
-	ctx         context.Context
-	cancel      context.CancelCauseFunc
-	sentAt      time.Time
-	unread      int // prompt tokens that the target has not processed yet
-	events      int
-	lastEventAt time.Time // when the last event arrived
+	x              *exchange
+	choice         dispatch.Choice
+	ctx            context.Context
+	cancel         context.CancelCauseFunc
+	sentAt         time.Time
+	pendingPrefill int // prompt tokens that the target has not processed yet
+	events         int
+	lastEventAt    time.Time // when the last event arrived
 	// expiry cancels the request if it has not started when the target's version expires;
 	// nil if it may start at any time.
 	expiry *clock.Timer
@@ -90,11 +90,12 @@
 
 // checkLate decides about a request whose first event is late. A target that still sends
 // events of other streams is loaded, and sending the request elsewhere would only add
-// load; a target that sends nothing is abandoned. It runs on the timer's goroutine.
+// load, so it gets more time, up to firstEventLimit. A target that sends nothing is
+// abandoned. checkLate runs on the timer's goroutine.
 func (a *attempt) checkLate(watchdog *clock.Timer) {
 	x := a.x
 	now := clock.Now()
-	if now.Sub(a.sentAt) < a.firstEventLimit() && !x.g.book.Silent(now, a.choice.Target) {
+	if now.Sub(a.sentAt) < a.firstEventLimit() && !x.g.balancer.Silent(now, a.choice.Target) {
 		watchdog.Reset(lateRecheckInterval)
 		return
 	}
@@ -147,9 +148,9 @@
 	return max(a.choice.Forecast.FirstEvent, a.x.route.Objective) + a.x.g.cfg.FirstEventTimeout
 }
 
-// finish records in the book how the attempt ended.
+// finish reports to the balancer how the attempt ended.
 func (a *attempt) finish(res result) {
-	r := dispatch.Result{PendingPrefill: a.unread, Latency: clock.Since(a.sentAt)}
+	r := dispatch.Result{PendingPrefill: a.pendingPrefill, Latency: clock.Since(a.sentAt)}
 	switch res.reason {
 	case ReasonNone, ReasonTimeout, ReasonCallerGone, ReasonVersionOver:
 	case ReasonTargetRefused:
@@ -166,5 +167,5 @@
 	}
 	r.Silent = res.silent
 	r.ConnectionLost = res.reason == ReasonConnLost || res.reason == ReasonBrokenStream
-	a.x.g.book.Finish(clock.Now(), a.choice.Target, r)
+	a.x.g.balancer.Finish(clock.Now(), a.choice.Target, r)
 }
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -40,27 +40,27 @@
 
 // Relay fetches weights for the agents.
 type Relay interface {
-	// Prefetch prefetches the pieces of a new version.
+	// Prefetch reads the pieces of a new version before agents request them.
 	Prefetch(ctx context.Context, model string, version, pieces int)
 	// Hold makes a version that is not new available; its pieces are read when agents
-	// request them. It reports whether the version was not held before.
+	// request them. It reports whether the version is newer than those held already.
 	Hold(model string, version int) bool
-	// Failing reports whether reading pieces of a version has failed recently.
+	// Failing reports whether the latest prefetch of a piece of a version failed.
 	Failing(model string, version int) bool
 }
 
 // Control maintains an entry's view of the fleet. Its goroutine follows the mirror of the
-// store and applies changes to the gateway and its book.
+// store and applies changes to the gateway and its balancer.
 type Control struct {
-	cfg     ControlConfig
-	addr    string // of this entry, sent to peers
-	gateway *Gateway
-	book    *dispatch.Balancer
-	decoder Decoder
-	table   *mirror.Table
-	outage  func() (down bool, ended time.Time)
-	relay   Relay
-	log     logrus.FieldLogger
+	cfg      ControlConfig
+	addr     string // of this entry, sent to peers
+	gateway  *Gateway
+	balancer *dispatch.Balancer
+	decoder  Decoder
+	table    *mirror.Table
+	outage   func() (down bool, ended time.Time)
+	relay    Relay
+	log      logrus.FieldLogger
 
 	evacuated []string // failure domains, sorted
 	// unknownEvacuations counts evacuations of failure domains that are not configured.
@@ -72,11 +72,11 @@
 	roster            Roster
 	decoded           map[string]decodedInstance
 	configRev         int64
-	// copyRevision is the revision of the mirror. It may exceed the revision of the items
+	// mirrorRevision is the revision of the mirror. It may exceed the revision of the items
 	// by changes that arrived just after they were read.
-	copyRevision int64
-	versionRev   map[string]int64 // by key
-	list         []*fleet.Instance
+	mirrorRevision int64
+	versionRev     map[string]int64 // by key
+	list           []*fleet.Instance
 
 	mu          sync.Mutex
 	assignments map[string]*assignment // by service
@@ -92,17 +92,17 @@
 
 // ControlOptions are the dependencies of a Control.
 type ControlOptions struct {
-	Config  ControlConfig
-	Addr    string
-	Gateway *Gateway
-	Balancer    *dispatch.Balancer
-	Decoder Decoder
-	Table   *mirror.Table
-	Outage  func() (down bool, ended time.Time)
-	Roster  Roster
-	Relay   Relay
-	Log     logrus.FieldLogger
-	Metrics metrics.Registry // optional
+	Config   ControlConfig
+	Addr     string
+	Gateway  *Gateway
+	Balancer *dispatch.Balancer
+	Decoder  Decoder
+	Table    *mirror.Table
+	Outage   func() (down bool, ended time.Time)
+	Roster   Roster
+	Relay    Relay
+	Log      logrus.FieldLogger
+	Metrics  metrics.Registry // optional
 }
 
 // NewControl returns a Control that is not running.
@@ -112,7 +112,7 @@
 		o.Metrics = metrics.NewRegistry()
 	}
 	return &Control{cfg: o.Config, unknownEvacuations: metrics.NewRegisteredGauge("control.unknown_evacuations", o.Metrics), foreign: metrics.NewRegisteredGauge("control.foreign_entries", o.Metrics), endedWithRequests: metrics.NewRegisteredCounter("control.targets_ended_at_work", o.Metrics),
-		addr: o.Addr, gateway: o.Gateway, book: o.Balancer, decoder: o.Decoder, table: o.Table,
+		addr: o.Addr, gateway: o.Gateway, balancer: o.Balancer, decoder: o.Decoder, table: o.Table,
 		outage: o.Outage, relay: o.Relay, log: o.Log, roster: o.Roster,
 		decoded: map[string]decodedInstance{}, versionRev: map[string]int64{}, assignments: map[string]*assignment{},
 		holders: map[string]holder{},
@@ -125,7 +125,7 @@
 	defer ticker.Stop()
 	for {
 		items, changed := c.table.Items()
-		c.copyRevision = c.table.Revision()
+		c.mirrorRevision = c.table.Revision()
 		c.applyOperator(ctx, items)
 		c.applyInstances(items)
 		c.updateOrders()
@@ -136,7 +136,7 @@
 			case <-changed:
 				break wait
 			case <-ticker.C:
-				c.updateWithheld()
+				c.updateUnreadable()
 				if c.roster.Pending() {
 					break wait
 				}
@@ -174,7 +174,7 @@
 	if c.gateway.SetConfig(cfg) {
 		c.log.WithFields(logrus.Fields{"config": cfg.Version, "revision": i.Revision}).Info("Configuration applied.")
 	}
-	c.book.Apply(c.list, cfg.Services)
+	c.balancer.Apply(c.list, cfg.Services)
 }
 
 // applyVersion applies the version that the operators announced for a model. A version
@@ -200,7 +200,7 @@
 	c.versionRev[i.Key] = i.Revision
 	c.log.WithFields(logrus.Fields{"model": v.Model, "version": v.Version, "revision": i.Revision,
 		"age_ms": now.Sub(announcement.At).Milliseconds(), "guessed": announcement.Estimated}).Info("Version announced.")
-	c.book.SetVersion(v, announcement.At)
+	c.balancer.SetVersion(v, announcement.At)
 	c.notifyRelay(ctx, v, announced)
 	for name, s := range cfg.Services {
 		if s.Engine != nil && s.Engine.Model == v.Model {
@@ -247,9 +247,9 @@
 	down, ended := c.outage()
 	c.list = c.roster.Update(clock.Now(), list, down, ended)
 	if cfg := c.gateway.Config(); cfg != nil {
-		c.book.Apply(c.list, cfg.Services)
+		c.balancer.Apply(c.list, cfg.Services)
 	}
-	c.book.UpdateNotices(clock.Now())
+	c.balancer.UpdateNotices(clock.Now())
 }
 
 // serves reports whether a target belongs to a configured service. A target of another
@@ -272,7 +272,7 @@
 	}
 	inst.ColdUntil = clock.Now().Add(inst.ColdFor)
 	c.log.WithFields(logrus.Fields{"target": inst.ID, "service": inst.Service, "addr": inst.Addr, "draining": inst.Draining,
-		"models": inst.Models, "revision": i.Revision, "beat": inst.HeartbeatSeq, "born": inst.StartMs, "copy": c.copyRevision}).Info("Target listed.")
+		"models": inst.Models, "revision": i.Revision, "beat": inst.HeartbeatSeq, "born": inst.StartMs, "copy": c.mirrorRevision}).Info("Target listed.")
 	return decodedInstance{i.Revision, inst}
 }
 
@@ -281,12 +281,12 @@
 		if _, ok := next[key]; ok || d.instance == nil {
 			continue
 		}
-		lost := c.book.ConnectionsLost(d.instance.ID)
-		leaving := d.instance.Draining || c.book.ReportOf(d.instance.ID).Leaving
+		lost := c.balancer.ConnectionsLost(d.instance.ID)
+		leaving := d.instance.Draining || c.balancer.ReportOf(d.instance.ID).Leaving
 		if lost > 0 && !leaving {
 			c.endedWithRequests.Inc(1)
 		}
 		c.log.WithFields(logrus.Fields{"target": d.instance.ID, "service": d.instance.Service, "lost": lost,
-			"draining": d.instance.Draining, "leaving": leaving, "copy": c.copyRevision}).Info("Target no longer listed.")
+			"draining": d.instance.Draining, "leaving": leaving, "copy": c.mirrorRevision}).Info("Target no longer listed.")
 	}
 }
--- a/gateway/endings.go
+++ b/gateway/endings.go
@@ -20,16 +20,16 @@
 	// ended.
 	dialCheckTimeout = 100 * time.Millisecond
 	// crashReportWait is how long a request whose target has just ended waits before it is
-	// sent to another target, so that crashes that other entries observed at the same
-	// moment arrive first. It is three times the longest one-way delay between two
+	// sent to another target, so that reports of crashes that other entries observed at
+	// the same moment arrive first. It is three times the longest one-way delay between two
 	// entries.
 	crashReportWait = 20 * time.Millisecond
-	// suspectRetention is how long contents that lost their connections to a target are
-	// remembered. A target that restarts does so within seconds, and its next incarnation
-	// shows that it had ended.
+	// suspectRetention is how long a suspect is kept after the last broken connection. A
+	// target that restarts does so within seconds, and its next incarnation shows that
+	// the previous one has ended.
 	suspectRetention = 30 * time.Second
-	// maxCrashesPerSuspect bounds the contents remembered for each target; the newest are
-	// kept. A target serves more than one at a time.
+	// maxCrashesPerSuspect bounds the unreported crashes of each suspect; the newest are
+	// kept. There may be several, since a target serves requests concurrently.
 	maxCrashesPerSuspect = 64
 )
 
@@ -65,9 +65,9 @@
 	return &crashDetector{table: table, host: host, log: log, suspects: map[quarantine.Incarnation]*crashSuspect{}}
 }
 
-// connectionLost records that the connection to a target broke for a content that was sent
-// at sent. It waits for the check of the target and reports whether the target is known to
-// have ended.
+// connectionLost records that the connection to a target broke during a request with the
+// content, sent at sent. It waits for the check of the target and reports whether the
+// target is known to have ended.
 func (e *crashDetector) connectionLost(ctx context.Context, t fleet.Instance, content quarantine.Fingerprint, sent, now time.Time) bool {
 	x, counts := e.recordLoss(t, content, sent, now)
 	if !counts {
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -22,7 +22,7 @@
 		return
 	}
 	c.evacuated = evacuated
-	unknown := c.book.SetEvacuated(evacuated)
+	unknown := c.balancer.SetEvacuated(evacuated)
 	c.unknownEvacuations.Update(int64(unknown))
-	c.log.WithFields(logrus.Fields{"domains": evacuated, "unknown": unknown, "copy": c.copyRevision}).Info("Evacuated failure domains changed.")
+	c.log.WithFields(logrus.Fields{"domains": evacuated, "unknown": unknown, "copy": c.mirrorRevision}).Info("Evacuated failure domains changed.")
 }
--- a/gateway/evacuation_test.go
+++ b/gateway/evacuation_test.go
@@ -27,17 +27,17 @@
 // is counted and has no other effect.
 func TestEvacuationsFollowTheMirror(t *testing.T) {
 	log, lines := test.NewNullLogger()
-	book := dispatch.NewBalancer(dispatch.Config{Regions: map[string]string{"a": "north", "b": "south"}}, rand.New(rand.NewPCG(1, 2)))
-	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), log)
-	c := NewControl(ControlOptions{Gateway: g, Balancer: book, Decoder: evacuationDecoder{}, Log: log})
-	book.Apply([]*fleet.Instance{{ID: "i-a", Service: "s", Domain: "a", Slots: 1}, {ID: "i-b", Service: "s", Domain: "b", Slots: 1}},
+	balancer := dispatch.NewBalancer(dispatch.Config{Regions: map[string]string{"a": "north", "b": "south"}}, rand.New(rand.NewPCG(1, 2)))
+	g := New(Config{}, testDialect{}, balancer, targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), log)
+	c := NewControl(ControlOptions{Gateway: g, Balancer: balancer, Decoder: evacuationDecoder{}, Log: log})
+	balancer.Apply([]*fleet.Instance{{ID: "i-a", Service: "s", Domain: "a", Slots: 1}, {ID: "i-b", Service: "s", Domain: "b", Slots: 1}},
 		map[string]*fleet.Service{"s": {Name: "s"}})
 	reached := func(homes ...string) string {
-		choice, verdict := book.Pick(time.Now(), "s", dispatch.Demand{HomeRegions: residency.HomeRegions{Route: homes}}, nil)
+		choice, verdict := balancer.Pick(time.Now(), "s", dispatch.Demand{HomeRegions: residency.HomeRegions{Route: homes}}, nil)
 		if verdict != dispatch.Chosen {
 			return verdict.String()
 		}
-		book.Cancel(choice.Target, dispatch.Demand{})
+		balancer.Cancel(choice.Target, dispatch.Demand{})
 		return choice.Instance.Domain
 	}
 	apply := func(keys ...string) {
--- a/gateway/expiry_test.go
+++ b/gateway/expiry_test.go
@@ -25,7 +25,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	const timeout = time.Hour
-	book := dispatch.NewBalancer(dispatch.Config{VersionTimeout: timeout, VersionMargin: time.Nanosecond}, rand.New(rand.NewPCG(1, 2)))
+	balancer := dispatch.NewBalancer(dispatch.Config{VersionTimeout: timeout, VersionMargin: time.Nanosecond}, rand.New(rand.NewPCG(1, 2)))
 	model := &fleet.EngineModel{Model: "m", Slots: 16, Step: time.Millisecond, PrefillRate: 1e6, StepsPerPass: 1, MeanPrompt: 100, MeanAnswer: 20, Layers: 1}
 	var list []*fleet.Instance
 	for i, x := range engines {
@@ -34,10 +34,10 @@
 	}
 	cfg := fleet.NewConfig(1, routes(), []*fleet.Service{{Name: "s", Engine: model}}, map[string]*fleet.Team{"secret": {Name: "blue"}},
 		fleet.Limits{BodyBytes: 1 << 10})
-	book.Apply(list, cfg.Services)
-	book.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, time.Now().Add(left-timeout))
+	balancer.Apply(list, cfg.Services)
+	balancer.SetVersion(fleet.VersionTarget{Model: "m", Version: 2}, time.Now().Add(left-timeout))
 	// All other timeouts are too long to end an attempt.
-	g := New(Config{Domain: "0", RetryRatio: 1, RetryBurst: 100, FirstEventTimeout: time.Hour, CancelLead: time.Nanosecond}, testDialect{}, book,
+	g := New(Config{Domain: "0", RetryRatio: 1, RetryBurst: 100, FirstEventTimeout: time.Hour, CancelLead: time.Nanosecond}, testDialect{}, balancer,
 		targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), log)
 	g.SetConfig(cfg)
 	f := &testGateway{t: t, gateway: g, server: httptest.NewServer(g)}
--- a/gateway/foreign_test.go
+++ b/gateway/foreign_test.go
@@ -18,8 +18,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// textDecoder decodes entries of the form "SERVICE ADDR"; other values are not entries of
-// a target.
+// textDecoder decodes items of the form "SERVICE ADDR"; other values do not describe a
+// target.
 type textDecoder struct{ Decoder }
 
 func (textDecoder) IsInstance(mirror.Item) bool { return true }
@@ -32,17 +32,17 @@
 	return inst, nil
 }
 
-// Entries that describe no target do not affect others, whoever writes them and however
+// Items that describe no target do not affect others, whoever writes them and however
 // often.
-func TestForeignEntriesDoNotAffectOthers(t *testing.T) {
+func TestInvalidItemsDoNotAffectOthers(t *testing.T) {
 	log, lines := test.NewNullLogger()
 	log.SetLevel(logrus.InfoLevel)
 	discard := logrus.New()
 	discard.SetOutput(io.Discard)
-	book := dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
-	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), discard)
+	balancer := dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
+	g := New(Config{}, testDialect{}, balancer, targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), discard)
 	g.SetConfig(fleet.NewConfig(1, routes(), []*fleet.Service{{Name: "s"}}, nil, fleet.Limits{}))
-	c := NewControl(ControlOptions{Gateway: g, Balancer: book, Decoder: textDecoder{}, Log: log,
+	c := NewControl(ControlOptions{Gateway: g, Balancer: balancer, Decoder: textDecoder{}, Log: log,
 		Outage: func() (bool, time.Time) { return false, time.Time{} }, Roster: Roster{Hold: -1}})
 	usable := func(items ...mirror.Item) (ids []string) {
 		c.applyInstances(items)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -154,7 +154,7 @@
 type Gateway struct {
 	cfg      Config
 	dialect  Dialect
-	book     *dispatch.Balancer
+	balancer *dispatch.Balancer
 	pool     *targetconn.Pool
 	reserver Reserver
 	stats    *Stats
@@ -164,7 +164,7 @@
 	draining atomic.Bool
 	inflight atomic.Int64
 
-	returns       *dispatch.RetryDetector
+	retryDetector *dispatch.RetryDetector
 	crashDetector *crashDetector
 
 	mu      sync.Mutex
@@ -173,10 +173,10 @@
 }
 
 // New returns a gateway that refuses all requests until it has a configuration.
-func New(cfg Config, d Dialect, book *dispatch.Balancer, pool *targetconn.Pool, reserver Reserver, stats *Stats, log logrus.FieldLogger) *Gateway {
+func New(cfg Config, d Dialect, balancer *dispatch.Balancer, pool *targetconn.Pool, reserver Reserver, stats *Stats, log logrus.FieldLogger) *Gateway {
 	cfg = cfg.applyDefaults()
-	return &Gateway{cfg: cfg, dialect: d, book: book, pool: pool, reserver: reserver, stats: stats, log: log,
-		returns: dispatch.NewRetryDetector(cfg.RetryAfter, cfg.RetrySpread), crashDetector: newCrashDetector(cfg.Crashes, cfg.Host, log), budgets: map[string]*routing.Budget{}, entries: 1}
+	return &Gateway{cfg: cfg, dialect: d, balancer: balancer, pool: pool, reserver: reserver, stats: stats, log: log,
+		retryDetector: dispatch.NewRetryDetector(cfg.RetryAfter, cfg.RetrySpread), crashDetector: newCrashDetector(cfg.Crashes, cfg.Host, log), budgets: map[string]*routing.Budget{}, entries: 1}
 }
 
 // SetConfig applies a configuration and reports whether it did. Versions that are not
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -155,7 +155,7 @@
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	book := dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
+	balancer := dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
 	var list []*fleet.Instance
 	for i, x := range targets {
 		// Targets after the first are in other failure domains, which makes them slightly
@@ -165,8 +165,8 @@
 	services := []*fleet.Service{{Name: "s"}}
 	teams := map[string]*fleet.Team{"secret": {Name: "blue"}}
 	cfg := fleet.NewConfig(1, routes(), services, teams, fleet.Limits{BodyBytes: 1 << 10})
-	book.Apply(list, cfg.Services)
-	g := New(Config{Domain: "0", RetryRatio: 1, RetryBurst: 100}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}),
+	balancer.Apply(list, cfg.Services)
+	g := New(Config{Domain: "0", RetryRatio: 1, RetryBurst: 100}, testDialect{}, balancer, targetconn.NewPool(targetconn.Config{}),
 		grantAll{}, NewStats(metrics.NewRegistry()), log)
 	g.SetConfig(cfg)
 	f := &testGateway{t: t, gateway: g, server: httptest.NewServer(g)}
@@ -445,8 +445,8 @@
 	assert.Equal(t, n, 8)
 }
 
-// A request that may wait longer than others wins the places that these give up, so all
-// wait by the tightest objective.
+// A request that may wait longer than others wins the places that these give up, so the
+// wait of all requests is derived from the tightest objective.
 func TestMaxWaitFollowsTheTightestObjective(t *testing.T) {
 	g := &Gateway{cfg: Config{}.applyDefaults()}
 	x := &exchange{g: g, route: &fleet.Route{Objective: 1500 * time.Millisecond}, tightest: 250 * time.Millisecond, start: time.Now(),
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -16,7 +16,7 @@
 	if s.Unreadable() {
 		g.stats.unreadableNotices.Inc(1)
 	}
-	changed := g.book.RecordStatement(clock.Now(), t, s, a.sentAt)
+	changed := g.balancer.RecordStatement(clock.Now(), t, s, a.sentAt)
 	f := logrus.Fields{"target": t.ID, "request": a.x.call.ID}
 	if changed.Unreadable {
 		g.log.WithFields(f).Warn("Notice of the target is not readable.")
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// withLimit adds a limit of 1 request a second to all responses of a target.
+// withLimit adds a limit of 1 request per second to all responses of a target.
 func withLimit(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Limit", "1")
@@ -18,7 +18,7 @@
 	}
 }
 
-// withLeaving adds to all responses of a target that it leaves.
+// withLeaving adds the announcement that the target is leaving to all of its responses.
 func withLeaving(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Leaving", "1")
@@ -41,7 +41,7 @@
 	} {
 		f := newTestGateway(t, newTarget(t, withLimit(c.h)))
 		f.call(http.MethodPost, c.path, "")
-		assert.Equal(t, f.gateway.book.ReportOf("i-0").Limit.PerS, c.want, name)
+		assert.Equal(t, f.gateway.balancer.ReportOf("i-0").Limit.PerS, c.want, name)
 	}
 }
 
@@ -71,7 +71,7 @@
 }
 
 // Guards against relying on the list alone: a target that had announced in a response that
-// it leaves got requests as before, because the list still showed it as ready.
+// it was leaving got requests as before, because the list still showed it as ready.
 func TestLeavingTargetGetsNoMoreRequests(t *testing.T) {
 	for path, h := range map[string]http.HandlerFunc{"/unsafe/x": okHandler, "/stream/x": streamHandler(3, 3), "/safe/x": failHandler} {
 		x, stays := newTarget(t, withLeaving(h)), newTarget(t, h)
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -28,8 +28,8 @@
 	shareSilence := !c.cfg.Off.Has(mechanism.SharedSilence)
 	for _, t := range l.Targets {
 		loads[t.Instance] = dispatch.Load{Requests: t.Requests, PendingPrefill: t.PendingPrefill}
-		c.book.SetResponsive(from, t.Instance, t.Responsive && shareSilence)
-		if shareSilence && t.Silent && c.book.Suspect(clock.Now(), t.Instance) {
+		c.balancer.SetResponsive(from, t.Instance, t.Responsive && shareSilence)
+		if shareSilence && t.Silent && c.balancer.Suspect(clock.Now(), t.Instance) {
 			c.log.WithFields(logrus.Fields{"target": t.Instance, "peer": from}).Info("Another entry reports that the target is silent.")
 		}
 	}
@@ -37,9 +37,9 @@
 		return
 	}
 	if l.Full {
-		c.book.SetLoads(from, loads)
+		c.balancer.SetLoads(from, loads)
 	} else {
-		c.book.UpdateLoads(from, loads)
+		c.balancer.UpdateLoads(from, loads)
 	}
 }
 
@@ -50,7 +50,7 @@
 		if !ok {
 			continue
 		}
-		if c.book.MergeReport(clock.Now(), decoded) != (notice.Change{}) {
+		if c.balancer.MergeReport(clock.Now(), decoded) != (notice.Change{}) {
 			c.log.WithFields(logrus.Fields{"target": n.Instance, "peer": from, "limited": n.LimitDeclared, "limit": n.PerS, "leaving": n.Leaving}).Info("Notice of the target received from another entry.")
 		}
 	}
@@ -59,7 +59,7 @@
 // Notices implements mesh.Listener.
 func (c *Control) Notices() []peer.TargetNotice {
 	var out []peer.TargetNotice
-	for _, received := range c.book.Reports() {
+	for _, received := range c.balancer.Reports() {
 		out = append(out, peer.EncodeNotice(received))
 	}
 	slices.SortFunc(out, func(a, b peer.TargetNotice) int { return cmp.Compare(a.Instance, b.Instance) })
@@ -67,19 +67,19 @@
 }
 
 // EntryLost implements mesh.Listener.
-func (c *Control) EntryLost(addr string) { c.book.SetLoads(addr, nil) }
+func (c *Control) EntryLost(addr string) { c.balancer.SetLoads(addr, nil) }
 
 // EngineState implements mesh.Listener.
 func (c *Control) EngineState(agent peer.Presence, s *peer.EngineState) {
 	if s == nil {
 		c.log.WithField("addr", agent.EngineAddr).Info("Agent no longer reachable.")
-		c.book.DeleteState(agent.EngineAddr)
+		c.balancer.DeleteState(agent.EngineAddr)
 		c.setHolder(agent, peer.EngineState{})
 		return
 	}
 	c.setHolder(agent, *s)
 	c.log.WithFields(logrus.Fields{"addr": s.Addr, "model": s.Model, "version": s.Version, "loading": s.Loading}).Info("Engine state received.")
-	c.book.SetState(s.Addr, dispatch.EngineState{Version: s.Version, Loading: s.Loading, StartMs: s.StartMs})
+	c.balancer.SetState(s.Addr, dispatch.EngineState{Version: s.Version, Loading: s.Loading, StartMs: s.StartMs})
 }
 
 // setHolder records which version an agent's engine holds.
@@ -109,12 +109,12 @@
 // OwnLoads returns the load that this entry has in flight at each target, for the other
 // entries.
 func (c *Control) OwnLoads() []peer.TargetLoad {
-	own := c.book.OwnLoads()
-	silent, heard := c.book.SilentTargets(clock.Now()), c.book.ResponsiveTargets(clock.Now())
+	own := c.balancer.OwnLoads()
+	silent, responsive := c.balancer.SilentTargets(clock.Now()), c.balancer.ResponsiveTargets(clock.Now())
 	out := make([]peer.TargetLoad, 0, len(own)+len(silent))
 	for id, l := range own {
 		_, isSilent := slices.BinarySearch(silent, id)
-		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, PendingPrefill: l.PendingPrefill, Silent: isSilent, Responsive: heard[id]})
+		out = append(out, peer.TargetLoad{Instance: id, Requests: l.Requests, PendingPrefill: l.PendingPrefill, Silent: isSilent, Responsive: responsive[id]})
 	}
 	for _, id := range silent {
 		if _, listed := own[id]; !listed {
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -16,14 +16,14 @@
 	start := clock.Now()
 	defer func() { x.waited += clock.Since(start) }()
 	if x.sends == 0 {
-		x.tightest = x.g.book.RecordArrival(start, x.service, d)
+		x.tightest = x.g.balancer.RecordArrival(start, x.service, d)
 	}
 	maxWait := x.maxWait()
 	until := start.Add(maxWait)
 	timer := clock.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
-		changed := x.g.book.Changed()
+		changed := x.g.balancer.Changed()
 		choice, verdict := x.pick(ctx, d, until)
 		switch {
 		case verdict == dispatch.Chosen:
@@ -54,15 +54,15 @@
 	return clock.NewTimer(max(clock.Until(c.FreeAt), 0)).C
 }
 
-// maxHeldTargets bounds how many targets that are found to accept no request for some time
-// are skipped when the request may not wait.
-const maxHeldTargets = 4
+// maxDeferredTargets bounds how many targets whose reservation is deferred are skipped when
+// the request may not wait.
+const maxDeferredTargets = 4
 
-// pick chooses a target whose home entry grants a place. Targets that are found to accept
-// no request for some time are skipped.
+// pick chooses a target whose home entry grants a place. Targets whose reservation is
+// deferred, since they accept no request for now, are skipped.
 func (x *exchange) pick(ctx context.Context, d dispatch.Demand, until time.Time) (dispatch.Choice, dispatch.Verdict) {
-	for held := 0; ; held++ {
-		choice, verdict := x.g.book.Pick(clock.Now(), x.service, d, x.avoid)
+	for deferred := 0; ; deferred++ {
+		choice, verdict := x.g.balancer.Pick(clock.Now(), x.service, d, x.avoid)
 		if verdict != dispatch.Chosen {
 			return choice, verdict
 		}
@@ -70,9 +70,9 @@
 		if reservation == dispatch.ReservationGranted {
 			return choice, dispatch.Chosen
 		}
-		x.g.book.Cancel(choice.Target, d)
+		x.g.balancer.Cancel(choice.Target, d)
 		x.denied++
-		retry := reservation == dispatch.ReservationDeferred && (held < maxHeldTargets || clock.Now().Before(until))
+		retry := reservation == dispatch.ReservationDeferred && (deferred < maxDeferredTargets || clock.Now().Before(until))
 		if !retry || ctx.Err() != nil {
 			return choice, dispatch.Saturated
 		}
@@ -84,11 +84,11 @@
 	x.logUnplaced(v, c, d)
 	switch v {
 	case dispatch.Saturated:
-		x.g.book.RecordRefusal(clock.Now(), x.service, d)
+		x.g.balancer.RecordRefusal(clock.Now(), x.service, d)
 		return ReasonSaturated
 	case dispatch.Paced:
 		x.nextFreeAt = c.FreeAt
-		x.g.book.RecordRefusal(clock.Now(), x.service, d)
+		x.g.balancer.RecordRefusal(clock.Now(), x.service, d)
 		return ReasonPaced
 	}
 	return ReasonNoTarget
@@ -101,7 +101,7 @@
 	switch {
 	case x.started:
 		d.Standing = dispatch.Resumed
-	case x.returning && !x.g.cfg.Off.Has(mechanism.OverdueLast):
+	case x.isRetry && !x.g.cfg.Off.Has(mechanism.OverdueLast):
 		d.Standing = dispatch.Overdue
 	}
 	return d
@@ -135,7 +135,7 @@
 	if x.sends > 0 {
 		return min(x.g.cfg.RetryMaxWait, clock.Until(x.deadline))
 	}
-	if x.returning {
+	if x.isRetry {
 		return 0
 	}
 	if x.g.cfg.Off.Has(mechanism.Patience) {
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -49,7 +49,7 @@
 // If the target has ended, it waits for crashes of the same content that other entries
 // observed at the same moment.
 func (x *exchange) recordLostConnection(ctx context.Context, c dispatch.Choice, sent time.Time) {
-	if !x.g.book.Serving(c.Target) || !x.g.crashDetector.connectionLost(ctx, c.Instance, x.content, sent, clock.Now()) {
+	if !x.g.balancer.Serving(c.Target) || !x.g.crashDetector.connectionLost(ctx, c.Instance, x.content, sent, clock.Now()) {
 		return
 	}
 	x.g.stats.lostWithTarget.Inc(1)
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -109,9 +109,9 @@
 	assert.Equal(t, totalRequests(targets), 3)
 }
 
-// If all entries and agents that knew of the crashes are gone, a request is quarantined
-// again after the same number of crashes.
-func TestForgottenCrashesAreLearnedAgain(t *testing.T) {
+// If no entry or agent has the crash records any more, a request is quarantined again
+// after the same number of crashes.
+func TestRequestIsQuarantinedAgainAfterCrashRecordsAreLost(t *testing.T) {
 	targets := newCrashingTargets(t, 12)
 	for round := 1; round <= 2; round++ {
 		f := newTestGateway(t, targets[6*(round-1):6*round]...)
@@ -159,7 +159,7 @@
 	assert.Equal(t, totalRequests(targets), 10)
 }
 
-// A draining target ends by plan, even if requests are still running there.
+// The end of a draining target is planned, even if requests are still running there.
 func TestPlannedEndsDoNotCount(t *testing.T) {
 	targets := newCrashingTargets(t, 5)
 	f := newTestGateway(t, targets...)
@@ -189,7 +189,7 @@
 		left := *list[k]
 		left.Draining = true
 		list[k] = &left
-		f.gateway.book.Apply(list, f.gateway.Config().Services)
+		f.gateway.balancer.Apply(list, f.gateway.Config().Services)
 		crash(w, r)
 	}
 }
--- a/gateway/reason.go
+++ b/gateway/reason.go
@@ -17,7 +17,7 @@
 	ReasonSaturated      Reason = "saturated"
 	ReasonPaced          Reason = "paced" // all usable targets are rate-limited or backing off
 	ReasonNoTarget       Reason = "no_target"
-	ReasonNoDomain       Reason = "no_domain" // no failure domain that may run it is available
+	ReasonNoDomain       Reason = "no_domain" // no failure domain that may run the request is available
 	ReasonDialFailed     Reason = "dial_failed"
 	ReasonTargetRefused  Reason = "target_refused" // the target states that it did not run the request
 	ReasonOtherInstance  Reason = "other_instance"
@@ -27,8 +27,8 @@
 	ReasonLateFirstEvent Reason = "first_event_late"
 	ReasonStalled        Reason = "stream_stalled"
 	ReasonBrokenStream   Reason = "stream_broken"
-	ReasonVersionOver    Reason = "version_over" // it had not started when the target's version expired
-	ReasonEndsTargets    Reason = "ends_targets" // targets that run it crash
+	ReasonVersionOver    Reason = "version_over" // the request had not started when the target's version expired
+	ReasonEndsTargets    Reason = "ends_targets" // targets that run the request crash
 	ReasonTimeout        Reason = "timeout"
 	ReasonCallerGone     Reason = "caller_gone"
 	ReasonAttempts       Reason = "attempts_used"
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -6,15 +6,16 @@
 	"github.com/springgate/springgate/fleet"
 )
 
-// Roster retains instances whose list entries disappeared for a short time: entries expire
-// while the store is unavailable although the targets run, and a target that really left
-// answers that it has not run a request. It does no I/O and reads no clock.
+// Roster retains instances that disappeared from the target list for a short time, since
+// list items expire while the store is unavailable although the targets run. Requests may
+// be sent to a target that really left: it answers that it has not run them. Roster does no
+// I/O and reads no clock.
 type Roster struct {
 	// Hold is how long an instance that disappeared without draining is retained. It must
 	// be less than the time during which a target that left may still get requests.
 	Hold time.Duration
-	// CatchUp is how long after an outage of the store the entry of a running target may
-	// be missing.
+	// CatchUp is how long after an outage of the store a running target may be missing from
+	// the list.
 	CatchUp time.Duration
 
 	known map[string]*fleet.Instance
@@ -63,8 +64,8 @@
 }
 
 // newestAtEachAddr drops incarnations that were replaced by another one at the same
-// address. After a power loss of all hosts their entries stay in the list for seconds
-// until they expire, and are no longer valid.
+// address. After a power loss of all hosts the items of their targets stay in the list for
+// seconds until they expire, although they are no longer valid.
 func newestAtEachAddr(list []*fleet.Instance) []*fleet.Instance {
 	newest := make(map[string]*fleet.Instance, len(list))
 	for _, i := range list {
--- a/gateway/roster_test.go
+++ b/gateway/roster_test.go
@@ -20,7 +20,7 @@
 	return out
 }
 
-// state returns which instances are in use; the value is true for doubtful ones.
+// state returns which instances are in use; the value is true for unlisted ones.
 func state(list []*fleet.Instance) map[string]bool {
 	out := map[string]bool{}
 	for _, i := range list {
@@ -29,7 +29,7 @@
 	return out
 }
 
-// The entry of a crashed incarnation stays in the list for seconds.
+// The item of a crashed incarnation stays in the list for seconds.
 func TestNewerIncarnationReplacesTheOlder(t *testing.T) {
 	r := Roster{Hold: time.Second}
 	old := &fleet.Instance{ID: "old", Addr: "x", Revision: 7}
@@ -61,8 +61,8 @@
 	assert.DeepEqual(t, state(r.Update(start, listed("a"), false, time.Time{})), map[string]bool{"a": false})
 }
 
-// Entries expire while the store is unavailable; those of running targets reappear within
-// CatchUp.
+// List items expire while the store is unavailable; those of running targets reappear
+// within CatchUp.
 func TestInstancesSurviveAnOutageOfTheStore(t *testing.T) {
 	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -16,7 +16,7 @@
 
 // result is how one send ended.
 type result struct {
-	reason Reason // ReasonNone if the answer was passed on
+	reason Reason // ReasonNone if the response was relayed
 	ran    bool   // the target may have run the request
 	sent   bool   // the request was written to a connection
 	silent bool   // the target was sending nothing when the attempt ended
@@ -64,7 +64,7 @@
 	choice, reason := x.place(ctx, d)
 	// Other entries may have reported crashes while the request waited for a place.
 	if reason == ReasonNone && x.quarantined() {
-		x.g.book.Cancel(choice.Target, d)
+		x.g.balancer.Cancel(choice.Target, d)
 		return choice, ReasonEndsTargets
 	}
 	return choice, reason
@@ -130,7 +130,7 @@
 	h := forwardHeader(x.r.Header)
 	x.g.dialect.EncodeForward(h, ForwardInfo{Instance: t.ID, Team: x.teamName(), Remaining: clock.Until(x.deadline), LastEvent: x.lastEvent})
 	x.logSending(c)
-	a := &attempt{x: x, choice: c, sentAt: clock.Now(), unread: x.call.Prompt}
+	a := &attempt{x: x, choice: c, sentAt: clock.Now(), pendingPrefill: x.call.Prompt}
 	a.ctx, a.cancel = context.WithCancelCause(ctx)
 	defer a.cancel(nil)
 	res := a.do(&targetconn.Request{Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Header: h, Body: x.body, ID: x.call.ID})
@@ -149,7 +149,7 @@
 }
 
 // logSending logs which target a request is sent to, and the state on which the choice was
-// based. The revision of the target's entry and the revision and age of the mirror
+// based. The revision of the target's list item and the revision and age of the mirror
 // distinguish updates that were lost (a current mirror beyond the target's last change),
 // updates that were late (an old mirror) and a request that was long in transit.
 func (x *exchange) logSending(c dispatch.Choice) {
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -36,7 +36,7 @@
 	deadline time.Time
 
 	sends           int      // times that the request was sent to a target
-	denied          int      // places that home entries denied
+	denied          int      // reservations that were denied or deferred
 	dials           int      // targets that could not be reached
 	ran             bool     // a target may have run the request
 	avoid           []string // instances that were already tried
@@ -45,7 +45,7 @@
 	started         bool // the response header has been written to the caller
 	waited          time.Duration
 	tightest        time.Duration // tightest objective of the service's callers
-	returning       bool          // the caller was refused before
+	isRetry         bool          // the caller was refused before
 	firstEventDelay time.Duration
 	maxGap          time.Duration   // longest pause between events
 	target          string          // of the last send
@@ -92,7 +92,7 @@
 		left = x.call.Remaining
 	}
 	x.deadline = x.start.Add(left)
-	x.returning = x.g.returns.IsRetry(x.route.Name, x.call.Remaining)
+	x.isRetry = x.g.retryDetector.IsRetry(x.route.Name, x.call.Remaining)
 	x.service = x.route.Shares[pickShare(x.route.Shares)].Service
 	return x.readBody()
 }
@@ -207,7 +207,7 @@
 	if x.denied > 0 {
 		f["denied"] = x.denied
 	}
-	if x.returning {
+	if x.isRetry {
 		f["returning"] = true
 	}
 	if len(x.retries) > 0 {
--- a/gateway/stats.go
+++ b/gateway/stats.go
@@ -6,8 +6,8 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// sampleSize and sampleAlpha shape the histograms: a sample of about a
-// thousand values, biased to the last minutes.
+// sampleSize and sampleAlpha configure the histograms' reservoirs: about a thousand values,
+// biased towards the last minutes.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -115,7 +115,7 @@
 	return res
 }
 
-// recordEvent records an event in the book and the histograms.
+// recordEvent reports an event to the balancer and updates the histograms.
 func (a *attempt) recordEvent() {
 	now := clock.Now()
 	x := a.x
@@ -132,6 +132,6 @@
 	}
 	a.lastEventAt = now
 	a.events++
-	x.g.book.RecordActivity(now, a.choice.Target, a.unread)
-	a.unread = 0
+	x.g.balancer.RecordActivity(now, a.choice.Target, a.pendingPrefill)
+	a.pendingPrefill = 0
 }
