--- a/gateway/assign.go
+++ b/gateway/assign.go
@@ -146,7 +146,7 @@
 		}
 		a.unreadable = failing
 		c.log.WithFields(logrus.Fields{"service": service, "model": a.model.Model, "version": a.version,
-			"withheld": failing}).Info("Agents notified that readability of the version changed.")
+			"withheld": failing}).Info("Agents notified whether the pieces of the version can be read.")
 		close(c.changed)
 		c.changed = make(chan struct{})
 	}
--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -105,7 +105,7 @@
 		c := newTestControl(&fakeRelay{})
 		c.balancer = dispatch.NewBalancer(dispatch.Config{VersionTimeout: 8 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 		c.assignVersion("svc", assignModel, 2, time.Now().Add(-8*time.Second), false)
-		assert.Equal(t, len(c.Announced(time.Now())), 0, "a guessed time must not be sent")
+		assert.Equal(t, len(c.Announced(time.Now())), 0, "an estimated time must not be sent")
 		c.Loads("entry-2", &peer.Loads{Full: true, Versions: []peer.ObservedVersion{{Model: "m", Version: 2, AgeMs: 1500}}})
 		got, _ := c.Assignment(assignAgent)
 		assert.Equal(t, got.AgeMs, int64(1500))
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -266,7 +266,7 @@
 	inst, err := c.decoder.Instance(i)
 	if err != nil {
 		if old.revision == 0 || old.instance != nil {
-			c.log.WithError(err).WithFields(logrus.Fields{"key": i.Key, "revision": i.Revision}).Warn("Entry of the target list is not a valid target.")
+			c.log.WithError(err).WithFields(logrus.Fields{"key": i.Key, "revision": i.Revision}).Warn("Item of the target list does not describe a valid target.")
 		}
 		return decodedInstance{i.Revision, nil}
 	}
--- a/gateway/foreign_test.go
+++ b/gateway/foreign_test.go
@@ -27,7 +27,7 @@
 func (textDecoder) Instance(i mirror.Item) (*fleet.Instance, error) {
 	inst := &fleet.Instance{ID: i.Key, Revision: i.Revision, Slots: 1}
 	if n, _ := fmt.Sscanf(string(i.Value), "%s %s", &inst.Service, &inst.Addr); n != 2 {
-		return nil, errors.New("not an entry of a target")
+		return nil, errors.New("item does not describe a target")
 	}
 	return inst, nil
 }
