--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -55,7 +55,7 @@
 		return notRun(info)
 	}
 	if !info.Signed || resp.Header.Get("Content-Encoding") != "" {
-		return result{reason: ReasonGarbled, ran: true, sent: true}
+		return result{reason: ReasonInvalidResponse, ran: true, sent: true}
 	}
 	if a.x.route.Kind == fleet.Streaming && resp.StatusCode == http.StatusOK {
 		return a.relayStream(resp, watchdog)
@@ -125,7 +125,7 @@
 	case a.ctx.Err() != nil:
 		return result{reason: ReasonTimeout, ran: true, sent: true, silent: true}
 	case errors.Is(err, targetconn.ErrInvalidResponse):
-		return result{reason: ReasonGarbled, ran: true, sent: true}
+		return result{reason: ReasonInvalidResponse, ran: true, sent: true}
 	}
 	return result{reason: ReasonConnLost, ran: true, sent: true}
 }
