--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -115,7 +115,7 @@
 func (a *attempt) failure(err error) result {
 	switch {
 	case errors.Is(context.Cause(a.ctx), errVersionExpired):
-		return result{reason: ReasonVersionOver, ran: true, sent: true}
+		return result{reason: ReasonVersionExpired, ran: true, sent: true}
 	case errors.Is(err, targetconn.ErrDial):
 		return result{reason: ReasonDialFailed}
 	case errors.Is(context.Cause(a.ctx), errFirstEventLate):
@@ -152,7 +152,7 @@
 func (a *attempt) finish(res result) {
 	r := dispatch.Result{PendingPrefill: a.pendingPrefill, Latency: clock.Since(a.sentAt)}
 	switch res.reason {
-	case ReasonNone, ReasonTimeout, ReasonCallerGone, ReasonVersionOver:
+	case ReasonNone, ReasonTimeout, ReasonCallerGone, ReasonVersionExpired:
 	case ReasonTargetRefused:
 		r.Latency = 0
 	case ReasonOtherInstance:
