--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -64,7 +64,7 @@
 		assert.Equal(t, totalRequests(targets), 3, route)
 		assert.Equal(t, last.status, http.StatusBadRequest, route)
 		assert.Equal(t, last.header.Get("Retry-After"), "", route)
-		assert.Assert(t, strings.Contains(last.body, string(ReasonEndsTargets)), last.body)
+		assert.Assert(t, strings.Contains(last.body, string(ReasonCrashesTargets)), last.body)
 		assert.Equal(t, f.call(http.MethodPost, "/"+route+"/x", "another").status, http.StatusOK, route)
 	}
 }
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -58,14 +58,14 @@
 // choose selects a target for the next send.
 func (x *exchange) choose(ctx context.Context) (dispatch.Choice, Reason) {
 	if x.quarantined() {
-		return dispatch.Choice{}, ReasonEndsTargets
+		return dispatch.Choice{}, ReasonCrashesTargets
 	}
 	d := x.demand()
 	choice, reason := x.place(ctx, d)
 	// Other entries may have reported crashes while the request waited for a place.
 	if reason == ReasonNone && x.quarantined() {
 		x.g.balancer.Cancel(choice.Target, d)
-		return choice, ReasonEndsTargets
+		return choice, ReasonCrashesTargets
 	}
 	return choice, reason
 }
@@ -86,7 +86,7 @@
 		x.logEnd(0, ReasonCallerGone)
 		panic(http.ErrAbortHandler)
 	}
-	if held != nil && !x.started && reason != ReasonEndsTargets {
+	if held != nil && !x.started && reason != ReasonCrashesTargets {
 		x.g.stats.recordFailure(reason)
 		x.logEnd(held.status, reason)
 		held.write(x.w)
