--- a/command/gateway.go
+++ b/command/gateway.go
@@ -103,7 +103,7 @@
 		telemetry.Part(p.log, "weights"))
 	e.control = gateway.NewControl(gateway.ControlOptions{Addr: p.self.Addr, Config: gateway.ControlConfig{Off: off, VersionTimeout: s.VersionTimeout()},
 		Gateway: e.gateway, Balancer: e.balancer, Decoder: platform.Decoder{}, Table: table,
-		Outage: e.follower.Outage, Roster: gateway.Roster{Hold: rosterHold, CatchUp: rosterCatchUp}, Relay: e.relay,
+		Outage: e.follower.Outage, Roster: gateway.Roster{RetainFor: rosterHold, CatchUp: rosterCatchUp}, Relay: e.relay,
 		Log: telemetry.Part(p.log, "control"), Metrics: p.metrics})
 	e.server = gateway.NewServer(gateway.ServerConfig{CallerAddr: s.Listen.Callers, ReadyAddr: s.Listen.Readiness,
 		DrainTimeout: s.DrainTimeout()}, e.gateway, telemetry.Part(p.log, "server"))
--- a/gateway/foreign_test.go
+++ b/gateway/foreign_test.go
@@ -43,7 +43,7 @@
 	g := New(Config{}, testDialect{}, balancer, targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), discard)
 	g.SetConfig(fleet.NewConfig(1, routes(), []*fleet.Service{{Name: "s"}}, nil, fleet.Limits{}))
 	c := NewControl(ControlOptions{Gateway: g, Balancer: balancer, Decoder: textDecoder{}, Log: log,
-		Outage: func() (bool, time.Time) { return false, time.Time{} }, Roster: Roster{Hold: -1}})
+		Outage: func() (bool, time.Time) { return false, time.Time{} }, Roster: Roster{RetainFor: -1}})
 	usable := func(items ...mirror.Item) (ids []string) {
 		c.applyInstances(items)
 		for _, i := range c.list {
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -11,9 +11,9 @@
 // be sent to a target that really left: it answers that it has not run them. Roster does no
 // I/O and reads no clock.
 type Roster struct {
-	// Hold is how long an instance that disappeared without draining is retained. It must
+	// RetainFor is how long an instance that disappeared without draining is retained. It must
 	// be less than the time during which a target that left may still get requests.
-	Hold time.Duration
+	RetainFor time.Duration
 	// CatchUp is how long after an outage of the store a running target may be missing from
 	// the list.
 	CatchUp time.Duration
@@ -50,7 +50,7 @@
 		if wasVanished {
 			listable += elapsed
 		}
-		if !down && listable >= r.Hold && max(listable, now.Sub(ended)) >= r.CatchUp {
+		if !down && listable >= r.RetainFor && max(listable, now.Sub(ended)) >= r.CatchUp {
 			continue
 		}
 		retained := *old
--- a/gateway/roster_test.go
+++ b/gateway/roster_test.go
@@ -31,7 +31,7 @@
 
 // The item of a crashed incarnation stays in the list for seconds.
 func TestNewerIncarnationReplacesTheOlder(t *testing.T) {
-	r := Roster{Hold: time.Second}
+	r := Roster{RetainFor: time.Second}
 	old := &fleet.Instance{ID: "old", Addr: "x", Revision: 7}
 	got := r.Update(start, []*fleet.Instance{old, {ID: "other", Addr: "y", Revision: 3}}, false, time.Time{})
 	assert.DeepEqual(t, state(got), map[string]bool{"old": false, "other": false})
@@ -43,7 +43,7 @@
 }
 
 func TestVanishedInstanceIsRetainedForHold(t *testing.T) {
-	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
+	r := Roster{RetainFor: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
 	got := r.Update(at(0), listed("a"), false, time.Time{})
 	assert.DeepEqual(t, state(got), map[string]bool{"a": false, "b": true})
@@ -54,7 +54,7 @@
 }
 
 func TestDrainedInstanceIsDroppedAtOnce(t *testing.T) {
-	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
+	r := Roster{RetainFor: time.Second, CatchUp: 3 * time.Second}
 	list := listed("a", "b")
 	list[1].Draining = true
 	r.Update(start, list, false, time.Time{})
@@ -64,7 +64,7 @@
 // List items expire while the store is unavailable; those of running targets reappear
 // within CatchUp.
 func TestInstancesSurviveAnOutageOfTheStore(t *testing.T) {
-	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
+	r := Roster{RetainFor: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
 	got := r.Update(at(time.Minute), nil, true, time.Time{})
 	assert.DeepEqual(t, state(got), map[string]bool{"a": true, "b": true})
@@ -80,7 +80,7 @@
 // store has been available for CatchUp; one that is not has left, however often an outage
 // seems to have ended.
 func TestFlappingOutagesDoNotRetainATargetThatLeft(t *testing.T) {
-	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
+	r := Roster{RetainFor: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
 	var ended time.Time
 	for ms := 0; ms <= 5000; ms += 200 {
