--- a/gateway/reason.go
+++ b/gateway/reason.go
@@ -8,31 +8,31 @@
 
 // Reasons.
 const (
-	ReasonNone           Reason = ""
-	ReasonNoConfig       Reason = "no_config"
-	ReasonNoRoute        Reason = "no_route"
-	ReasonUnknownKey     Reason = "unknown_key"
-	ReasonBodyTooLarge   Reason = "body_too_large"
-	ReasonBodyBroken     Reason = "body_broken"
-	ReasonSaturated      Reason = "saturated"
-	ReasonPaced          Reason = "paced" // all usable targets are rate-limited or backing off
-	ReasonNoTarget       Reason = "no_target"
-	ReasonNoDomain       Reason = "no_domain" // no failure domain that may run the request is available
-	ReasonDialFailed     Reason = "dial_failed"
-	ReasonTargetRefused  Reason = "target_refused" // the target states that it did not run the request
-	ReasonOtherInstance  Reason = "other_instance"
-	ReasonConnLost       Reason = "connection_lost"
-	ReasonInvalidResponse        Reason = "garbled_answer"
-	ReasonTargetError    Reason = "target_error"
-	ReasonLateFirstEvent Reason = "first_event_late"
-	ReasonStalled        Reason = "stream_stalled"
-	ReasonBrokenStream   Reason = "stream_broken"
-	ReasonVersionExpired    Reason = "version_over" // the request had not started when the target's version expired
-	ReasonCrashesTargets    Reason = "ends_targets" // targets that run the request crash
-	ReasonTimeout        Reason = "timeout"
-	ReasonCallerGone     Reason = "caller_gone"
-	ReasonAttempts       Reason = "attempts_used"
-	ReasonBudget         Reason = "retry_budget_used"
+	ReasonNone            Reason = ""
+	ReasonNoConfig        Reason = "no_config"
+	ReasonNoRoute         Reason = "no_route"
+	ReasonUnknownKey      Reason = "unknown_key"
+	ReasonBodyTooLarge    Reason = "body_too_large"
+	ReasonBodyBroken      Reason = "body_broken"
+	ReasonSaturated       Reason = "saturated"
+	ReasonPaced           Reason = "paced" // all usable targets are rate-limited or backing off
+	ReasonNoTarget        Reason = "no_target"
+	ReasonNoDomain        Reason = "no_domain" // no failure domain that may run the request is available
+	ReasonDialFailed      Reason = "dial_failed"
+	ReasonTargetRefused   Reason = "target_refused" // the target states that it did not run the request
+	ReasonOtherInstance   Reason = "other_instance"
+	ReasonConnLost        Reason = "connection_lost"
+	ReasonInvalidResponse Reason = "garbled_answer"
+	ReasonTargetError     Reason = "target_error"
+	ReasonLateFirstEvent  Reason = "first_event_late"
+	ReasonStalled         Reason = "stream_stalled"
+	ReasonBrokenStream    Reason = "stream_broken"
+	ReasonVersionExpired  Reason = "version_over" // the request had not started when the target's version expired
+	ReasonCrashesTargets  Reason = "ends_targets" // targets that run the request crash
+	ReasonTimeout         Reason = "timeout"
+	ReasonCallerGone      Reason = "caller_gone"
+	ReasonAttempts        Reason = "attempts_used"
+	ReasonBudget          Reason = "retry_budget_used"
 )
 
 // reasons lists all reasons with a counter.
--- a/gateway/roster_test.go
+++ b/gateway/roster_test.go
@@ -42,7 +42,7 @@
 	assert.DeepEqual(t, state(got), map[string]bool{"new": false, "other": true}) // and it is not retained
 }
 
-func TestVanishedInstanceIsRetainedForHold(t *testing.T) {
+func TestVanishedInstanceIsRetained(t *testing.T) {
 	r := Roster{RetainFor: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
 	got := r.Update(at(0), listed("a"), false, time.Time{})
