--- a/weights/order_test.go
+++ b/weights/order_test.go
@@ -108,8 +108,8 @@
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, len(r.missingOwnPieces(testModel, 3, slowOriginPieces)), 0)
 		assert.Equal(t, len(r.missingOwnPieces(testModel, 2, slowOriginPieces)), 0)
-		// Once the started reads of the newer version have ended, the older version gets at
-		// least half of the link.
+		// Once the reads of the newer version that had already started have ended, the older
+		// version gets at least half of the link.
 		assert.Assert(t, o.sentUpToLast(2) <= slowOriginPieces+missing+r.cfg.OriginConns, "last piece of the older version sent as piece %d in total", o.sentUpToLast(2))
 	})
 }
--- a/weights/prefetch.go
+++ b/weights/prefetch.go
@@ -22,7 +22,7 @@
 // Hold holds the pieces of a version once agents have requested them. That is sufficient for a
 // version that was announced before this process started: most engines have it staged, and
 // prefetching it would only delay the manifest on the origin's link, and agents cannot proceed
-// without the manifest. It reports whether the version is new to this relay.
+// without the manifest. It reports whether the version is newer than those held already.
 func (r *Relay) Hold(model string, version int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/weights/relay.go
+++ b/weights/relay.go
@@ -169,7 +169,7 @@
 	}
 	ctx, cancel := clock.WithTimeout(ctx, r.cfg.PeerTimeout)
 	defer cancel()
-	msg, err := r.call(ctx, src.addr, &peer.GetManifest{Model: q.Model, Version: q.Version, Hops: q.Hops + 1, LocalOnly: src.heldOnly})
+	msg, err := r.call(ctx, src.addr, &peer.GetManifest{Model: q.Model, Version: q.Version, Hops: q.Hops + 1, LocalOnly: src.localOnly})
 	if err != nil {
 		return nil, err
 	}
@@ -310,7 +310,7 @@
 	ctx, cancel := clock.WithTimeout(ctx, r.cfg.PeerTimeout)
 	defer cancel()
 	msg, err := r.call(ctx, src.addr, &peer.GetPiece{Model: q.Model, Version: q.Version, Index: q.Index, Hops: q.Hops + 1,
-		LocalOnly: src.heldOnly})
+		LocalOnly: src.localOnly})
 	if err != nil {
 		return nil, err
 	}
--- a/weights/relay_test.go
+++ b/weights/relay_test.go
@@ -198,7 +198,7 @@
 	assert.Equal(t, len(n.origin.pieces), 0)
 }
 
-// An agent that has staged another version by now serves different bytes.
+// An agent that has staged another version in the meantime serves different bytes.
 func TestPieceOfAnotherVersionIsRejected(t *testing.T) {
 	n := newNetwork(threeDomains())
 	n.hold(2)
@@ -225,8 +225,8 @@
 	}
 }
 
-// Requests for held pieces only are not forwarded.
-func TestHeldOnlyRequestIsNotForwarded(t *testing.T) {
+// Requests with LocalOnly are not forwarded.
+func TestLocalOnlyRequestIsNotForwarded(t *testing.T) {
 	n := newNetwork(threeDomains())
 	n.hold(2)
 	_, err := n.relays["b1"].Piece(t.Context(), &peer.GetPiece{Model: testModel, Version: 2, LocalOnly: true})
--- a/weights/sources.go
+++ b/weights/sources.go
@@ -11,20 +11,20 @@
 // domain, and from there to the reader of the origin's domain.
 const maxHops = 2
 
-// maxOtherSources limits the number of entries other than the readers that are asked for
-// pieces they hold, after the readers and the origin have failed.
+// maxOtherSources limits the number of entries other than the readers that are asked for data
+// that they hold, after the readers and the origin have failed.
 const maxOtherSources = 4
 
 // originConnShare is the share of the connections accepted by the origin that all entries
 // together use. The rest is reserved for stale connections of hosts that lost power, which the
-// origin keeps until its own idle time-out.
+// origin keeps until its own idle timeout.
 const originConnShare = 0.4
 
 // source is a server of manifests or pieces: an entry, an agent, or the origin if addr is
 // empty.
 type source struct {
-	addr     string
-	heldOnly bool // the entry must answer only from the pieces that it holds
+	addr      string
+	localOnly bool // the entry must answer only from what it holds
 }
 
 func (s source) isOrigin() bool { return s.addr == "" }
@@ -65,7 +65,8 @@
 }
 
 // pieceSources returns the sources of a piece in order. An agent of the same failure domain that
-// has it staged comes first, since it loads neither the origin nor a link between regions.
+// has it staged comes first, since it loads neither the origin nor a link between failure
+// domains.
 func (r *Relay) pieceSources(key string, q *peer.GetPiece, try int) []source {
 	out := r.sources(key, q.Hops, try)
 	agent := membership.First(key, r.holders(r.self.Domain, q.Model, q.Version))
@@ -117,7 +118,7 @@
 	}
 	var out []source
 	for _, addr := range membership.Rank(key, addrs, maxOtherSources) {
-		out = append(out, source{addr: addr, heldOnly: true})
+		out = append(out, source{addr: addr, localOnly: true})
 	}
 	return out
 }
