--- a/sidecar/config.go
+++ b/sidecar/config.go
@@ -10,7 +10,7 @@
 	"github.com/springgate/springgate/mechanism"
 )
 
-// Config holds the time-outs, intervals and limits of a sidecar.
+// Config holds the timeouts, intervals and limits of a sidecar.
 type Config struct {
 	// Off lists the mechanisms that are disabled.
 	Off mechanism.Off
--- a/sidecar/doubt.go
+++ b/sidecar/doubt.go
@@ -171,8 +171,8 @@
 
 // reopenAfterRestart marks orders as in doubt again if the engine was restarted, as if a
 // previous agent had sent them. A restarted engine counts from 0 and knows no tokens, so a
-// delayed order with precondition 0 is acceptable to it once more. If the staged version is
-// complete, it is loaded first, which settles this.
+// delayed order with precondition 0 may take effect once more. If the staged version is
+// complete, it is loaded first, which settles such orders.
 func (s *Sidecar) reopenAfterRestart(now time.Time, r Report) {
 	newProcess := !fleet.SameIncarnation(s.startTimeMs, r.StartTimeMs)
 	restarted := !s.up || newProcess || r.Sequence < s.sequence
--- a/sidecar/plan.go
+++ b/sidecar/plan.go
@@ -154,19 +154,19 @@
 func (c Config) planTwoPending(now time.Time, serving int, pending []announcedVersion, as assignmentState, h holdings) Step {
 	newest := pending[len(pending)-1]
 	older := olderCandidate(pending[:len(pending)-1], h)
-	withheld := as.withheld() || h.stalled == newest.version
+	unavailable := as.newestUnreadable() || h.stalled == newest.version
 	staged := progress{}
 	if h.staged.version == older.version {
 		staged = h.staged
 	}
 	switch {
-	case staged.complete && (serving == 0 || !now.Before(c.loadOlderAt(as, pending, older, withheld, h))):
+	case staged.complete && (serving == 0 || !now.Before(c.loadOlderAt(as, pending, older, unavailable, h))):
 		return Step{Load, older.version}
 	case staged.complete:
 		return Step{Fetch, newest.version}
 	case h.staged.version == newest.version && h.staged.share >= commitShare:
 		return Step{Stage, newest.version}
-	case withheld, staged.share >= commitShare && (serving == 0 || c.tooLate(now, as, pending, h)):
+	case unavailable, staged.share >= commitShare && (serving == 0 || c.tooLate(now, as, pending, h)):
 		return Step{Stage, older.version}
 	case staged.share > 0:
 		return Step{Fetch, newest.version}
@@ -185,10 +185,10 @@
 // loadOlderAt returns when the engine loads an older version that is completely staged: at
 // the engine's turn while the newest version is unavailable, otherwise at the end of the turn
 // window, or Margin later if at least commitShare of the newest version has been fetched.
-func (c Config) loadOlderAt(as assignmentState, pending []announcedVersion, older announcedVersion, withheld bool, h holdings) time.Time {
+func (c Config) loadOlderAt(as assignmentState, pending []announcedVersion, older announcedVersion, unavailable bool, h holdings) time.Time {
 	t := c.turnWindowOf(as, pending, older)
 	switch {
-	case withheld:
+	case unavailable:
 		return t.at(as.Turn, as.Turns)
 	case h.fetched.share >= commitShare:
 		return t.end.Add(c.Margin)
--- a/sidecar/plan_test.go
+++ b/sidecar/plan_test.go
@@ -33,7 +33,7 @@
 	return as
 }
 
-func withheld(as assignmentState) assignmentState {
+func unreadable(as assignmentState) assignmentState {
 	as.failing = map[string]bool{"one": false, "other": true}
 	return as
 }
@@ -48,8 +48,8 @@
 		h.inDoubt = inDoubtOrder{open: true, model: "m", version: version, lastSent: start, nextAttempt: start}
 		return h
 	}
-	before := inDoubtOrder{open: true, lastSent: start, nextAttempt: start}
-	ignoresTokens, inspected := before, before
+	previous := inDoubtOrder{open: true, lastSent: start, nextAttempt: start}
+	ignoresTokens, inspected := previous, previous
 	ignoresTokens.ignoresTokens, inspected.inspected = true, true
 	for _, c := range []struct {
 		name   string
@@ -95,10 +95,10 @@
 			holdings{staged: progress{2, false, 0.86}, fetched: progress{3, false, 0.6}}, last - cfg.Lead/2, Step{Fetch, 3}},
 		{"neither can be fetched in time", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, false, 0.2}, fetched: progress{3, false, 0.1}}, last - cfg.Lead/2, Step{Fetch, 3}},
-		{"newer withheld, older staged", serving(1), withheld(stateOf(newAssignment(3, 2, 3), 2)), holdings{staged: progress{2, false, 0.2}}, 0, Step{Stage, 2}},
-		{"newer withheld, before turn of older", serving(1), withheld(stateOf(newAssignment(3, 2, 3), 2)), complete(2), cfg.Lead, Step{Fetch, 3}},
-		{"newer withheld, turn of older", serving(1), withheld(stateOf(newAssignment(3, 0, 3), 2)), complete(2), cfg.Lead, Step{Load, 2}},
-		{"newer withheld, no older version", serving(1), withheld(stateOf(newAssignment(3, 2, 3), 0)), holdings{}, 0, Step{Stage, 3}},
+		{"newer withheld, older staged", serving(1), unreadable(stateOf(newAssignment(3, 2, 3), 2)), holdings{staged: progress{2, false, 0.2}}, 0, Step{Stage, 2}},
+		{"newer withheld, before turn of older", serving(1), unreadable(stateOf(newAssignment(3, 2, 3), 2)), complete(2), cfg.Lead, Step{Fetch, 3}},
+		{"newer withheld, turn of older", serving(1), unreadable(stateOf(newAssignment(3, 0, 3), 2)), complete(2), cfg.Lead, Step{Load, 2}},
+		{"newer withheld, no older version", serving(1), unreadable(stateOf(newAssignment(3, 2, 3), 0)), holdings{}, 0, Step{Stage, 3}},
 		{"newer stalled, older staged", serving(1), stateOf(newAssignment(3, 2, 3), 2), holdings{stalled: 3}, 0, Step{Stage, 2}},
 		{"newer stalled when almost complete", serving(1), stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{3, false, 0.9}, stalled: 3}, time.Second, Step{Stage, 3}},
 
@@ -119,15 +119,15 @@
 			inDoubt(2, holdings{staged: progress{2, false, 0.9}, stalled: 2}), 0, Step{Fetch, 3}},
 		{"order in doubt in progress", busy, stateOf(newAssignment(3, 0, 3), 2), inDoubt(2, complete(2)), 0, Step{Action: Watch}},
 
-		{"previous agent, serving engine", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, 0, Step{Fence, 1}},
-		{"previous agent, before next fencing attempt", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, -1, Step{Fetch, 2}},
+		{"previous agent, serving engine", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: previous}, 0, Step{Fence, 1}},
+		{"previous agent, before next fencing attempt", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: previous}, -1, Step{Fetch, 2}},
 		{"previous agent, engine ignores tokens", serving(1), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: ignoresTokens}, 0, Step{Inspect, 2}},
-		{"previous agent, empty engine", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, 0, Step{Inspect, 2}},
+		{"previous agent, empty engine", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: previous}, 0, Step{Inspect, 2}},
 		{"previous agent, staged version unknown", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: inspected}, 0, Step{Fetch, 2}},
 		{"previous agent, staged version unknown, newest in memory", Report{}, stateOf(newAssignment(2, 0, 3), 0),
 			holdings{inDoubt: inspected, fetched: progress{2, true, 1}}, 0, Step{Await, 2}},
-		{"previous agent staged newest", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before, staged: progress{2, true, 1}}, 0, Step{Load, 2}},
-		{"previous agent, assigned version served", serving(2), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: before}, 0, Step{}},
+		{"previous agent staged newest", Report{}, stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: previous, staged: progress{2, true, 1}}, 0, Step{Load, 2}},
+		{"previous agent, assigned version served", serving(2), stateOf(newAssignment(2, 0, 3), 0), holdings{inDoubt: previous}, 0, Step{}},
 	} {
 		got := cfg.Plan(start.Add(c.after), c.report, c.as, c.h)
 		assert.Equal(t, got, c.want, c.name)
@@ -141,7 +141,7 @@
 		return r
 	}
 	own := inDoubtOrder{open: true, model: "m", version: 2, sequence: 5, lastSent: start}
-	before := inDoubtOrder{open: true, sequence: 5, lastSent: start}
+	previous := inDoubtOrder{open: true, sequence: 5, lastSent: start}
 	for _, c := range []struct {
 		d     inDoubtOrder
 		model string
@@ -156,10 +156,10 @@
 		{own, "other", report(5, 1), 0, "other_model"},
 		{own, "m", report(5, 1), 14 * time.Second, ""},
 		{own, "m", report(5, 1), 15 * time.Second, "expired"},
-		{before, "m", report(5, 2), 0, ""},
-		{before, "m", report(6, 1), 0, "begun"},
-		{before, "m", report(4, 1), 0, "engine_restarted"},
-		{before, "m", report(5, 1), 15 * time.Second, "expired"},
+		{previous, "m", report(5, 2), 0, ""},
+		{previous, "m", report(6, 1), 0, "begun"},
+		{previous, "m", report(4, 1), 0, "engine_restarted"},
+		{previous, "m", report(5, 1), 15 * time.Second, "expired"},
 	} {
 		got := c.d.settled(start.Add(c.after), c.model, c.r, c.r.serves("m", 16), 15*time.Second)
 		assert.Equal(t, got, c.want, "%+v", c)
@@ -169,7 +169,7 @@
 // A refusal for the token proves that this agent's orders are fenced, but not those of the
 // previous agent, whose tokens may be higher.
 func TestTokenRefusalSettlesOwnOrders(t *testing.T) {
-	own, before := inDoubtOrder{open: true, version: 2}, inDoubtOrder{open: true}
+	own, previous := inDoubtOrder{open: true, version: 2}, inDoubtOrder{open: true}
 	adopted := inDoubtOrder{open: true, version: 2, adopted: true}
 	for _, c := range []struct {
 		d    inDoubtOrder
@@ -179,7 +179,7 @@
 		{own, errors.Wrap(ErrOrderFenced, "412"), true},
 		{own, ErrOrderStale, false},
 		{adopted, ErrOrderFenced, false},
-		{before, ErrOrderFenced, false},
+		{previous, ErrOrderFenced, false},
 		{inDoubtOrder{}, ErrOrderFenced, false},
 	} {
 		assert.Equal(t, c.d.fencedBy(c.err), c.want, "%+v", c)
@@ -203,14 +203,14 @@
 // A version known only to an entry that started after its announcement does not make the
 // engines overdue if the announcement of a newer version was observed: it was announced while
 // the store was unavailable.
-func TestObservedAnnouncementTakesPrecedenceOverGuessed(t *testing.T) {
-	guess := newAssignment(2, 0, 0)
-	guess.AgeMs, guess.AgeEstimated = 8000, true
-	seen := newAssignment(3, 19, 20)
-	as := assignmentState{}.merge(start, guess)
+func TestObservedAnnouncementTakesPrecedenceOverEstimated(t *testing.T) {
+	estimated := newAssignment(2, 0, 0)
+	estimated.AgeMs, estimated.AgeEstimated = 8000, true
+	observed := newAssignment(3, 19, 20)
+	as := assignmentState{}.merge(start, estimated)
 	cfg := Config{}.applyDefaults()
 	assert.Equal(t, cfg.Plan(start, serving(1), as, holdings{}), Step{Stage, 2}, "no entry observed the announcement")
-	as = as.merge(start, seen)
+	as = as.merge(start, observed)
 	pending := as.pending(1)
 	assert.Equal(t, len(pending), 1)
 	assert.Equal(t, cfg.turnWindowOf(as, pending, pending[0]).at(19, 20), start.Add(8*time.Second-cfg.Margin))
@@ -218,7 +218,7 @@
 	known.AgeMs = 3000
 	as = as.merge(start, known)
 	assert.Equal(t, as.pending(1)[0], announcedVersion{version: 2, announced: start.Add(-3 * time.Second)}, "another entry observed the announcement")
-	as = as.merge(start, guess)
+	as = as.merge(start, estimated)
 	assert.Equal(t, as.pending(1)[0].announced, start.Add(-3*time.Second))
 }
 
@@ -265,9 +265,9 @@
 	as = as.merge(start, two)
 	two.Entry, two.PiecesUnreadable = "b", false
 	as = as.merge(start, two)
-	assert.Assert(t, as.withheld(), "one entry fails to read the version")
+	assert.Assert(t, as.newestUnreadable(), "one entry fails to read the version")
 	two.Entry = "a"
-	assert.Assert(t, !as.merge(start, two).withheld())
+	assert.Assert(t, !as.merge(start, two).newestUnreadable())
 	other := newAssignment(1, 0, 0)
 	other.Model = "other"
 	assert.Equal(t, len(as.merge(start, other).versions), 1, "another model resets the versions")
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -692,16 +692,16 @@
 
 // An entry that failed to read the newest version is lost. Its report must no longer cause the
 // older version to be loaded.
-func TestVersionWithheldByRemovedEntry(t *testing.T) {
+func TestRemovedEntryNoLongerMakesVersionUnreadable(t *testing.T) {
 	s := New(Config{}, &fakeEngine{}, "engine", &fakeSource{}, func(peer.EngineState) {}, NewStats(metrics.NewRegistry()), logrus.New())
 	a := newAssignment(2, 0, 1)
 	a.Entry, a.PiecesUnreadable = "entry-1", true
 	s.Assign(start, a)
-	assert.Assert(t, s.assigned().withheld())
+	assert.Assert(t, s.assigned().newestUnreadable())
 	s.RemoveEntry("entry-2")
-	assert.Assert(t, s.assigned().withheld())
+	assert.Assert(t, s.assigned().newestUnreadable())
 	s.RemoveEntry("entry-1")
-	assert.Assert(t, !s.assigned().withheld())
+	assert.Assert(t, !s.assigned().newestUnreadable())
 	assert.Equal(t, s.assigned().Version, 2, "the version stays")
 }
 
--- a/sidecar/stats.go
+++ b/sidecar/stats.go
@@ -12,7 +12,7 @@
 	sampleAlpha = 0.015
 )
 
-// Stats are the counters of a sidecar.
+// Stats are the metrics of a sidecar.
 type Stats struct {
 	fetched      metrics.Counter // pieces fetched from entries
 	bad          metrics.Counter // staged pieces found missing or corrupt
@@ -26,7 +26,7 @@
 	stageTime                    metrics.Histogram // from the manifest to the last piece, ms
 }
 
-// NewStats registers the counters.
+// NewStats registers the metrics and returns them.
 func NewStats(r metrics.Registry) *Stats {
 	return &Stats{fetched: metrics.NewRegisteredCounter("sidecar.pieces.fetched", r),
 		bad:           metrics.NewRegisteredCounter("sidecar.pieces.spoilt", r),
--- a/sidecar/wanted.go
+++ b/sidecar/wanted.go
@@ -19,14 +19,14 @@
 type announcedVersion struct {
 	version   int
 	announced time.Time
-	// guessed is true if no entry observed the announcement. The entries that know
+	// estimated is true if no entry observed the announcement. The entries that know
 	// the version started after it, and assume that its deadline has passed.
-	guessed bool
+	estimated bool
 }
 
 // supersedes reports whether av is better information about an announcement than old.
 func (av announcedVersion) supersedes(old announcedVersion) bool {
-	return fleet.Announcement{At: av.announced, Estimated: av.guessed}.Supersedes(fleet.Announcement{At: old.announced, Estimated: old.guessed})
+	return fleet.Announcement{At: av.announced, Estimated: av.estimated}.Supersedes(fleet.Announcement{At: old.announced, Estimated: old.estimated})
 }
 
 // assignmentState combines the assignments of all entries: the newest assignment, and the
@@ -69,8 +69,8 @@
 	return as
 }
 
-// withheld reports whether an entry fails to read the newest version.
-func (as assignmentState) withheld() bool {
+// newestUnreadable reports whether an entry fails to read the newest version.
+func (as assignmentState) newestUnreadable() bool {
 	for _, failing := range as.failing {
 		if failing {
 			return true
@@ -94,12 +94,12 @@
 // pending returns the versions newer than the served one, oldest first. A version whose
 // announcement no entry observed is omitted if that of a newer version was observed: it was
 // announced while the store was unavailable, and its deadline has not passed. No older version
-// is served too long by this, since an entry that only guesses the announcement routes to no
-// engine with an older version.
+// is served too long by this, since an entry that only estimates the announcement time routes to
+// no engine with an older version.
 func (as assignmentState) pending(serving int) []announcedVersion {
 	var out []announcedVersion
 	for i, av := range as.versions {
-		if av.version > serving && !(av.guessed && as.seenAfter(i)) {
+		if av.version > serving && !(av.estimated && as.observedAfter(i)) {
 			out = append(out, av)
 		}
 	}
@@ -123,9 +123,9 @@
 	return out
 }
 
-// seenAfter reports whether an entry observed the announcement of a version after the i-th.
-func (as assignmentState) seenAfter(i int) bool {
-	return slices.ContainsFunc(as.versions[i+1:], func(av announcedVersion) bool { return !av.guessed })
+// observedAfter reports whether an entry observed the announcement of a version after the i-th.
+func (as assignmentState) observedAfter(i int) bool {
+	return slices.ContainsFunc(as.versions[i+1:], func(av announcedVersion) bool { return !av.estimated })
 }
 
 // turnWindow is the period in which all engines load one version. Their turns are spread
