--- a/sidecar/plan_test.go
+++ b/sidecar/plan_test.go
@@ -95,10 +95,10 @@
 			holdings{staged: progress{2, false, 0.86}, fetched: progress{3, false, 0.6}}, last - cfg.Lead/2, Step{Fetch, 3}},
 		{"neither can be fetched in time", serving(1), stateOf(newAssignment(3, 2, 3), 2),
 			holdings{staged: progress{2, false, 0.2}, fetched: progress{3, false, 0.1}}, last - cfg.Lead/2, Step{Fetch, 3}},
-		{"newer withheld, older staged", serving(1), unreadable(stateOf(newAssignment(3, 2, 3), 2)), holdings{staged: progress{2, false, 0.2}}, 0, Step{Stage, 2}},
-		{"newer withheld, before turn of older", serving(1), unreadable(stateOf(newAssignment(3, 2, 3), 2)), complete(2), cfg.Lead, Step{Fetch, 3}},
-		{"newer withheld, turn of older", serving(1), unreadable(stateOf(newAssignment(3, 0, 3), 2)), complete(2), cfg.Lead, Step{Load, 2}},
-		{"newer withheld, no older version", serving(1), unreadable(stateOf(newAssignment(3, 2, 3), 0)), holdings{}, 0, Step{Stage, 3}},
+		{"newer unreadable, older staged", serving(1), unreadable(stateOf(newAssignment(3, 2, 3), 2)), holdings{staged: progress{2, false, 0.2}}, 0, Step{Stage, 2}},
+		{"newer unreadable, before turn of older", serving(1), unreadable(stateOf(newAssignment(3, 2, 3), 2)), complete(2), cfg.Lead, Step{Fetch, 3}},
+		{"newer unreadable, turn of older", serving(1), unreadable(stateOf(newAssignment(3, 0, 3), 2)), complete(2), cfg.Lead, Step{Load, 2}},
+		{"newer unreadable, no older version", serving(1), unreadable(stateOf(newAssignment(3, 2, 3), 0)), holdings{}, 0, Step{Stage, 3}},
 		{"newer stalled, older staged", serving(1), stateOf(newAssignment(3, 2, 3), 2), holdings{stalled: 3}, 0, Step{Stage, 2}},
 		{"newer stalled when almost complete", serving(1), stateOf(newAssignment(3, 0, 3), 2), holdings{staged: progress{3, false, 0.9}, stalled: 3}, time.Second, Step{Stage, 3}},
 
@@ -237,7 +237,7 @@
 	assert.Equal(t, last, 8*time.Second-cfg.Margin)
 	short := newAssignment(2, 1, 2)
 	short.TimeoutMs = 1000
-	assert.Equal(t, at(short, 0, 0), time.Duration(0), "time-out too short for turns")
+	assert.Equal(t, at(short, 0, 0), time.Duration(0), "timeout too short for turns")
 	assert.Equal(t, at(newAssignment(2, 0, 1), 0, 0), time.Duration(0), "single engine")
 	assert.Equal(t, at(newAssignment(3, 0, 12), 2, 0), cfg.Lead, "window of older version is unchanged")
 	assert.Equal(t, at(newAssignment(3, 0, 12), 2, 1), time.Second+cfg.Lead)
