--- a/command/gateway.go
+++ b/command/gateway.go
@@ -94,7 +94,7 @@
 	e.mesh = mesh.New(mesh.Options{Self: p.self, Seeds: s.Seeds, Pool: p.pool, Listener: e, Crashes: crashes,
 		Table: table, Log: telemetry.Part(p.log, "mesh"), Metrics: p.metrics})
 	e.reserver = mesh.NewReserver(e.mesh, e.balancer, off)
-	e.gateway = gateway.New(gateway.Config{Off: off, Domain: s.Domain, Copy: mirrorState(table), Crashes: crashes,
+	e.gateway = gateway.New(gateway.Config{Off: off, Domain: s.Domain, MirrorState: mirrorState(table), Crashes: crashes,
 		Hasher: quarantine.NewHasher(contentKey), Host: p.self.Host, Probes: e.mesh.Probes, RetryRatio: budgetShare * s.Bounds.RetryBudgetRatio,
 		RetryBurst: budgetShare * s.Bounds.RetryBudgetExtra}, platform.Dialect{}, e.balancer, e.conns, e.reserver,
 		gateway.NewStats(p.metrics), telemetry.Part(p.log, "gateway"))
@@ -102,8 +102,8 @@
 	e.relay = weights.NewRelay(weights.Config{Off: off}, p.self, e.mesh.Entries, e.holders, e.origin, platform.NewOrigin(), p.call,
 		telemetry.Part(p.log, "weights"))
 	e.control = gateway.NewControl(gateway.ControlOptions{Addr: p.self.Addr, Config: gateway.ControlConfig{Off: off, VersionTimeout: s.VersionTimeout()},
-		Gateway: e.gateway, Book: e.balancer, Decoder: platform.Decoder{}, Table: table,
-		Outage: e.follower.Outage, Roster: gateway.Roster{Hold: rosterHold, CatchUp: rosterCatchUp}, Relay: e.relay,
+		Gateway: e.gateway, Balancer: e.balancer, Decoder: platform.Decoder{}, Table: table,
+		Outage: e.follower.Outage, Roster: gateway.Roster{RetainFor: rosterHold, CatchUp: rosterCatchUp}, Relay: e.relay,
 		Log: telemetry.Part(p.log, "control"), Metrics: p.metrics})
 	e.server = gateway.NewServer(gateway.ServerConfig{CallerAddr: s.Listen.Callers, ReadyAddr: s.Listen.Readiness,
 		DrainTimeout: s.DrainTimeout()}, e.gateway, telemetry.Part(p.log, "server"))
@@ -111,9 +111,9 @@
 }
 
 // mirrorState returns a function that reports the state of this entry's mirror of the store.
-func mirrorState(t *mirror.Table) func() gateway.Copy {
-	return func() gateway.Copy {
-		return gateway.Copy{Revision: t.Revision(), Age: clock.Since(t.ConfirmedAt())}
+func mirrorState(t *mirror.Table) func() gateway.MirrorState {
+	return func() gateway.MirrorState {
+		return gateway.MirrorState{Revision: t.Revision(), Age: clock.Since(t.ConfirmedAt())}
 	}
 }
 
@@ -172,7 +172,7 @@
 func (e *entryProcess) Loads(from string, l *peer.Loads) { e.control.Loads(from, l) }
 
 // EntryLost implements mesh.Listener.
-func (e *entryProcess) EntryLost(addr string) { e.control.Lost(addr) }
+func (e *entryProcess) EntryLost(addr string) { e.control.EntryLost(addr) }
 
 // EngineState implements mesh.Listener.
 func (e *entryProcess) EngineState(p peer.Presence, s *peer.EngineState) { e.control.EngineState(p, s) }
--- a/gateway/foreign_test.go
+++ b/gateway/foreign_test.go
@@ -18,8 +18,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// textDecoder decodes entries of the form "SERVICE ADDR"; other values are not entries of
-// a target.
+// textDecoder decodes items of the form "SERVICE ADDR"; other values do not describe a
+// target.
 type textDecoder struct{ Decoder }
 
 func (textDecoder) IsInstance(mirror.Item) bool { return true }
@@ -27,23 +27,23 @@
 func (textDecoder) Instance(i mirror.Item) (*fleet.Instance, error) {
 	inst := &fleet.Instance{ID: i.Key, Revision: i.Revision, Slots: 1}
 	if n, _ := fmt.Sscanf(string(i.Value), "%s %s", &inst.Service, &inst.Addr); n != 2 {
-		return nil, errors.New("not an entry of a target")
+		return nil, errors.New("item does not describe a target")
 	}
 	return inst, nil
 }
 
-// Entries that describe no target do not affect others, whoever writes them and however
+// Items that describe no target do not affect others, whoever writes them and however
 // often.
-func TestForeignEntriesDoNotAffectOthers(t *testing.T) {
+func TestInvalidItemsDoNotAffectOthers(t *testing.T) {
 	log, lines := test.NewNullLogger()
 	log.SetLevel(logrus.InfoLevel)
 	discard := logrus.New()
 	discard.SetOutput(io.Discard)
-	book := dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
-	g := New(Config{}, testDialect{}, book, targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), discard)
+	balancer := dispatch.NewBalancer(dispatch.Config{}, rand.New(rand.NewPCG(1, 2)))
+	g := New(Config{}, testDialect{}, balancer, targetconn.NewPool(targetconn.Config{}), grantAll{}, NewStats(metrics.NewRegistry()), discard)
 	g.SetConfig(fleet.NewConfig(1, routes(), []*fleet.Service{{Name: "s"}}, nil, fleet.Limits{}))
-	c := NewControl(ControlOptions{Gateway: g, Book: book, Decoder: textDecoder{}, Log: log,
-		Outage: func() (bool, time.Time) { return false, time.Time{} }, Roster: Roster{Hold: -1}})
+	c := NewControl(ControlOptions{Gateway: g, Balancer: balancer, Decoder: textDecoder{}, Log: log,
+		Outage: func() (bool, time.Time) { return false, time.Time{} }, Roster: Roster{RetainFor: -1}})
 	usable := func(items ...mirror.Item) (ids []string) {
 		c.applyInstances(items)
 		for _, i := range c.list {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -65,8 +65,8 @@
 	Reserve(ctx context.Context, c dispatch.Choice, prompt int) dispatch.Reservation
 }
 
-// Copy describes the state of this entry's mirror of the store.
-type Copy struct {
+// MirrorState describes the state of this entry's mirror of the store.
+type MirrorState struct {
 	Revision int64         // the revision that it has reached
 	Age      time.Duration // since it was last confirmed to be current
 }
@@ -75,9 +75,9 @@
 type Config struct {
 	Off    mechanism.Off // mechanisms that are switched off
 	Domain string        // failure domain of this entry
-	// Copy returns the state of the mirror, for the log records of requests. Default:
+	// MirrorState returns the state of the mirror, for the log records of requests. Default:
 	// unknown.
-	Copy func() Copy
+	MirrorState func() MirrorState
 
 	// Crashes records which requests crash targets. Default: a private table. Hasher
 	// computes the fingerprints of contents, Host names this entry in the table.
@@ -128,8 +128,8 @@
 }
 
 func (c Config) applyDefaults() Config {
-	if c.Copy == nil {
-		c.Copy = func() Copy { return Copy{} }
+	if c.MirrorState == nil {
+		c.MirrorState = func() MirrorState { return MirrorState{} }
 	}
 	if c.Crashes == nil {
 		c.Crashes = quarantine.NewTable()
@@ -154,7 +154,7 @@
 type Gateway struct {
 	cfg      Config
 	dialect  Dialect
-	book     *dispatch.Balancer
+	balancer *dispatch.Balancer
 	pool     *targetconn.Pool
 	reserver Reserver
 	stats    *Stats
@@ -164,7 +164,7 @@
 	draining atomic.Bool
 	inflight atomic.Int64
 
-	returns       *dispatch.RetryDetector
+	retryDetector *dispatch.RetryDetector
 	crashDetector *crashDetector
 
 	mu      sync.Mutex
@@ -173,10 +173,10 @@
 }
 
 // New returns a gateway that refuses all requests until it has a configuration.
-func New(cfg Config, d Dialect, book *dispatch.Balancer, pool *targetconn.Pool, reserver Reserver, stats *Stats, log logrus.FieldLogger) *Gateway {
+func New(cfg Config, d Dialect, balancer *dispatch.Balancer, pool *targetconn.Pool, reserver Reserver, stats *Stats, log logrus.FieldLogger) *Gateway {
 	cfg = cfg.applyDefaults()
-	return &Gateway{cfg: cfg, dialect: d, book: book, pool: pool, reserver: reserver, stats: stats, log: log,
-		returns: dispatch.NewRetryDetector(cfg.RetryAfter, cfg.RetrySpread), crashDetector: newCrashDetector(cfg.Crashes, cfg.Host, log), budgets: map[string]*routing.Budget{}, entries: 1}
+	return &Gateway{cfg: cfg, dialect: d, balancer: balancer, pool: pool, reserver: reserver, stats: stats, log: log,
+		retryDetector: dispatch.NewRetryDetector(cfg.RetryAfter, cfg.RetrySpread), crashDetector: newCrashDetector(cfg.Crashes, cfg.Host, log), budgets: map[string]*routing.Budget{}, entries: 1}
 }
 
 // SetConfig applies a configuration and reports whether it did. Versions that are not
--- a/gateway/roster_test.go
+++ b/gateway/roster_test.go
@@ -20,7 +20,7 @@
 	return out
 }
 
-// state returns which instances are in use; the value is true for doubtful ones.
+// state returns which instances are in use; the value is true for unlisted ones.
 func state(list []*fleet.Instance) map[string]bool {
 	out := map[string]bool{}
 	for _, i := range list {
@@ -29,9 +29,9 @@
 	return out
 }
 
-// The entry of a crashed incarnation stays in the list for seconds.
+// The item of a crashed incarnation stays in the list for seconds.
 func TestNewerIncarnationReplacesTheOlder(t *testing.T) {
-	r := Roster{Hold: time.Second}
+	r := Roster{RetainFor: time.Second}
 	old := &fleet.Instance{ID: "old", Addr: "x", Revision: 7}
 	got := r.Update(start, []*fleet.Instance{old, {ID: "other", Addr: "y", Revision: 3}}, false, time.Time{})
 	assert.DeepEqual(t, state(got), map[string]bool{"old": false, "other": false})
@@ -42,8 +42,8 @@
 	assert.DeepEqual(t, state(got), map[string]bool{"new": false, "other": true}) // and it is not retained
 }
 
-func TestVanishedInstanceIsRetainedForHold(t *testing.T) {
-	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
+func TestVanishedInstanceIsRetained(t *testing.T) {
+	r := Roster{RetainFor: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
 	got := r.Update(at(0), listed("a"), false, time.Time{})
 	assert.DeepEqual(t, state(got), map[string]bool{"a": false, "b": true})
@@ -54,17 +54,17 @@
 }
 
 func TestDrainedInstanceIsDroppedAtOnce(t *testing.T) {
-	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
+	r := Roster{RetainFor: time.Second, CatchUp: 3 * time.Second}
 	list := listed("a", "b")
 	list[1].Draining = true
 	r.Update(start, list, false, time.Time{})
 	assert.DeepEqual(t, state(r.Update(start, listed("a"), false, time.Time{})), map[string]bool{"a": false})
 }
 
-// Entries expire while the store is unavailable; those of running targets reappear within
-// CatchUp.
+// List items expire while the store is unavailable; those of running targets reappear
+// within CatchUp.
 func TestInstancesSurviveAnOutageOfTheStore(t *testing.T) {
-	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
+	r := Roster{RetainFor: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
 	got := r.Update(at(time.Minute), nil, true, time.Time{})
 	assert.DeepEqual(t, state(got), map[string]bool{"a": true, "b": true})
@@ -80,7 +80,7 @@
 // store has been available for CatchUp; one that is not has left, however often an outage
 // seems to have ended.
 func TestFlappingOutagesDoNotRetainATargetThatLeft(t *testing.T) {
-	r := Roster{Hold: time.Second, CatchUp: 3 * time.Second}
+	r := Roster{RetainFor: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
 	var ended time.Time
 	for ms := 0; ms <= 5000; ms += 200 {
--- a/weights/order_test.go
+++ b/weights/order_test.go
@@ -96,20 +96,20 @@
 		}
 		r := NewRelay(Config{}, peer.Presence{Addr: "a1", Domain: "a"}, func() []peer.Presence { return nil }, noHolders,
 			func() *fleet.Origin { return &fleet.Origin{Addr: "origin", Domain: "a"} }, o, noPeers, log)
-		r.Want(t.Context(), testModel, 2, slowOriginPieces)
+		r.Prefetch(t.Context(), testModel, 2, slowOriginPieces)
 		time.Sleep(perPiece*(slowOriginPieces-missing) + perPiece/2)
 		o.setUnavailable(true)
 		time.Sleep(time.Second)
 		before := o.sentUpToLast(2)
 		assert.Assert(t, before > slowOriginPieces/2 && before < slowOriginPieces, "%d pieces sent before the outage", before)
-		r.Want(t.Context(), testModel, 3, slowOriginPieces)
+		r.Prefetch(t.Context(), testModel, 3, slowOriginPieces)
 		time.Sleep(3 * time.Second)
 		o.setUnavailable(false)
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, len(r.missingOwnPieces(testModel, 3, slowOriginPieces)), 0)
 		assert.Equal(t, len(r.missingOwnPieces(testModel, 2, slowOriginPieces)), 0)
-		// Once the started reads of the newer version have ended, the older version gets at
-		// least half of the link.
+		// Once the reads of the newer version that had already started have ended, the older
+		// version gets at least half of the link.
 		assert.Assert(t, o.sentUpToLast(2) <= slowOriginPieces+missing+r.cfg.OriginConns, "last piece of the older version sent as piece %d in total", o.sentUpToLast(2))
 	})
 }
--- a/weights/relay_test.go
+++ b/weights/relay_test.go
@@ -198,7 +198,7 @@
 	assert.Equal(t, len(n.origin.pieces), 0)
 }
 
-// An agent that has staged another version by now serves different bytes.
+// An agent that has staged another version in the meantime serves different bytes.
 func TestPieceOfAnotherVersionIsRejected(t *testing.T) {
 	n := newNetwork(threeDomains())
 	n.hold(2)
@@ -225,8 +225,8 @@
 	}
 }
 
-// Requests for held pieces only are not forwarded.
-func TestHeldOnlyRequestIsNotForwarded(t *testing.T) {
+// Requests with LocalOnly are not forwarded.
+func TestLocalOnlyRequestIsNotForwarded(t *testing.T) {
 	n := newNetwork(threeDomains())
 	n.hold(2)
 	_, err := n.relays["b1"].Piece(t.Context(), &peer.GetPiece{Model: testModel, Version: 2, LocalOnly: true})
@@ -242,7 +242,7 @@
 	r := n.relays["a1"]
 	assert.Assert(t, r.Hold(testModel, 2))
 	assert.Assert(t, !r.Hold(testModel, 2))
-	r.Want(t.Context(), testModel, 2, testPieces)
+	r.Prefetch(t.Context(), testModel, 2, testPieces)
 	assert.Equal(t, len(n.origin.pieces), 0)
 	readAll(t, r, 2)
 }
@@ -270,7 +270,7 @@
 		n := newNetwork(map[string]string{"a1": "a"})
 		n.origin.down = true
 		r := n.relays["a1"]
-		r.Want(t.Context(), testModel, 2, testPieces)
+		r.Prefetch(t.Context(), testModel, 2, testPieces)
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, len(r.missingOwnPieces(testModel, 2, testPieces)), testPieces)
 		n.origin.mu.Lock()
@@ -330,6 +330,6 @@
 	n := newNetwork(map[string]string{"a1": "a"})
 	r := n.relays["a1"]
 	n.hold(3)
-	r.Want(t.Context(), testModel, 2, testPieces)
+	r.Prefetch(t.Context(), testModel, 2, testPieces)
 	assert.Equal(t, r.versions[testModel][0].version, 3)
 }
