--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -12,7 +12,7 @@
 
 // Modes of a link.
 const (
-	LinkWorks   LinkMode = iota
+	LinkHealthy   LinkMode = iota
 	LinkDelayed          // bytes arrive late
 	LinkRefused          // new connections are closed at once
 	LinkReset            // all connections are reset
@@ -110,7 +110,7 @@
 	defer l.breaking.Unlock()
 	l.SetMode(m)
 	time.Sleep(d)
-	l.SetMode(LinkWorks)
+	l.SetMode(LinkHealthy)
 }
 
 func (l *Link) currentMode() LinkMode {
