--- a/soak/backoff.go
+++ b/soak/backoff.go
@@ -10,14 +10,15 @@
 // Parameters of targets that refuse requests and request back-off.
 const (
 	backoffOneIn = 3 // one target in this many does
-	backoffMin   = 3 * time.Second
-	backoffMax   = 6 * time.Second
+	// backoffMin and backoffMax bound how long such a target refuses requests.
+	backoffMin = 3 * time.Second
+	backoffMax = 6 * time.Second
 )
 
 // Bounds of InvariantBackoff, as the platform documents them.
 const (
-	backoffGrace        = 500 * time.Millisecond
-	backoffAllowedSends = 2
+	backoffGrace        = 500 * time.Millisecond // after the response; arrivals within it are not counted
+	backoffAllowedSends = 2                      // requests of one entry during one back-off
 )
 
 // requestBackoff makes some targets refuse all requests and request back-off.
--- a/soak/backoff_test.go
+++ b/soak/backoff_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against entries that send targets which refuse requests and request back-off more
-// requests than the others.
+// Guards against entries that send more requests to targets that refuse them and request
+// back-off than to other targets.
 func TestSoakTargetsRequestBackoff(t *testing.T) {
 	const seed = 9401
 	runAndCheck(t, Config{Seed: seed, Only: regexp.MustCompile("targets ask for rest"), Duration: time.Second, Entries: 5, Engines: 6,
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -85,12 +85,14 @@
 	}
 }
 
-// call sends one request and records its outcome.
+// call sends one request with the rotating key of the given number, or with the permanent
+// key if it is 0, and records the outcome.
 func (c *caller) call(ctx context.Context, k kind, key int) Attempt {
 	return c.callBody(ctx, k, key, "")
 }
 
-// callBody is call with a given body; empty for one that no other request has.
+// callBody is like call, with a given body. An empty body is replaced by the request's ID,
+// which no other request has.
 func (c *caller) callBody(ctx context.Context, k kind, key int, body string) Attempt {
 	c.sent++
 	began := time.Now()
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -16,7 +16,8 @@
 	waveDuration     = 3 * time.Second
 	waveMeanInterval = 120 * time.Millisecond // mean time between two attempts
 	// wavePause is long enough for entries that were restarted meanwhile to count as able
-	// to reach the store in the second wave. That wave lasts longer than the pause.
+	// to reach the store in the second wave. That wave lasts longer than the pause, and
+	// than settleTime after a restart, so that requests through them are judged.
 	wavePause        = storeReachableWindow
 	lastWaveDuration = settleTime + 3*time.Second
 )
--- a/soak/evacuation_test.go
+++ b/soak/evacuation_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// evacuationBound is the time after the store's answer from which no request may reach a
-// target of an evacuated failure domain, as the platform documents it.
+// evacuationBound is the time after the store's response to the evacuation from which no
+// request may reach a target of that failure domain, as the platform documents it.
 const evacuationBound = 5 * time.Second
 
 // Guards against entries that ignore the evacuation of a failure domain and keep sending
@@ -37,7 +37,7 @@
 		assert.Check(t, a.Status == 200, "status %d", a.Status)
 		ids = append(ids, a.ID)
 	}
-	reached := f.runs.Reached()
+	reached := f.requestLog.Reached()
 	for _, id := range ids {
 		for _, incarnation := range reached[id] {
 			assert.Check(t, !f.isInDomain(incarnation, evacuated), "%s reached %s", id, incarnation)
--- a/soak/facts.go
+++ b/soak/facts.go
@@ -15,7 +15,7 @@
 	Runs            map[string][]string        // target incarnations that ran each request
 	Reached         map[string][]string        // target incarnations that each request reached, whether it ran or not
 	Configs         map[int]Write              // by number of the configuration, which accepts only the rotating key of the same number
-	Leaving         map[string]time.Duration   // when the store had marked a target incarnation as leaving
+	Leaving         map[string]time.Duration   // when the store had marked a target incarnation as leaving or removed it
 	Crashes         map[string][]time.Duration // when targets crashed while running a request, by request body
 	SchedulingDelay map[string]time.Duration   // by how much targets were late with each request because this process waited for CPU
 	Limits          []LimitSpan
@@ -61,7 +61,8 @@
 	r.configs[config] = w
 }
 
-// recordLeaving records that the store has marked a target incarnation as leaving.
+// recordLeaving records that the store has marked a target incarnation as leaving or
+// removed it.
 func (r *factRecorder) recordLeaving(incarnation string) {
 	at := r.elapsed()
 	r.mu.Lock()
@@ -70,28 +71,28 @@
 }
 
 // facts returns what was recorded, together with what targets recorded of the requests.
-func (r *factRecorder) facts(runs *fake.RequestLog) Facts {
+func (r *factRecorder) facts(requestLog *fake.RequestLog) Facts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	crashes := map[string][]time.Duration{}
-	for body, list := range runs.Crashes() {
+	for body, list := range requestLog.Crashes() {
 		for _, c := range list {
 			crashes[body] = append(crashes[body], c.At.Sub(r.start))
 		}
 	}
 	arrivals := map[string][]Arrival{}
-	for _, a := range runs.Arrivals() {
+	for _, a := range requestLog.Arrivals() {
 		arrivals[a.Incarnation] = append(arrivals[a.Incarnation], Arrival{a.Request, a.At.Sub(r.start)})
 	}
 	backoffs := map[string][]Backoff{}
-	for _, x := range runs.Backoffs() {
+	for _, x := range requestLog.Backoffs() {
 		backoffs[x.Incarnation] = append(backoffs[x.Incarnation], Backoff{x.Request, x.At.Sub(r.start), x.Duration})
 	}
-	return Facts{Backoffs: backoffs, Limits: slices.Clone(r.limits), Arrivals: arrivals, Runs: runs.AllExecutions(), Reached: runs.Reached(), Configs: maps.Clone(r.configs), Leaving: maps.Clone(r.leaving), Crashes: crashes, SchedulingDelay: runs.Delays()}
+	return Facts{Backoffs: backoffs, Limits: slices.Clone(r.limits), Arrivals: arrivals, Runs: requestLog.AllExecutions(), Reached: requestLog.Reached(), Configs: maps.Clone(r.configs), Leaving: maps.Clone(r.leaving), Crashes: crashes, SchedulingDelay: requestLog.Delays()}
 }
 
 // leavingSince returns the earliest time at which one of the target incarnations that a
-// request reached was marked as leaving.
+// request reached was marked as leaving or removed.
 func (f Facts) leavingSince(id string) (time.Duration, bool) {
 	var since []time.Duration
 	for _, incarnation := range slices.Concat(f.Reached[id], f.Runs[id]) {
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -25,7 +25,7 @@
 
 // fault is one kind of fault. inject returns when the fault is over.
 type fault struct {
-	name   string
+	name   string // matched by -soak.only
 	inject func(f *Fleet, rng *rand.Rand, d time.Duration)
 }
 
@@ -188,14 +188,14 @@
 	return count
 }
 
-// restart stops a process, gracefully or by SIGKILL, and starts it again.
-func (f *Fleet) restart(p *Process, after time.Duration, kill bool) {
+// restart stops a process, gracefully or by SIGKILL, and starts it again d/4 later.
+func (f *Fleet) restart(p *Process, d time.Duration, kill bool) {
 	p.restarting.Lock()
 	defer p.restarting.Unlock()
 	p.reachability.faultBegan()
 	defer p.reachability.faultEnded()
 	if kill {
-		p.MarkFaulty(after + settleTime)
+		p.MarkFaulty(d + settleTime)
 		p.Kill()
 	} else {
 		p.Signal(syscall.SIGTERM)
@@ -204,7 +204,7 @@
 			p.Kill()
 		}
 	}
-	time.Sleep(after / 4)
+	time.Sleep(d / 4)
 	if err := p.Start(); err != nil {
 		f.logf("starting %s failed: %v", p.node.Name, err)
 	}
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -52,7 +52,7 @@
 	rng          *rand.Rand
 	store        *fake.Store
 	origin       *fake.Origin
-	runs         *fake.RequestLog
+	requestLog   *fake.RequestLog
 	entries      []*Process
 	agents       []*Process
 	engines      []*fake.Target
@@ -101,7 +101,7 @@
 
 // newFleet starts the fake platform, the targets and the programs.
 func newFleet(cfg Config) (*Fleet, error) {
-	f := &Fleet{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), runs: fake.NewRequestLog(), recorder: newFactRecorder(),
+	f := &Fleet{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, 1)), requestLog: fake.NewRequestLog(), recorder: newFactRecorder(),
 		faultyUntil: map[*fake.Target]time.Time{}}
 	var err error
 	if f.store, err = fake.NewStore(); err != nil {
@@ -138,7 +138,7 @@
 		if i%2 == 0 { // the links to the other targets accept connections while the target is down
 			cfg.OnDown = func(down bool) { link.SetDown(down) }
 		}
-		t, err := fake.NewTarget(cfg, f.store, f.runs, f.origin)
+		t, err := fake.NewTarget(cfg, f.store, f.requestLog, f.origin)
 		if err != nil {
 			return err
 		}
@@ -283,8 +283,8 @@
 func (f *Fleet) ranOnFaultySince(id string, since time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, incarnation := range f.runs.Executions(id) {
-		if f.runs.Crashed(incarnation) {
+	for _, incarnation := range f.requestLog.Executions(id) {
+		if f.requestLog.Crashed(incarnation) {
 			return true
 		}
 		for t, until := range f.faultyUntil {
@@ -299,13 +299,13 @@
 // Result is the outcome of a run.
 type Result struct {
 	Violations      []Violation
-	Mixed           []fake.MixedLoad
-	Unserved        []string
+	Mixed           []fake.MixedLoad // engine loads that started without all pieces of their version
+	Unserved        []string         // what was not served, or not loaded, after the faults
 	Attempts        int
-	Served          int
-	Faults          map[string]int
-	UnexpectedExits int // process exits that the run did not cause; the processes were restarted
-	DifferingCopies int // log lines in which entries report that copies of the store differ
+	Served          int            // attempts with a complete response of status 200
+	Faults          map[string]int // number of faults drawn, by name
+	UnexpectedExits int            // process exits that the run did not cause; the processes were restarted
+	DifferingCopies int            // log lines in which entries report that copies of the store differ
 }
 
 // Run runs a fleet under load and faults and checks the invariants.
@@ -343,7 +343,7 @@
 		return nil, err
 	}
 	attempts := f.attemptLog.attempts()
-	r.Violations = Judge(attempts, f.recorder.facts(f.runs))
+	r.Violations = Judge(attempts, f.recorder.facts(f.requestLog))
 	r.Attempts = len(attempts)
 	for _, a := range attempts {
 		if a.Status == 200 && !a.Truncated {
@@ -353,8 +353,8 @@
 	return r, nil
 }
 
-// copiesDifferMessage is logged by an entry that finds that another's copy of the store
-// differs from its own.
+// copiesDifferMessage is logged by an entry when another entry's copy of the store differs
+// from its own.
 const copiesDifferMessage = "Copies of the store differ."
 
 // countDifferingCopies counts copiesDifferMessage in the entries' logs.
@@ -369,7 +369,8 @@
 	return n, nil
 }
 
-// recoveryTimeout limits how long the fleet may take until it serves again.
+// recoveryTimeout limits how long the fleet may take until it serves, after its start and
+// after the faults.
 const recoveryTimeout = 30 * time.Second
 
 // awaitService waits until each entry serves each kind of request and each engine has the
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Attempt is one request of a caller and what the caller saw.
+// Attempt is one request of a caller and what the caller observed.
 type Attempt struct {
 	ID               string
 	Kind             string // of the route
--- a/soak/leaving.go
+++ b/soak/leaving.go
@@ -21,7 +21,7 @@
 // while they remain listed as ready. Afterwards they are marked as leaving and replaced.
 func announceLeaving(f *Fleet, rng *rand.Rand, _ time.Duration) {
 	var leaving sync.WaitGroup
-	targets := append(f.engines[1:len(f.engines):len(f.engines)], f.plainTargets[1:]...) // one of each kind stays
+	targets := append(f.engines[1:len(f.engines):len(f.engines)], f.plainTargets[1:]...) // one engine and one plain target stay
 	for _, i := range rng.Perm(len(targets))[:max(len(targets)/announceLeavingOneIn, 1)] {
 		t, after := targets[i], randomDuration(rng, listedReadyMin, listedReadyMax)
 		leaving.Go(func() { f.leaveWhileListed(t, after) })
@@ -45,7 +45,8 @@
 
 // sentAfterLeavingNotice returns the attempts that reached a target more than
 // propagationBound after their entry had forwarded a response in which the target
-// announced that it is leaving. This holds whether or not the entry can reach the store.
+// announced that it is leaving. They are violations whether or not the entry can reach the
+// store.
 func sentAfterLeavingNotice(attempts []Attempt, facts Facts) []Attempt {
 	type notice struct{ entry, target string }
 	since := map[notice]time.Duration{}
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -12,6 +12,7 @@
 // Parameters of the limits that targets announce.
 const (
 	limitOneIn = 3 // one target in this many announces limits
+	// limitMin and limitMax bound how long a target announces each limit.
 	limitMin   = storeReachableWindow + limitWindow + time.Second
 	limitMax   = limitMin + 2*time.Second
 	limitSteps = 2 // limits that a target announces one after the other
@@ -20,8 +21,8 @@
 // Bounds of InvariantRateLimit, as the platform documents them.
 const (
 	limitWindow   = 4 * time.Second
-	limitOverage  = 1.5
-	limitOverhead = 5 // requests
+	limitOverage  = 1.5 // times the limit
+	limitOverhead = 5   // requests in addition, in each limitWindow
 )
 
 // LimitSpan is a period in which a target incarnation announced one limit.
@@ -49,7 +50,7 @@
 }
 
 // announceLimit makes a target announce a limit for d. The period is not judged if the
-// target was faulty meanwhile, because requests that were held up on the link arrive in a
+// target was faulty meanwhile, because requests that were delayed on the link arrive in a
 // burst.
 func (f *Fleet) announceLimit(t *fake.Target, perS float64, d time.Duration) {
 	began, from := time.Now(), f.recorder.elapsed()
--- a/soak/limit_test.go
+++ b/soak/limit_test.go
@@ -10,7 +10,7 @@
 )
 
 // Guards against entries that ignore the limits announced by overloaded targets and send
-// them as many requests as the others.
+// them as many requests as other targets.
 func TestSoakTargetsAnnounceLimits(t *testing.T) {
 	const seed = 9201
 	runAndCheck(t, Config{Seed: seed, Only: regexp.MustCompile("targets name limits"), Duration: time.Second, Entries: 5, Engines: 6,
@@ -27,7 +27,7 @@
 		return id
 	}
 	for i := range 30 {
-		arrive(time.Duration(i)*100*ms, true) // before the entries must know the limit
+		arrive(time.Duration(i)*100*ms, true) // before the entries must apply the limit
 	}
 	for range 11 {
 		arrive(5*second, true)
--- a/soak/longfaults.go
+++ b/soak/longfaults.go
@@ -13,24 +13,24 @@
 // Parameters of the long faults, which combine several events.
 const (
 	// cutMin and cutMax bound how long the entries' links to the store are broken: longer
-	// than another entry's copy may be without the store and still be followed.
+	// than an entry keeps following another entry whose copy is not confirmed by the store.
 	cutMin = 2 * time.Second
 	cutMax = 6 * time.Second
-	// configInterval is the mean time between configurations meanwhile, so that
-	// propagationBound has passed for a configuration before recentKeys newer ones are
+	// configInterval is the mean time between configurations meanwhile. It is long enough
+	// for propagationBound to pass for a configuration before recentKeys newer ones are
 	// written.
 	configInterval = 1200 * time.Millisecond
 	// leaveMin and leaveMax bound how long a target serves after it is marked as leaving.
 	leaveMin = 4 * time.Second
 	leaveMax = 6 * time.Second
 	// lateOrderMin and lateOrderMax bound how long after its arrival a delayed order is
-	// executed. An agent abandons an order after 2 s; orders executed later than that are
-	// the relevant ones.
+	// executed: after the agent has stopped waiting for the response, which it does after
+	// 0.5 s.
 	lateOrderMin = 1 * time.Second
 	lateOrderMax = 4 * time.Second
-	// versionInterval is the mean time between versions while orders are delayed. Engines
-	// change to a version one after another, the first at once and the last after a few
-	// seconds.
+	// versionInterval is the mean time between the lateVersions that are published while
+	// orders are delayed. Engines change to a version one after another, the first at once
+	// and the last after a few seconds.
 	versionInterval = 2 * time.Second
 	lateVersions    = 3
 	// reorderDuration is how long responses of the store are reordered; one target in
@@ -50,7 +50,7 @@
 
 // longFaults are the kinds of fault that determine their own duration.
 var longFaults = []fault{{"links to the store", cutStoreLinks}, {"target leaves", targetLeaves}, {"orders late", delayOrders},
-	{"news overtaken", reorderStoreAnswers}, {"domain leaves after a cut", leaveDomainAfterCut}}
+	{"news overtaken", reorderStoreResponses}, {"domain leaves after a cut", leaveDomainAfterCut}}
 
 // randomDuration returns a random duration in [from, to).
 func randomDuration(rng *rand.Rand, from, to time.Duration) time.Duration {
@@ -136,11 +136,11 @@
 	setAll(flags, false)
 }
 
-// reorderStoreAnswers reorders responses of the store while engines change to a new
+// reorderStoreResponses reorders responses of the store while engines change to a new
 // version, an entry restarts, the store discards its history and targets leave, some
 // without being marked as leaving. The targets keep serving until the entries can reach
 // the store again.
-func reorderStoreAnswers(f *Fleet, rng *rand.Rand, _ time.Duration) {
+func reorderStoreResponses(f *Fleet, rng *rand.Rand, _ time.Duration) {
 	targets := append(slices.Clone(f.engines), f.plainTargets[1:]...) // one plain target stays
 	var leaving sync.WaitGroup
 	f.reachability.faultBegan()
@@ -148,16 +148,16 @@
 	end := time.Now().Add(reorderDuration)
 	f.nextVersion()
 	for _, i := range rng.Perm(len(targets))[:len(targets)/reorderLeaveOneIn] {
-		t, after, silent := targets[i], randomDuration(rng, 0, reorderDuration), rng.IntN(2) == 0
-		leaving.Go(func() { f.leaveAndReplace(t, after, silent, end.Add(serveAfterLeaving)) })
+		t, after, unannounced := targets[i], randomDuration(rng, 0, reorderDuration), rng.IntN(2) == 0
+		leaving.Go(func() { f.leaveAndReplace(t, after, unannounced, end.Add(serveAfterLeaving)) })
 	}
-	entry, killedAfter, forgetAfter := pick(rng, f.entries), randomDuration(rng, 0, reorderDuration/2), randomDuration(rng, 0, reorderDuration)
+	entry, killAfter, compactAfter := pick(rng, f.entries), randomDuration(rng, 0, reorderDuration/2), randomDuration(rng, 0, reorderDuration)
 	leaving.Go(func() {
-		time.Sleep(killedAfter)
+		time.Sleep(killAfter)
 		f.restart(entry, time.Second, true)
 	})
 	leaving.Go(func() {
-		time.Sleep(forgetAfter)
+		time.Sleep(compactAfter)
 		f.store.Compact()
 	})
 	time.Sleep(time.Until(end))
@@ -167,12 +167,12 @@
 }
 
 // leaveAndReplace makes a target leave after a delay, lets it serve until the given time
-// and replaces it. If silent, the target is removed from the store without being marked as
-// leaving.
-func (f *Fleet) leaveAndReplace(t *fake.Target, after time.Duration, silent bool, until time.Time) {
+// and replaces it. If unannounced, the target is removed from the store without being
+// marked as leaving.
+func (f *Fleet) leaveAndReplace(t *fake.Target, after time.Duration, unannounced bool, until time.Time) {
 	time.Sleep(after)
 	leave, how := t.StartDraining, "is marked as leaving"
-	if silent {
+	if unannounced {
 		leave, how = t.Unlist, "is removed without being marked as leaving"
 	}
 	incarnation := leave()
@@ -184,8 +184,8 @@
 }
 
 // leaveDomainAfterCut blocks some entries' links to the store without closing connections
-// while configurations are published. Once the entries can reach the store again, targets
-// of one failure domain leave, some of them without being marked as leaving.
+// while configurations are published. Once the entries can reach the store again, some
+// engines of one failure domain leave, and some of these without being marked as leaving.
 func leaveDomainAfterCut(f *Fleet, rng *rand.Rand, _ time.Duration) {
 	var cuts sync.WaitGroup
 	for _, i := range rng.Perm(len(f.storeLinks))[:max(1, len(f.storeLinks)/silentCutOneIn)] {
@@ -202,8 +202,8 @@
 	var leaving sync.WaitGroup
 	for i, t := range f.engines {
 		if i%len(domains) == domain && rng.IntN(2) == 0 {
-			silent := rng.IntN(unannouncedOneIn) == 0
-			leaving.Go(func() { f.leaveAndReplace(t, 0, silent, until) })
+			unannounced := rng.IntN(unannouncedOneIn) == 0
+			leaving.Go(func() { f.leaveAndReplace(t, 0, unannounced, until) })
 		}
 	}
 	leaving.Wait()
--- a/soak/process.go
+++ b/soak/process.go
@@ -26,7 +26,7 @@
 	cmd             *exec.Cmd
 	exited          chan struct{} // closed when cmd has exited
 	starts          int
-	stopping        bool // it was told to stop
+	stopping        bool // a signal to stop has been sent
 	unexpectedExits int
 	faultyUntil     time.Time // until when the process or its links may misbehave
 }
@@ -96,7 +96,7 @@
 	}
 }
 
-// UnexpectedExits returns how often the process exited without having been told to stop.
+// UnexpectedExits returns how often the process exited without a signal to stop.
 func (p *Process) UnexpectedExits() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/soak/propagation.go
+++ b/soak/propagation.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// propagationBound is the time after the store's answer within which a configuration, or
-// the marking of a target as leaving, must take effect at each entry that can reach the
-// store.
+// propagationBound is the time after the store's response to a write within which the
+// written configuration, or the marking of a target as leaving, must take effect at each
+// entry that can reach the store.
 const propagationBound = 2 * time.Second
 
 // usedStaleConfig reports whether an entry that could reach the store accepted or denied a
@@ -29,8 +29,8 @@
 }
 
 // sentToLeaving reports whether an entry that could reach the store sent a request to a
-// target that had been marked as leaving more than propagationBound before the request was
-// sent.
+// target that had been marked as leaving, or removed from the store, more than
+// propagationBound before the request was sent.
 func (f Facts) sentToLeaving(a Attempt) bool {
 	since, ok := f.leavingSince(a.ID)
 	return ok && a.StoreReachable && a.Sent-since > propagationBound
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -12,12 +12,12 @@
 
 // Modes of a link.
 const (
-	LinkHealthy   LinkMode = iota
-	LinkDelayed          // bytes arrive late
-	LinkRefused          // new connections are closed at once
-	LinkReset            // all connections are reset
-	LinkSilent           // nothing passes; connections stay open
-	LinkOneWay           // only data sent by callers passes
+	LinkHealthy LinkMode = iota // bytes pass without delay
+	LinkDelayed                 // bytes arrive late
+	LinkRefused                 // new connections are closed at once
+	LinkReset                   // all connections are reset
+	LinkSilent                  // nothing passes; connections stay open
+	LinkOneWay                  // only data sent by callers passes
 )
 
 const linkModes = 6
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -43,8 +43,9 @@
 // their other streams, and three times a tenth to three fifths of one service's requests
 // were refused for ten seconds.
 //
-// Each crashed target lost one request without an event, in each incident of one team on
-// one route, while the other streams on the target broke midway and resumed elsewhere.
+// On each crashed target one request was lost before its first event; within an incident,
+// all of these came from one team on one route. The other streams on the target broke
+// midway and resumed elsewhere.
 func TestSoakRequestThatCrashesTargets(t *testing.T) {
 	bin := buildPrograms(t)
 	for _, seed := range []uint64{9101, 9102, 9103} {
