--- a/soak/evacuation_test.go
+++ b/soak/evacuation_test.go
@@ -24,7 +24,7 @@
 	}
 	assert.NilError(t, err)
 	missing := f.awaitService(t.Context())
-	assert.Equal(t, len(missing), 0, "%v", missing)
+	assert.Equal(t, len(missing), 0, "not served after start-up: %v", missing)
 
 	evacuated := domains[0]
 	f.store.Put(fake.KeyEvacuate(evacuated), struct{}{})
@@ -40,7 +40,7 @@
 	reached := f.requestLog.Reached()
 	for _, id := range ids {
 		for _, incarnation := range reached[id] {
-			assert.Check(t, !f.isInDomain(incarnation, evacuated), "%s reached %s", id, incarnation)
+			assert.Check(t, !f.isInDomain(incarnation, evacuated), "request %s reached %s in the evacuated failure domain", id, incarnation)
 		}
 	}
 }
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -38,7 +38,7 @@
 // String describes the violation.
 func (v Violation) String() string {
 	a := v.Attempt
-	return fmt.Sprintf("%s: request %s (%s) at %s, key %d, sent %v, answered %v, status %d, ran on %v, late there by %v; %s", v.Invariant, a.ID, a.Kind,
+	return fmt.Sprintf("%s: request %s (%s) at %s, key %d, sent %v, answered %v, status %d, ran on %v, scheduling delay %v; %s", v.Invariant, a.ID, a.Kind,
 		a.Incarnation, a.Key, a.Sent.Round(time.Millisecond), a.Answered.Round(time.Millisecond), a.Status, v.Runs, v.SchedulingDelay.Round(time.Millisecond), a.Fault)
 }
 
