--- a/control/config.go
+++ b/control/config.go
@@ -30,8 +30,9 @@
 	// failure domains that are sent a heartbeat in each round. Defaults 2 and 1.
 	LocalFanout, RemoteFanout int
 	// PauseThreshold is the time between two ticks above which the process
-	// assumes that it was paused: its state may be stale, and it does not act
-	// on it until the head is confirmed again. Default 2 s.
+	// assumes that it was paused. Its state may then be stale, so it does not
+	// act on it until the head, which names the latest published revision, is
+	// confirmed again. Default 2 s.
 	PauseThreshold time.Duration
 	// WatchTimeout is how long a reader's watch blocks at the platform. It
 	// bounds the age of the last confirmation of the head. Default 2 s.
--- a/dispatch/reserve.go
+++ b/dispatch/reserve.go
@@ -16,8 +16,8 @@
 	ReservationDeferred             // the target accepts no requests for now and is backed off from
 )
 
-// ReserveResult is the answer of a target's home entry to the reservation request of another
-// entry.
+// ReserveResult is the answer to another entry's reservation request from the home entry of a
+// target, which counts the requests that all entries send to the target.
 type ReserveResult struct {
 	Granted bool
 	Known   bool          // the home entry knows the target
--- a/dispatch/versions.go
+++ b/dispatch/versions.go
@@ -43,8 +43,8 @@
 // maxVersions bounds the versions that are kept. The deadlines of older ones have passed.
 const maxVersions = 8
 
-// SetVersion sets since when a version of a model is wanted. The time may be corrected later,
-// and a version may become known after a newer one.
+// SetVersion records that the operators want a version of a model served, and since when.
+// Another call for the same version corrects the time. Versions may be recorded in any order.
 func (b *Balancer) SetVersion(v fleet.VersionTarget, since time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/mesh/follow_test.go
+++ b/mesh/follow_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// entryCount is how many entries most tests run: the readers, as many that rank next, and
-// four more.
+// entryCount is how many entries most tests run: the first group of those that read the store
+// if their copies are old (see firstGroupRanks), and four entries of the second group.
 const entryCount = 2*readerCount + 4
 
 // maxLag is the maximum delay until an entry that reaches the store must know a change: a
--- a/mirror/monitoredstore_test.go
+++ b/mirror/monitoredstore_test.go
@@ -90,7 +90,8 @@
 	assert.Equal(t, at, now.Add(-time.Second))
 }
 
-// paidTable is a store that answers from a Table.
+// paidTable is a store that answers from a Table. Its calls count as billed, so a Follower
+// limits their rate.
 type paidTable struct {
 	*Table
 	calls atomic.Int64
--- a/peer/stream.go
+++ b/peer/stream.go
@@ -135,8 +135,8 @@
 	return context.Cause(s.ctx)
 }
 
-// Close releases the stream. It sends a reset to the peer unless the last message of
-// either direction was sent or received.
+// Close releases the stream. It sends a reset to the peer unless this side has sent its
+// last message or has received the peer's last message.
 func (s *Stream) Close() {
 	s.mu.Lock()
 	if s.closed {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -244,8 +244,9 @@
 }
 
 // evictionOrder returns all contents in the order in which they are evicted: those of the
-// caller with the most records first, idle suspects before the rest, then by the time of
-// the last crash.
+// caller with the most records first, then those of all other callers. Each of these two
+// groups begins with its idle suspects (see idleSuspect). Contents that are otherwise equal
+// are ordered by the time of their last crash, oldest first.
 func (t *Table) evictionOrder(now time.Time) []Fingerprint {
 	count := map[Caller]int{}
 	var largest Caller
--- a/sidecar/plan_test.go
+++ b/sidecar/plan_test.go
@@ -200,9 +200,10 @@
 	assert.Equal(t, d.nextAttempt.Sub(start), time.Second)
 }
 
-// A version known only to an entry that started after its announcement does not make the
-// engines overdue if the announcement of a newer version was observed: it was announced while
-// the store was unavailable.
+// A version whose announcement time is only estimated, because no entry observed the
+// announcement, is not pending if an entry observed that of a newer version. The older version
+// was then announced while the store was unavailable, so its deadline has not passed. It is
+// pending once an entry reports an observed time, which an estimate does not replace.
 func TestObservedAnnouncementTakesPrecedenceOverEstimated(t *testing.T) {
 	estimated := newAssignment(2, 0, 0)
 	estimated.AgeMs, estimated.AgeEstimated = 8000, true
--- a/spread/readers.go
+++ b/spread/readers.go
@@ -31,8 +31,8 @@
 	importChains []uint16 // count * len(domainIndex) * importChainLength
 }
 
-// Assign computes the readers of the version key with count chunks. It computes one hash
-// for each pair of a node and a chunk.
+// Assign computes which hosts read each chunk of a version: key identifies the version, and
+// count is the number of its chunks. It computes one hash for each pair of a node and a chunk.
 func Assign(key string, count int, nodes []Node) *Readers {
 	r := &Readers{key: key, count: count, nodes: slices.Clone(nodes),
 		hostIndex: make(map[string]int, len(nodes)), domainIndex: map[string]int{}}
