--- a/agent/requests.go
+++ b/agent/requests.go
@@ -44,8 +44,8 @@
 
 	intake    *intake.Intake
 	attempts  map[idempotency.AttemptID]*attempt
-	plain     []*attempt // finished without a key, answer held for a resume; oldest first
-	keyed     []*attempt // finished with a key, answer held for repeats of the key; oldest first
+	plain     []*attempt // finished without an idempotency key, answer retained for a resume; oldest first
+	keyed     []*attempt // finished with an idempotency key, answer retained for its repeats; oldest first
 	heldBytes int64      // bytes of the answers in plain and keyed
 	revision  intent.Ref
 }
@@ -213,9 +213,10 @@
 	r.dropAnswers(now)
 }
 
-// dropAnswers discards expired answers and, while the held answers exceed AnswerMemory,
-// the oldest ones. Answers held only for a resume are discarded before those held for a
-// key. The lists are sorted by age, so that each call ends at the first answer to keep.
+// dropAnswers discards expired answers and, while the retained answers exceed AnswerMemory,
+// the oldest ones. Answers that are retained only for a resume are discarded before those
+// that are retained for repeats of their idempotency key. Both lists are sorted by age, so
+// each scan ends at the first answer to keep.
 func (r *requests) dropAnswers(now time.Time) {
 	r.plain = r.dropOldest(now, r.plain, r.cfg.ResumeGrace)
 	r.keyed = r.dropOldest(now, r.keyed, r.cfg.Idempotency.KeyWindow)
--- a/agent/supervisor.go
+++ b/agent/supervisor.go
@@ -92,7 +92,8 @@
 	}
 }
 
-// configure applies the loadout of the fleet file in force.
+// configure sets the service of this host and the loadout (model, adapters and role) that
+// its engine must load according to the fleet file in force.
 func (s *supervisor) configure(snap *control.Snapshot) {
 	f := snap.Fleet()
 	if f == nil {
--- a/command/platform.go
+++ b/command/platform.go
@@ -60,8 +60,9 @@
 	meter     *peer.Meter
 }
 
-// platformFlags holds the flags of the commands that run on the platform. All other settings
-// come from the platform's settings file.
+// platformFlags holds the flags of `springgate gateway` and `springgate-agent sidecar`, which
+// run on the external platform that package platform describes. All other settings come from
+// the platform's settings file.
 type platformFlags struct {
 	logLevel string
 	admin    string
--- a/control/config.go
+++ b/control/config.go
@@ -84,8 +84,9 @@
 	HostsSerial uint64
 	// CheckedAt is the time of the last tick.
 	CheckedAt time.Time
-	// Awake is false after a pause of the process, until the head has been
-	// confirmed again.
+	// Awake is false after a pause of the process, during which its state may
+	// have become stale, until the platform has confirmed that the revision in
+	// force is the published one.
 	Awake  bool
 	Reader bool
 }
--- a/dispatch/config.go
+++ b/dispatch/config.go
@@ -13,12 +13,13 @@
 	Off mechanism.Off
 	// Regions maps failure domains to regions.
 	Regions map[string]string
-	// AdmitFraction is the fraction of a service's tightest objective that the forecast for a
-	// request of mean size may use. The rest covers the path to the caller and delays that the
-	// forecast does not model. Default 0.75.
+	// AdmitFraction is the longest forecast latency with which a request of mean size is sent
+	// to a target, as a fraction of the tightest latency objective in use by the service's
+	// callers. The rest covers the path to the caller and delays that the forecast does not
+	// model. Default 0.75.
 	AdmitFraction float64
-	// AdmitGapFraction is the fraction of the maximum gap between events that the forecast may
-	// use. Default 0.8.
+	// AdmitGapFraction is the longest gap that a request may cause, by forecast, between the
+	// events of other streams of a target, as a fraction of Demand.MaxGap. Default 0.8.
 	AdmitGapFraction float64
 	// RemoteCost is added to the forecast for targets in other failure domains, for their
 	// longer network path and billed traffic. Default 15 ms.
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -256,7 +256,9 @@
 	}
 }
 
-// retryPart and retrySpread are the defaults for the Retry-After of refused callers.
+// retryPart and retrySpread are the gateway's defaults for the Retry-After of refused callers:
+// the fraction of the time left after which they retry, and the largest random share by which
+// it is reduced.
 const retryPart, retrySpread = 1.0 / 3, 0.2
 
 // TestDetectedRetriesPerformLikeKnownOnes simulates 1.35 times the capacity for 24 s, of which
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -33,8 +33,8 @@
 	routes map[string]*timesLeft
 }
 
-// NewRetryDetector returns a detector for callers whose Retry-After is the fraction part of
-// their time left, reduced by a random share of up to spread.
+// NewRetryDetector returns a detector for callers whose Retry-After is part times their time
+// left, reduced by a random share of up to spread.
 func NewRetryDetector(part, spread float64) *RetryDetector {
 	return &RetryDetector{share: 1 - part*(1-spread), routes: map[string]*timesLeft{}}
 }
@@ -76,7 +76,7 @@
 }
 
 // RetryAfter returns the delay after which a refused caller with the given time left should
-// retry: the fraction part of it, reduced by a random share of up to spread, so that callers
+// retry: part times the time left, reduced by a random share of up to spread, so that callers
 // that are refused together do not retry together. If no target accepts requests until free has
 // passed, the delay is at least free plus a random share of up to spread. random is uniform in
 // [0, 1).
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -29,12 +29,13 @@
 	// 1.6 s, three heartbeats.
 	ExpireAfter time.Duration
 	// CatchUpAfter is how long the own copy of the store may be behind a peer's before
-	// the changes are read from that peer. Unless it is cut off, a watch of the store is
-	// faster. Default 300 ms.
+	// the changes are read from that peer. While the store is reachable, a watch of it
+	// delivers them sooner. Default 300 ms.
 	CatchUpAfter time.Duration
-	// StaleAfter is the age of the own copy above which it catches up without waiting
-	// for CatchUpAfter. A watch of the store ends every 1 s, and 1.2 s after the last
-	// one in a burst of changes. Default 1.2 s.
+	// StaleAfter is the time since the own copy was last confirmed to agree with the
+	// store, above which changes are read from a peer without waiting for CatchUpAfter.
+	// Watches of the store confirm the copy every 1 s, or after up to 1.2 s in a burst
+	// of changes, because watches start at least 200 ms apart. Default 1.2 s.
 	StaleAfter time.Duration
 	// RetryAfter is the pause before a broken link is opened again; while the entry is
 	// unreachable it doubles with every other attempt, up to MaxRetryAfter. When all
--- a/mirror/table_test.go
+++ b/mirror/table_test.go
@@ -338,7 +338,8 @@
 	return Batch{}, ctx.Err()
 }
 
-// A peer that has lost the store itself has a stale copy: the follower reads the store.
+// A peer that cannot reach the store has a stale copy. A follower of that peer must read the
+// store itself.
 func TestFollowerReadsStoreWhenPeerIsStale(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -54,13 +54,14 @@
 	Retry   time.Duration // of a refused one
 }
 
+// permit allows a host to take its engine out of service until it expires.
 type permit struct {
 	host    string
 	since   time.Time
 	expires time.Time
 }
 
-// Issuer grants permits for one service.
+// Issuer grants the hosts of one service permits to take their engines out of service.
 type Issuer struct {
 	cfg         Config
 	active      bool
--- a/sidecar/doubt.go
+++ b/sidecar/doubt.go
@@ -71,10 +71,11 @@
 	t.last += t.raisedBy
 }
 
-// inDoubtOrder is an order that may still take effect at the engine: an unanswered
-// order of this agent, or one that the previous agent may have sent. Such an order
-// refers to the staged pieces, so they must not be replaced by those of another
-// version until the order is settled.
+// inDoubtOrder is a LoadOrder that may still take effect at the engine: an unanswered
+// one of this agent process, or one that the previous agent process may have sent. It
+// loads whatever pieces are staged when it arrives, so they must not be replaced by those
+// of another version until the order is settled, that is, known not to take effect any
+// more.
 type inDoubtOrder struct {
 	open          bool
 	model         string
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -15,9 +15,10 @@
 const (
 	waveDuration     = 3 * time.Second
 	waveMeanInterval = 120 * time.Millisecond // mean time between two attempts
-	// wavePause is long enough for entries that were restarted meanwhile to count as able
-	// to reach the store in the second wave. That wave lasts longer than the pause, and
-	// than settleTime after a restart, so that requests through them are judged.
+	// wavePause is the time until entries that were restarted after the first wave count
+	// as able to reach the store. The second wave lasts longer than wavePause, and than
+	// settleTime after a restart, so that sentAfterQuarantine also judges requests through
+	// restarted entries.
 	wavePause        = storeReachableWindow
 	lastWaveDuration = settleTime + 3*time.Second
 )
--- a/weights/prefetch.go
+++ b/weights/prefetch.go
@@ -11,18 +11,20 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// Prefetch holds the pieces of a version. It prefetches those for which this entry is the reader
-// of its failure domain, since the origin may be unavailable when agents request them.
+// Prefetch retains the pieces of a version, as Hold does, and fetches those for which this entry
+// is the reader of its failure domain (see the package comment) in the background, since the
+// origin may be unavailable when agents request them.
 func (r *Relay) Prefetch(ctx context.Context, model string, version, pieces int) {
 	if r.Hold(model, version) {
 		go r.prefetch(ctx, model, version, pieces)
 	}
 }
 
-// Hold holds the pieces of a version once agents have requested them. That is sufficient for a
-// version that was announced before this process started: most engines have it staged, and
-// prefetching it would only delay the manifest on the origin's link, and agents cannot proceed
-// without the manifest. It reports whether the version is newer than those held already.
+// Hold makes the relay retain the pieces of a version that are requested from then on. That is
+// sufficient for a version that was announced before this process started: most engines have it
+// staged, and prefetching it would only delay the manifest on the origin's link, and agents
+// cannot proceed without the manifest. It reports whether the version is newer than those held
+// already.
 func (r *Relay) Hold(model string, version int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,8 +41,8 @@
 	return true
 }
 
-// prefetch reads the pieces of which this entry is the reader until all of them are held or
-// the version is no longer held.
+// prefetch fetches the pieces for which this entry is the reader of its failure domain, until
+// all of them are in memory or the version has been discarded in favour of newer ones.
 func (r *Relay) prefetch(ctx context.Context, model string, version, pieces int) {
 	start := clock.Now()
 	r.awaitHolders(ctx, model, version)
@@ -63,8 +65,8 @@
 		"ms": clock.Since(start).Milliseconds()}).Info("Prefetch of own pieces ended.")
 }
 
-// missingOwnPieces returns the pieces of which this entry is the reader and which it does not
-// hold. It returns none if the version is no longer held.
+// missingOwnPieces returns the pieces for which this entry is the reader of its failure domain
+// and which are not in memory. It returns none if the version has been discarded.
 func (r *Relay) missingOwnPieces(model string, version, pieces int) []int {
 	var own []int
 	for i := range pieces {
