--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -29,9 +29,9 @@
 // Admission holds the limits under which a request is accepted at a target. An entry sends them
 // with its reservation request to the target's home, so that both apply the same limits.
 type Admission struct {
-	MaxWait time.Duration // until the target starts on the request
-	MaxGap  time.Duration // longest gap between events of other streams; zero for no limit
-	MaxLoad int           // requests already at the target; zero for no limit
+	MaxWait time.Duration // longest forecast time until the target starts on the request
+	MaxGap  time.Duration // longest forecast gap between events of the target's other streams; zero for no limit
+	MaxLoad int           // refused once this many requests are at the target; zero for no limit
 }
 
 // admits reports whether a target with the given load and forecast may take the request. The
@@ -41,23 +41,23 @@
 		return false
 	}
 	if a.MaxGap > 0 && f.Gap > a.MaxGap && l.PendingPrefill > 0 {
-		return false // with no other prompt pending, a long one has to be accepted at some point
+		return false // with no other prompt pending, a long prompt is accepted, or it would be refused forever
 	}
 	return f.Wait <= max(a.MaxWait, f.IdleWait)
 }
 
-// Under sustained overload, overdue requests leave one in overdueReserve slots free and accept
-// only overdueWaitFraction of the common wait: a slot that is busy with a late response is not
-// available to fresh requests.
+// While a service is overloaded, overdue requests leave one in overdueReserve of a target's slots
+// free and wait no longer than overdueWaitFraction of the common wait (see commonWait): a slot
+// that is busy with a late response is not available to fresh requests.
 const (
 	overdueReserve      = 8
 	overdueWaitFraction = 0.5
 )
 
 // admission returns the limits for a request that may be sent to t. All requests of a service
-// that can still be in time accept the same wait, whatever their objective and size. If each
-// were tested against its own objective, the load would rise until only the loosest objectives
-// were met, and requests with tighter ones would starve.
+// that can still be in time have the same MaxWait, whatever their objective and size. If each
+// request were tested against its own objective, the load would rise until only the loosest
+// objectives were met, and requests with tighter objectives would starve.
 func (b *Balancer) admission(now time.Time, t *Target, stats *objectiveStats, d Demand) Admission {
 	a := Admission{MaxWait: b.commonWait(t, stats, d), MaxGap: time.Duration(b.cfg.AdmitGapFraction * float64(d.MaxGap))}
 	switch d.Standing {
@@ -82,7 +82,7 @@
 }
 
 // commonWait returns the longest wait at t with which a request of mean size meets every
-// objective in use by the service's callers.
+// objective that at least minObjectiveShare of the service's requests have.
 func (b *Balancer) commonWait(t *Target, stats *objectiveStats, d Demand) time.Duration {
 	if b.cfg.Off.Has(mechanism.CommonWait) || stats == nil || len(stats.shares) == 0 {
 		return b.slack(t, d.Objective, d.Prompt)
@@ -96,7 +96,8 @@
 	return least
 }
 
-// slack returns how long a request may wait at t and still meet its objective.
+// slack returns how long a request may wait at t and still be served within the fraction
+// Config.AdmitFraction of its objective.
 func (b *Balancer) slack(t *Target, objective time.Duration, prompt int) time.Duration {
 	service := b.plainLatency(t)
 	if t.model != nil {
--- a/dispatch/backoff_test.go
+++ b/dispatch/backoff_test.go
@@ -32,8 +32,8 @@
 	assert.Equal(t, v, Paced, "resumed streams respect the back-off too")
 }
 
-// Callers that wait for the end of a back-off must not be sent together, or all are refused
-// again.
+// Requests that wait for the end of a target's back-off must not all be sent at once, or all are
+// refused again.
 func TestSingleProbeAfterBackoff(t *testing.T) {
 	b := newTestBalancer(nil, Config{}, plain(1))
 	recordBackoff(b, start, plain(1), time.Second)
--- a/dispatch/balancer.go
+++ b/dispatch/balancer.go
@@ -13,7 +13,8 @@
 	"github.com/springgate/springgate/residency"
 )
 
-// EngineState is the state of an engine as reported by its agent.
+// EngineState is the state of an engine as reported by its agent, the process that loads the
+// engine's weights.
 type EngineState struct {
 	Version int // fully loaded version; 0 if none
 	Loading bool
@@ -21,19 +22,20 @@
 }
 
 // Target is an instance together with this entry's view of it. Its fields are guarded by the
-// Balancer.
+// Balancer's mutex.
 type Target struct {
 	fleet.Instance
 	model           *fleet.EngineModel
 	own             Load
 	entryLoads      map[string]Load // by entry
-	responsiveTo    map[string]bool // entries that currently receive data from it
+	responsiveTo    map[string]bool // other entries that currently receive data from the target
 	load            Load            // own plus entryLoads
 	health          health
 	replaced        bool
 	connectionsLost int // requests of this entry whose connection to the target was lost
 	pace            pacer
-	// coldRate is the request rate per second that a cold target can sustain; 0 for no limit.
+	// coldRate is the number of requests per second that the target can sustain while it is
+	// cold, that is, until Instance.ColdUntil; 0 for no limit.
 	coldRate float64
 }
 
@@ -93,8 +95,8 @@
 	b.notifyChanged()
 }
 
-// SetEvacuated replaces the set of evacuated failure domains. It returns how many of them have
-// no known region.
+// SetEvacuated replaces the set of evacuated failure domains, to which operators want no requests
+// sent. It returns how many of the given domains have no known region.
 func (b *Balancer) SetEvacuated(domains []string) (unknown int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -146,15 +148,15 @@
 }
 
 // Silent reports whether a target with requests in flight has sent nothing for longer than its
-// limit.
+// silenceLimit.
 func (b *Balancer) Silent(now time.Time, t *Target) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return t.health.silent(now, t.silenceLimit())
 }
 
-// RecordActivity records that a target sent data. first is the number of prompt tokens of the
-// request whose first event arrived, or zero.
+// RecordActivity records that a target sent data. If the data was the first event of a request,
+// first is the number of prompt tokens of that request, and zero otherwise.
 func (b *Balancer) RecordActivity(now time.Time, t *Target, first int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -165,11 +167,11 @@
 
 // Result describes how a request ended at a target.
 type Result struct {
-	PendingPrefill int           // prompt tokens, if no first event arrived
+	PendingPrefill int           // prompt tokens of the request if no first event arrived, else zero
 	Failed         bool          // the target failed the request
 	ConnectFailed  bool          // no connection could be established
-	Replaced       bool          // another instance uses the address
-	Silent         bool          // the target had stopped sending
+	Replaced       bool          // another instance now uses the target's address
+	Silent         bool          // the request was abandoned because the target sent nothing
 	ConnectionLost bool          // the connection broke before the response was complete
 	Latency        time.Duration // until the complete response; zero if there was none
 }
@@ -216,7 +218,8 @@
 }
 
 // ConnectionsLost returns how many requests of this entry lost their connection to a target. If
-// the target's process has ended they were lost with it; otherwise only the connections broke.
+// the target's process has ended, the requests were lost with it; otherwise only their
+// connections broke.
 func (b *Balancer) ConnectionsLost(instance string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -227,8 +230,8 @@
 	return t.connectionsLost
 }
 
-// Serving reports whether a target is listed and not leaving. The end of a target that is
-// leaving or no longer listed is expected.
+// Serving reports whether a target is listed and not leaving, that is, not about to shut down.
+// That the process of a leaving or unlisted target ends is expected and no crash.
 func (b *Balancer) Serving(t *Target) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/dispatch/balancer_test.go
+++ b/dispatch/balancer_test.go
@@ -195,7 +195,7 @@
 }
 
 // An engine with slow prefill sends nothing while it processes prompts. A plain target with a
-// high latency sends nothing for that time.
+// high latency sends nothing until its response is ready. Neither is silent.
 func TestSlowTargetsAreNotReportedSilentTooEarly(t *testing.T) {
 	m := engineModel()
 	m.PrefillRate /= 20
--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -1,8 +1,11 @@
 // Package dispatch chooses the target of a request in the mode of `springgate gateway`. It uses
 // the engines' cost model, the load that all entries report, and the observed health of
-// targets. Each target has one home entry, which counts the requests that all entries send to
-// it and grants them reservations. The package does no I/O; clock readings and randomness are
-// arguments.
+// targets. An entry is a process that receives callers' requests and sends them on to targets.
+// Each target has one home entry, which counts the requests that all entries send to the target
+// and grants the entries reservations for them. A target is either a model engine, which has a
+// cost model, or a plain target, which has none. The objective of a request is the latency of
+// the first event up to which the request counts as in time. The package does no I/O; clock
+// readings and randomness are arguments.
 package dispatch
 
 import (
@@ -15,7 +18,7 @@
 // Load is the work in flight at a target.
 type Load struct {
 	Requests       int // sent and not yet answered completely
-	PendingPrefill int // prompt tokens of requests without a first event
+	PendingPrefill int // prompt tokens of the requests whose first event has not arrived
 }
 
 func (l Load) add(o Load) Load {
@@ -25,7 +28,7 @@
 // Demand describes what a request requires of a target.
 type Demand struct {
 	Prompt      int           // tokens
-	Objective   time.Duration // latency of the first event
+	Objective   time.Duration // longest latency of the first event that counts as in time
 	MaxGap      time.Duration // longest gap between events; zero for no limit
 	Domain      string        // failure domain of the entry
 	Standing    Standing
@@ -37,10 +40,11 @@
 	Wait       time.Duration // until the target starts on the request
 	IdleWait   time.Duration // the part of Wait that also applies at an idle target
 	FirstEvent time.Duration // until the first event or the response
-	Gap        time.Duration // longest gap caused between events of other streams
+	Gap        time.Duration // longest gap that the request causes between events of other streams
 }
 
-// passTime returns the duration of one engine pass that decodes n sequences.
+// passTime returns the duration of one engine pass, a batch of m.StepsPerPass decode steps, for
+// n sequences.
 func passTime(m *fleet.EngineModel, n int) time.Duration {
 	n = min(max(n, 1), m.Slots)
 	context := float64(m.MeanPrompt+m.MeanAnswer/2) / 1000
@@ -48,7 +52,7 @@
 	return time.Duration(m.StepsPerPass) * (m.Step + time.Duration(n)*perSeq)
 }
 
-// prefillTime returns how long an engine takes to process prompt tokens.
+// prefillTime returns how long an engine takes to process the given number of prompt tokens.
 func prefillTime(m *fleet.EngineModel, tokens int) time.Duration {
 	if m.PrefillRate <= 0 {
 		return 0
@@ -72,7 +76,8 @@
 }
 
 // slotInterval returns the mean time between two request completions at a full engine. The
-// prompts of requests that wait for a slot are already counted as pending prefill.
+// prompts of requests that wait for a slot are already counted as pending prefill, so their
+// prefill time is not included.
 func slotInterval(m *fleet.EngineModel, pass time.Duration) time.Duration {
 	passes := max(m.MeanAnswer/m.StepsPerPass, 1)
 	return time.Duration(passes) * pass / time.Duration(m.Slots)
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -4,15 +4,15 @@
 
 // Limits of health tracking.
 const (
-	// failureWeight is the weight of the latest response in the failure rate. A target without
-	// earlier failures exceeds maxFailureRate after two consecutive failures.
+	// failureWeight is the weight of the latest response in the moving failure rate. A target
+	// without earlier failures exceeds maxFailureRate after two consecutive failures.
 	failureWeight = 0.2
 	// maxFailureRate is the failure rate above which a target is ejected. Load balancing and
 	// retries compensate for one failure in five; above one in three a request does better
 	// elsewhere.
 	maxFailureRate = 0.35
-	// ejectBase is the duration of the first ejection. Each further one within ejectMemory
-	// lasts twice as long, up to ejectMax.
+	// ejectBase is the duration of the first ejection. Each ejection that begins within
+	// ejectMemory of the start of the previous one lasts twice as long as that, up to ejectMax.
 	ejectBase   = 800 * time.Millisecond
 	ejectMax    = 6 * time.Second
 	ejectMemory = 15 * time.Second
@@ -20,19 +20,20 @@
 	// counts as silent: long enough for a lost packet to be retransmitted.
 	minSilence = 600 * time.Millisecond
 	// silentFactor is the multiple of the expected time after which a target counts as silent.
-	// Expected is one pass with all pending prompts for an engine, the mean latency for a plain
-	// target.
+	// The expected time is that of one pass with all pending prompts for an engine, and the mean
+	// latency for a plain target.
 	silentFactor = 3
-	// silenceReportDuration is how long an entry reports a target as silent after it gave up on
-	// it, which spans several load reports.
+	// silenceReportDuration is how long an entry reports a target to other entries as silent
+	// after it abandoned a request there. It spans several load reports, which carry this.
 	silenceReportDuration = 500 * time.Millisecond
 	// activityWindow is how recently an entry must have received data from a target to report
-	// it as responsive. Streams send an event every 50 to 100 ms; a pass takes up to 400 ms.
+	// the target as responsive. Streams send an event every 50 to 100 ms; an engine pass takes up
+	// to 400 ms.
 	activityWindow = 400 * time.Millisecond
 	// suspectDuration is how long a target gets no requests after another entry reported it
-	// silent. It then gets one request at a time until it has answered.
+	// silent. After that time the target gets one request at a time until it has answered.
 	suspectDuration = 1200 * time.Millisecond
-	// latencyWeight is the weight of the latest latency in the mean.
+	// latencyWeight is the weight of the latest latency in the moving mean.
 	latencyWeight = 0.1
 )
 
@@ -42,10 +43,10 @@
 	ejections    int
 	ejectedUntil time.Time
 	ejectedAt    time.Time
-	waitingSince time.Time // since when it has had requests in flight and sent nothing; zero if idle
-	activeAt     time.Time // when it last sent data to this entry
-	abandonedAt  time.Time // when this entry last gave up on it because it was silent
-	suspectedAt  time.Time // when another entry last reported it silent
+	waitingSince time.Time // since when the target has had requests in flight and sent nothing; zero if idle
+	activeAt     time.Time // when the target last sent data to this entry
+	abandonedAt  time.Time // when this entry last abandoned a request because the target was silent
+	suspectedAt  time.Time // when another entry last reported the target silent
 	latency      time.Duration
 }
 
@@ -91,14 +92,14 @@
 	return h.silent(now, limit) || h.activeAt.Before(h.abandonedAt) && now.Sub(h.abandonedAt) < silenceReportDuration
 }
 
-// suspected reports whether another entry found the target silent and this one has received
-// nothing from it since.
+// suspected reports whether another entry reported the target silent within suspectDuration and
+// this entry has received nothing from the target since.
 func (h *health) suspected(now time.Time) bool {
 	return h.activeAt.Before(h.suspectedAt) && now.Sub(h.suspectedAt) < suspectDuration
 }
 
-// unconfirmed reports whether the target was silent and nothing has been received from it
-// since.
+// unconfirmed reports whether this or another entry ever found the target silent and this entry
+// has received nothing from the target since.
 func (h *health) unconfirmed() bool {
 	return h.activeAt.Before(h.suspectedAt) || h.activeAt.Before(h.abandonedAt)
 }
--- a/dispatch/loads.go
+++ b/dispatch/loads.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// SetLoads replaces the load that another entry has in flight. An empty map removes it.
+// SetLoads replaces the loads, by target ID, that the other entry from has in flight. Targets that
+// are not in the map have none.
 func (b *Balancer) SetLoads(from string, loads map[string]Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -18,7 +19,8 @@
 	b.notifyChanged()
 }
 
-// UpdateLoads replaces the load that another entry has in flight at the given targets.
+// UpdateLoads replaces the loads, by target ID, that the other entry from has in flight at the
+// targets in the map.
 func (b *Balancer) UpdateLoads(from string, loads map[string]Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,7 +45,7 @@
 	t.load = Load{t.load.Requests + l.Requests - old.Requests, t.load.PendingPrefill + l.PendingPrefill - old.PendingPrefill}
 }
 
-// OwnLoads returns the load that this entry has in flight.
+// OwnLoads returns the loads that this entry has in flight, by target ID.
 func (b *Balancer) OwnLoads() map[string]Load {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,7 +72,8 @@
 	return out
 }
 
-// ResponsiveTargets returns the targets with requests of this entry that sent data recently.
+// ResponsiveTargets returns the IDs of the targets that process requests of this entry and sent
+// it data within activityWindow.
 func (b *Balancer) ResponsiveTargets(now time.Time) map[string]bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,8 +86,9 @@
 	return out
 }
 
-// SetResponsive records whether another entry receives data from a target. A target that lost a
-// single response is silent for one entry only.
+// SetResponsive records whether the other entry from receives data from a target. A target that
+// is responsive to others is not treated as silent: if it lost only a single response, it is
+// silent for one entry only.
 func (b *Balancer) SetResponsive(from, instance string, responsive bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/dispatch/notices.go
+++ b/dispatch/notices.go
@@ -7,8 +7,8 @@
 	"github.com/springgate/springgate/notice"
 )
 
-// RecordStatement records the statement in a target's response to a request that was sent at
-// the given time.
+// RecordStatement records the statement (rate limit, leaving, back-off) in a target's response to
+// a request that was sent at the given time.
 func (b *Balancer) RecordStatement(now time.Time, i fleet.Instance, s notice.Statement, sent time.Time) notice.Change {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -39,7 +39,8 @@
 	return changed
 }
 
-// applyLimitChange applies a changed limit of a target. The caller holds the lock.
+// applyLimitChange applies a changed limit of a target. If the target had none before, the
+// requests of the current window count as used up. The caller holds the lock.
 func (b *Balancer) applyLimitChange(now time.Time, inc notice.Incarnation, before notice.Limit) {
 	t := b.byID[inc.Target]
 	if t != nil && fleet.SameIncarnation(t.StartMs, inc.StartMs) && !before.Declared {
@@ -48,7 +49,7 @@
 	b.notifyChanged()
 }
 
-// Reports returns the states that targets have declared, for other entries.
+// Reports returns the states that targets have declared, to be sent to other entries.
 func (b *Balancer) Reports() []notice.Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -66,8 +67,8 @@
 	return notice.Report{Incarnation: notice.IncarnationOf(&t.Instance), State: b.stateOf(t)}
 }
 
-// UpdateNotices marks targets that are draining in the list as leaving, and removes the state
-// of targets that have been unlisted for some time.
+// UpdateNotices marks targets as leaving that the instance list shows as draining, and removes the
+// state of targets that have been unlisted for some time.
 func (b *Balancer) UpdateNotices(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -90,11 +91,12 @@
 	return b.notices.BackoffOf(notice.IncarnationOf(&t.Instance))
 }
 
-// leaving reports whether a target is leaving, by the list or its own statement. The caller
-// holds the lock.
+// leaving reports whether a target is leaving, according to the instance list or to its own
+// statement. The caller holds the lock.
 func (b *Balancer) leaving(t *Target) bool { return t.Draining || b.stateOf(t).Leaving }
 
-// initPace initializes the pacer of a target that is new to this entry, if it is cold.
+// initPace initializes the pacer of a target that is new to this entry. If the target is cold,
+// only initialColdQuota requests remain for the first window.
 func (t *Target) initPace() {
 	at := t.ColdUntil.Add(-t.ColdFor)
 	if r := t.rate(at, notice.Limit{}); r.bounded {
--- a/dispatch/objectives.go
+++ b/dispatch/objectives.go
@@ -28,7 +28,7 @@
 }
 
 // overloadWindow is how long a service counts as overloaded after it refused a fresh request:
-// about as long as an engine works on one.
+// about as long as an engine works on one request.
 const overloadWindow = time.Second
 
 func (s *objectiveStats) overloaded(now time.Time) bool {
@@ -39,7 +39,7 @@
 type objectiveShare struct {
 	objective time.Duration
 	count     float64
-	prompts   float64 // tokens
+	prompts   float64 // prompt tokens of all these requests
 }
 
 func (o objectiveShare) meanPrompt() int { return int(o.prompts / o.count) }
--- a/dispatch/overload_test.go
+++ b/dispatch/overload_test.go
@@ -46,7 +46,7 @@
 	retries  int
 	// timeout draws a caller's timeout; if nil, refused callers retry after 1 to 2 s.
 	timeout func(*rand.Rand) time.Duration
-	// detector detects retries; if nil, they are known.
+	// detector detects retries; if nil, the simulation knows which requests are retries.
 	detector *RetryDetector
 	burst    func(now time.Time) float64 // factor applied to the arrival rate
 
@@ -208,8 +208,8 @@
 	return kinds, sum.share()
 }
 
-// TestNoKindIsStarved overloads a service with very different kinds of requests. Each kind must
-// get at least half of the overall fraction in time.
+// TestNoKindIsStarved overloads a service with very different kinds of requests. The fraction of
+// requests answered in time must be, for each kind, at least half of the fraction for all kinds.
 func TestNoKindIsStarved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var kinds []callerKind
@@ -229,10 +229,10 @@
 	})
 }
 
-// TestServiceRecoversAfterABurst checks that the fraction in time is restored 2 s after the end
-// of a burst, when the last refused caller has retried, however often callers retry. If retries
-// took precedence, they would keep the fleet busy with late responses for as long as it is
-// loaded.
+// TestServiceRecoversAfterABurst checks that the fraction of requests answered in time is restored
+// 2 s after the end of a burst, when the last refused caller has retried, however often callers
+// retry. If retries took precedence, they would keep the fleet busy with late responses for as
+// long as it is loaded.
 func TestServiceRecoversAfterABurst(t *testing.T) {
 	for _, retries := range []int{1, 3} {
 		kinds := []callerKind{{400 * time.Millisecond, 1000, 90, 30}, {300 * time.Millisecond, 600, 60, 30}}
@@ -263,8 +263,8 @@
 
 // TestDetectedRetriesPerformLikeKnownOnes simulates 1.35 times the capacity for 24 s, of which
 // the last 20 s count, with callers that have different timeouts and retry once. With detected
-// retries, at least 95% as many requests must be in time as with known retries, and no kind may
-// get less than 0.6 of the overall fraction.
+// retries, at least 95% as many requests must be in time as with known retries, and the fraction
+// in time of no kind may be less than 0.6 of the fraction of all kinds.
 func TestDetectedRetriesPerformLikeKnownOnes(t *testing.T) {
 	kinds := []callerKind{{400 * time.Millisecond, 1000, 90, 48}, {300 * time.Millisecond, 600, 60, 48}}
 	simulate := func(seed uint64, detector *RetryDetector) (byKind []float64, all float64) {
--- a/dispatch/pace.go
+++ b/dispatch/pace.go
@@ -74,13 +74,14 @@
 	p.sent = p.sent[max(len(p.sent)-maxPacingSamples, 0):]
 }
 
-// undo removes the latest request.
+// undo removes the latest request from the count.
 func (p *pacer) undo() {
 	p.sent = p.sent[:max(len(p.sent)-1, 0)]
 }
 
-// exhaust counts as many requests as the rate allows now, except for keep. Requests sent before
-// the rate was known, or by other entries, are unknown and assumed to have used it up.
+// exhaust counts all but keep of the requests that the rate allows in one window, and at least
+// one, as sent now. Requests sent before the rate was known, or by other entries, are unknown and
+// assumed to have used up the window.
 func (p *pacer) exhaust(now time.Time, r rate, keep int) {
 	n, _ := r.window()
 	for range max(n-keep, 1) {
--- a/dispatch/pick.go
+++ b/dispatch/pick.go
@@ -30,11 +30,11 @@
 // Choice is the target chosen for a request.
 type Choice struct {
 	Target *Target
-	// Instance is the target as listed at the time of the choice; that of Target changes with
-	// the list.
+	// Instance is a copy of Target.Instance at the time of the choice; Target.Instance changes
+	// with the list.
 	Instance      fleet.Instance
 	EntryRevision int64 // revision of the target's list entry at the time of the choice
-	Unlisted      bool  // the target's list entry had disappeared
+	Unlisted      bool  // the target's list entry had recently disappeared
 	// StartBy is when the request must have started at the target, because the version that it
 	// serves expires then; zero for no limit.
 	StartBy   time.Time
@@ -47,7 +47,7 @@
 }
 
 // Pick chooses a target of service and counts the request there; the caller must call Finish or
-// Cancel. Instances in avoid are skipped.
+// Cancel. Instances whose IDs are in avoid are skipped.
 func (b *Balancer) Pick(now time.Time, service string, d Demand, avoid []string) (Choice, Verdict) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -154,7 +154,7 @@
 }
 
 // usable reports whether a target may get requests: an engine must hold all layers of a version
-// that has not expired.
+// of its model that has not expired, and must not be loading another.
 func (b *Balancer) usable(now time.Time, t *Target) bool {
 	if t.Draining || t.replaced {
 		return false
@@ -174,7 +174,7 @@
 }
 
 // serving returns the version that an engine has fully loaded and whether it is loading one, as
-// reported by its agent or else by the list.
+// reported by its agent or, without such a report, by the instance list.
 func (b *Balancer) serving(t *Target) (version int, loading bool) {
 	if s, reported := b.states[t.Addr]; reported && (s.StartMs >= t.StartMs || s.StartMs == 0) { // otherwise the report is of an earlier incarnation
 		return s.Version, s.Loading
--- a/dispatch/reserve.go
+++ b/dispatch/reserve.go
@@ -13,7 +13,7 @@
 const (
 	ReservationGranted  Reservation = iota
 	ReservationDenied               // the target is now too loaded
-	ReservationDeferred             // the target accepts no requests for now and is backed off from
+	ReservationDeferred             // the target accepts no requests for now; this entry sends it none for a while
 )
 
 // ReserveResult is the answer to another entry's reservation request from the home entry of a
@@ -21,15 +21,15 @@
 type ReserveResult struct {
 	Granted bool
 	Known   bool          // the home entry knows the target
-	Wait    time.Duration // until the target accepts the next request; zero if its rate is not the reason
+	Wait    time.Duration // until the target's rate limit allows the next request; zero if it allows one now
 	Report  notice.Report // state of the target known to the home entry
 }
 
-// Reserve decides, as the home entry of a target, whether another entry may send one more
-// request with the given prompt to it, under that entry's admission limits. A granted request
-// counts as that entry's load until its next load report. A reservation at an unknown target is
-// granted, since the requesting entry may have a newer list. In an evacuated failure domain no
-// reservation is granted.
+// Reserve decides, as the home entry of a target, whether the entry from may send one more request
+// with the given number of prompt tokens to the target, under that entry's admission limits. A
+// granted request counts as that entry's load until its next load report. A reservation at an
+// unknown target is granted, since the requesting entry may have a newer list. In an evacuated
+// failure domain no reservation is granted.
 func (b *Balancer) Reserve(now time.Time, from, instance string, prompt int, a Admission) ReserveResult {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,8 +52,8 @@
 	return p
 }
 
-// BackOff stops sending requests to a target for the time in which its home entry grants no
-// reservations.
+// BackOff stops sending requests to a target for the given wait, in which the target's home entry
+// grants no reservations.
 func (b *Balancer) BackOff(now time.Time, instance string, wait time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -63,7 +63,7 @@
 }
 
 // BackOffUnanswered backs off from a target with a limited rate because its home entry did not
-// answer: without it, the number of requests that other entries send is unknown.
+// answer: without that answer, the number of requests that other entries send is unknown.
 func (b *Balancer) BackOffUnanswered(now time.Time, instance string) {
 	b.BackOff(now, instance, unansweredBackoff)
 }
--- a/dispatch/retry.go
+++ b/dispatch/retry.go
@@ -13,17 +13,18 @@
 	// retrySampleSize is how many of a route's latest requests are used to estimate the typical
 	// initial timeout.
 	retrySampleSize = 32
-	// typicalRank is the rank, by time left, of the request that is taken as typical. It is not
-	// the highest, as a few callers allow more time than the others; most requests are first
-	// attempts or retries with less time left.
+	// typicalRank is the index, in ascending order of the time left, of the one of a route's
+	// latest retrySampleSize requests that is taken as a typical first attempt. It is not the
+	// highest, as a few callers allow more time than the others; most requests are first
+	// attempts, or retries with less time left.
 	typicalRank = 28
 )
 
-// RetryDetector distinguishes retries of refused callers from new requests by the time that
-// they have left. Each caller of a route may start with a different timeout; one that honored
-// Retry-After has used up a known fraction of it. A caller that retries sooner is mistaken for
-// a new one, and a new one with a far shorter timeout than the others for a retry. Its methods
-// may be called concurrently.
+// RetryDetector distinguishes retries of refused callers from new requests by the time left until
+// the caller gives up. Each caller of a route may start with a different timeout; a caller that
+// honored Retry-After has used up a known fraction of its timeout. A caller that retries sooner is
+// mistaken for a new one, and a new one with a far shorter timeout than the others for a retry.
+// The detector's methods may be called concurrently.
 type RetryDetector struct {
 	// share is the largest fraction of its initial timeout that a caller has left when it
 	// retries.
@@ -33,8 +34,8 @@
 	routes map[string]*timesLeft
 }
 
-// NewRetryDetector returns a detector for callers whose Retry-After is part times their time
-// left, reduced by a random share of up to spread.
+// NewRetryDetector returns a detector for callers whose Retry-After is the fraction part of their
+// time left, reduced by a random fraction of up to spread.
 func NewRetryDetector(part, spread float64) *RetryDetector {
 	return &RetryDetector{share: 1 - part*(1-spread), routes: map[string]*timesLeft{}}
 }
@@ -76,10 +77,10 @@
 }
 
 // RetryAfter returns the delay after which a refused caller with the given time left should
-// retry: part times the time left, reduced by a random share of up to spread, so that callers
-// that are refused together do not retry together. If no target accepts requests until free has
-// passed, the delay is at least free plus a random share of up to spread. random is uniform in
-// [0, 1).
+// retry: the fraction part of the time left, reduced by a random fraction of up to spread, so that
+// callers that are refused together do not retry together. free is the time until a target accepts
+// requests again; the delay is at least free, lengthened by a random fraction of up to spread.
+// random is uniform in [0, 1).
 func RetryAfter(left, free time.Duration, part, spread, random float64) time.Duration {
 	usual := part * (1 - spread*random) * float64(left)
 	return time.Duration(max(usual, (1+spread*random)*float64(free)))
--- a/dispatch/versions.go
+++ b/dispatch/versions.go
@@ -40,7 +40,8 @@
 	return first
 }
 
-// maxVersions bounds the versions that are kept. The deadlines of older ones have passed.
+// maxVersions bounds the wanted versions that are kept for each model. The deadlines of older
+// versions have passed.
 const maxVersions = 8
 
 // SetVersion records that the operators want a version of a model served, and since when.
