--- a/residency/residency.go
+++ b/residency/residency.go
@@ -5,8 +5,8 @@
 
 import "slices"
 
-// HomeRegions are the regions in which a request may run, by its route and by its team. Both
-// restrict it; an empty list allows all regions.
+// HomeRegions are the regions in which a request may run, by its route and by its team. A region
+// must be allowed by both lists; an empty list allows all regions.
 type HomeRegions struct {
 	Route, Team []string
 }
@@ -20,8 +20,9 @@
 	return len(homes) == 0 || slices.Contains(homes, region)
 }
 
-// Policy holds the regions and evacuations of failure domains at one revision of the store. It
-// is immutable; a nil Policy has no regions and no evacuations.
+// Policy holds the regions and evacuations of failure domains at one revision of the store in
+// which operators set evacuations. It is immutable; a nil Policy has no regions and no
+// evacuations.
 type Policy struct {
 	regions   map[string]string // by failure domain
 	evacuated map[string]bool   // by failure domain
--- a/residency/residency_test.go
+++ b/residency/residency_test.go
@@ -12,7 +12,7 @@
 	for name, c := range map[string]struct {
 		evacuated []string
 		homes     HomeRegions
-		want      string // those of the domains a, b, c and x that may run it
+		want      string // those of the domains a, b, c and x that may run the request
 	}{
 		"anywhere":                        {nil, HomeRegions{}, "abcx"},
 		"home of the route":               {nil, HomeRegions{Route: north}, "ab"},
