--- a/mechanism/mechanism.go
+++ b/mechanism/mechanism.go
@@ -1,5 +1,5 @@
-// Package mechanism names the mechanisms of the request and weight paths that can be disabled
-// individually, to measure the effect of each. All are enabled by default.
+// Package mechanism names the mechanisms for serving requests and for distributing model weights
+// that can be disabled individually, to measure the effect of each. All are enabled by default.
 package mechanism
 
 import (
@@ -14,20 +14,20 @@
 
 // Mechanisms, with the behavior when each is disabled.
 const (
-	CommonWait     Mechanism = iota // each request accepts the wait that its own objective allows
-	OverdueLast                     // retries of refused callers count as fresh requests
+	CommonWait     Mechanism = iota // each request may wait at a target as long as its own latency objective allows
+	OverdueLast                     // retries of refused callers have the precedence of first attempts
 	Patience                        // fresh requests are refused without waiting for a target
 	RetryAfter                      // refused callers are told to retry after 1 s
-	Homes                           // entries choose targets without a reservation from the target's home entry
-	SharedLoads                     // entries know only their own load
+	Homes                           // entries send requests without a reservation from the target's home entry, which counts those of all entries
+	SharedLoads                     // each entry knows only the load of its own requests at a target
 	SharedSilence                   // each entry detects silent targets on its own
 	RemoteCost                      // targets in other failure domains cost no more than local ones
 	Ejection                        // targets that fail requests stay in rotation
 	Resume                          // broken streams are not resumed at another target
-	LateFirstEvent                  // requests wait for silent targets until the deadline
-	Turns                           // engines switch to a version as soon as it is staged, without staggering
+	LateFirstEvent                  // requests wait for the first event of a silent target until their deadline
+	Turns                           // engines load a version as soon as its weights are staged, without staggering
 	OlderVersion                    // a version is not loaded while a newer one is expected
-	NearRelay                       // pieces are fetched from the origin, not from nearby agents
+	NearRelay                       // pieces of weights are fetched from the origin, not from nearby agents
 	Quarantine                      // requests that crash targets are sent again
 	count
 )
