--- a/notice/backoff.go
+++ b/notice/backoff.go
@@ -7,8 +7,8 @@
 const probeTimeout = 500 * time.Millisecond
 
 // Backoff is a period in which a target wants no requests from this entry. It is not reported
-// to other entries, since it concerns this one only. After it a single request is sent as a
-// probe, and others follow once the probe has been answered: sent together, all would be
+// to other entries, since it concerns this entry only. After the period a single request is sent
+// as a probe, and others follow once the probe has been answered: sent together, all would be
 // refused again.
 type Backoff struct {
 	until       time.Time
--- a/notice/notice.go
+++ b/notice/notice.go
@@ -1,5 +1,5 @@
-// Package notice keeps the state that targets declare in their responses, by incarnation of the
-// target. It does no I/O. A Table must not be used concurrently.
+// Package notice keeps the state that targets declare in their responses, by incarnation (process
+// start) of the target. It does no I/O. A Table must not be used concurrently.
 package notice
 
 import (
@@ -10,8 +10,8 @@
 
 // Limit is the request rate that a target accepts from all entries together.
 type Limit struct {
-	Declared bool // otherwise there is no limit
-	PerS     float64
+	Declared bool    // otherwise there is no limit
+	PerS     float64 // requests per second
 }
 
 // below reports whether the limit is lower than another.
@@ -25,8 +25,8 @@
 	Leaving bool // the target will shut down soon and accepts no more requests
 	// Backoff is how long the target wants no requests from the entry whose request it refused.
 	Backoff time.Duration
-	// LimitUnreadable is set if a declared limit could not be parsed; Limit then holds the
-	// limit from the same response that could be parsed, if any. LeavingUnreadable and
+	// LimitUnreadable is set if a declared limit could not be parsed; Limit then holds another
+	// limit in the same response that could be parsed, if any. LeavingUnreadable and
 	// BackoffUnreadable are set if Leaving and Backoff could not be parsed.
 	LimitUnreadable, LeavingUnreadable, BackoffUnreadable bool
 }
@@ -67,8 +67,8 @@
 }
 
 // unlistedRetention is how long the state of a target is kept after the target has left the
-// list. A list entry may expire while the store is unavailable and reappear with the same
-// incarnation.
+// instance list. A list entry may expire while the store that holds the list is unavailable, and
+// reappear with the same incarnation.
 const unlistedRetention = time.Minute
 
 // record is what this process knows about an incarnation.
@@ -112,8 +112,8 @@
 }
 
 // Record applies the statement in the response to a request sent at the given time. Responses
-// may arrive out of order: one to a request sent before the current limit was known does not
-// raise or lift it.
+// may arrive out of order: a response to a request sent before the current limit was known does
+// not raise or lift that limit.
 func (t *Table) Record(now time.Time, inc Incarnation, s Statement, sent time.Time) Change {
 	if s == (Statement{}) && t.records[inc.Target] == nil {
 		return Change{} // the common case: nothing declared
@@ -209,7 +209,7 @@
 	}
 }
 
-// All returns the reports for other entries.
+// All returns the states that targets have declared, to be sent to other entries.
 func (t *Table) All() []Report {
 	var out []Report
 	for id, r := range t.records {
--- a/notice/notice_test.go
+++ b/notice/notice_test.go
@@ -64,7 +64,8 @@
 	assert.Equal(t, a.StateOf(incarnation), b.StateOf(incarnation))
 }
 
-// State of an earlier incarnation does not apply to a later one, even if it arrives late.
+// State of an earlier incarnation does not apply to a later incarnation, even if that state
+// arrives after the later incarnation is known.
 func TestStateEndsWithTheIncarnation(t *testing.T) {
 	first, second := Incarnation{"i-1", 1000}, Incarnation{"i-1", 2000}
 	x := NewTable()
@@ -89,7 +90,7 @@
 }
 
 // Within one incarnation, neither a later response nor an older state of another entry clears
-// the flag.
+// Leaving.
 func TestLeavingIsPermanent(t *testing.T) {
 	first, second := Incarnation{"i-1", 1000}, Incarnation{"i-1", 2000}
 	x, other := NewTable(), NewTable()
