--- a/fleet/announcement.go
+++ b/fleet/announcement.go
@@ -2,12 +2,13 @@
 
 import "time"
 
-// Announcement is when the operators announced a version, as known to this process.
+// Announcement is when the operators announced a version of a model, as known to this process.
 type Announcement struct {
 	At time.Time // by this process's clock
 	// Estimated is set if the version had been announced before this process first read the
-	// store. At is then the earliest time that makes a difference: the version's timeout counts
-	// as expired. Otherwise the announcement was observed at At, so it was made no later.
+	// store. At is then so early that the time by which all engines must serve the version counts
+	// as passed; an earlier time would make no difference. Otherwise the announcement was
+	// observed at At, so it was made no later.
 	Estimated bool
 }
 
--- a/fleet/config.go
+++ b/fleet/config.go
@@ -1,6 +1,6 @@
 // Package fleet holds the operators' configuration as the request path uses it: routes,
 // services, teams, the engines' cost model, and the running instances of targets. It consists
-// of data and lookups; adapters decode into it.
+// of types and lookups; other packages decode the stored configuration into these types.
 package fleet
 
 import (
@@ -55,7 +55,7 @@
 }
 
 // EngineModel is the cost model of a model engine, as published by its operators. All times are
-// for all layers.
+// for all layers of the model.
 type EngineModel struct {
 	Model           string
 	Slots           int           // requests decoded concurrently
@@ -63,16 +63,16 @@
 	StepPerSeq      time.Duration // added for each sequence in the batch
 	StepPer1kTokens time.Duration // added for each 1,000 tokens of context
 	PrefillRate     float64       // prompt tokens per second
-	StepsPerPass    int           // decode steps per pass
+	StepsPerPass    int           // decode steps that the engine runs as one pass, without preemption
 	MeanPrompt      int           // tokens
 	MeanAnswer      int           // tokens
 	Layers          int
-	Chunks          int // pieces of the weights
+	Chunks          int // number of pieces that the weights are split into
 	ChunkBytes      int
 	LoadDuration    time.Duration // from the load order to serving, on an idle engine
 }
 
-// Origin is the origin server of weights.
+// Origin is the origin server of model weights, from which agents fetch them.
 type Origin struct {
 	Addr     string
 	Domain   string // failure domain of the origin
@@ -85,7 +85,7 @@
 	MaxConns int          // connections that one target accepts in total
 	Engine   *EngineModel // nil for plain services
 	Origin   *Origin      // set if the service is the origin of weights
-	ColdRate float64      // requests per second that a cold target can sustain; 0 for no limit
+	ColdRate float64      // requests per second that a target can sustain while it is cold (see Instance.ColdFor); 0 for no limit
 }
 
 // Team is a paying group of callers.
--- a/fleet/instance.go
+++ b/fleet/instance.go
@@ -10,7 +10,8 @@
 	Layers  int // number of layers held
 }
 
-// Instance is one incarnation of a target.
+// Instance is one incarnation (process start) of a target, as its entry in the instance list
+// describes it.
 type Instance struct {
 	ID string
 	// StartMs is its start time in Unix milliseconds; 0 if unknown. A target may restart under
@@ -24,8 +25,8 @@
 	HeartbeatSeq int64 // sequence number of the heartbeat that wrote the list entry, counted from the instance's start
 	Draining     bool
 	Unlisted     bool // its list entry disappeared recently
-	// ColdFor is how long the instance stays cold after its list entry was written, that is,
-	// limited to the service's ColdRate. ColdUntil is when that ends by this process's clock.
+	// ColdFor is how long the instance stays cold after its list entry was written: it then
+	// sustains only the service's ColdRate. ColdUntil is when that ends by this process's clock.
 	ColdFor   time.Duration
 	ColdUntil time.Time
 	Models    []ModelVersion
