--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -44,8 +44,9 @@
 // Hasher computes fingerprints. All processes of a fleet must use the same key.
 type Hasher struct{ key []byte }
 
-// defaultKey separates these hashes from other hashes of the same bytes. A secret key
-// prevents anyone who knows a fingerprint from finding the content by brute force.
+// defaultKey is public: it only separates these hashes from other hashes of the same bytes.
+// A secret key also prevents anyone who knows a fingerprint from finding the content by
+// brute force.
 const defaultKey = "springgate request content"
 
 // NewHasher returns a hasher with the given secret key. An empty key selects a public one.
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -3,13 +3,15 @@
 // clock readings are passed as arguments.
 //
 // It protects the fleet against a request whose content crashes every target that starts
-// to process it, and that callers retry through any entry. Without quarantine, one such
+// to process it, and that callers retry through any entry. All attempts of a request, and
+// repeated requests with the same fields and body, are the same content (see Content). An
+// entry is a process that sends callers' requests on to targets. Without quarantine, one such
 // request crashed two targets per attempt and caused 40 crashes among 20 engines in 75 s,
 // while 10 to 60 % of the concurrent requests were refused.
 //
-// The evidence is that an incarnation of a target ended while a content was in flight
-// there. All contents in flight on it are suspected equally. Three properties distinguish
-// the cause from the bystanders:
+// The evidence is that an incarnation (process start) of a target ended while a content was
+// in flight there. All contents in flight on that incarnation are suspected equally. Three
+// properties distinguish the content that caused the crash from the bystanders:
 //
 //   - It is in flight at every crash. A crash is explained if another content in flight on
 //     the same incarnation has crashed more targets; only unexplained crashes count.
@@ -41,26 +43,28 @@
 	// correlationFactor is how many times more other targets must crash in a window than
 	// targets with the content, for a common cause to be likelier.
 	correlationFactor = 2
-	// successInterval is the minimum time between two recorded successes of a content.
+	// successInterval is the minimum time between two recorded successes of a content without
+	// active crashes.
 	successInterval = time.Second
 )
 
 // A quarantined content is sent once more, as a probe by one entry, initialProbeDelay after
 // its last crash. Each further crash multiplies the delay by probeBackoffFactor: 30 s,
 // 4 min, 32 min, up to maxProbeDelay. A wrong verdict thus lasts half a minute, and a
-// correct one costs one target in that time and three in an hour.
+// correct one costs one crashed target in that time and three in an hour.
 const (
 	initialProbeDelay  = 30 * time.Second
 	probeBackoffFactor = 8
 	maxProbeDelay      = 4 * time.Hour
 )
 
-// suspectRetention is how long evidence is kept on contents that are not quarantined.
+// suspectRetention is how long after its last crash the evidence is kept on a content that is
+// not quarantined.
 const suspectRetention = 10 * time.Minute
 
 // Finding describes why a content is quarantined and when it may be sent again.
 type Finding struct {
-	Crashes     int       // attributed to the content
+	Crashes     int       // number of crashes attributed to the content
 	First, Last time.Time // times of the first and the last crash
 	Reporters   []string  // hosts of the entries that observed the crashes, without duplicates
 	ProbeAt     time.Time // earliest time of the next probe
--- a/quarantine/successes.go
+++ b/quarantine/successes.go
@@ -3,13 +3,14 @@
 import "encoding/binary"
 
 // successesPerGeneration bounds how many successful contents are remembered in each of two
-// generations: 150 KB in all. At 30 requests/s a content that is sent once a minute is
-// still remembered at its next request.
+// generations, which take 150 KB in all: when the current one is full, it replaces the
+// previous one. At 30 requests/s a content that is sent once a minute is still remembered
+// at its next request.
 const successesPerGeneration = 2048
 
 // successCache remembers the contents that succeeded recently at this entry, by part of
-// their fingerprint. A collision raises the evidence required against a content and never
-// lowers it.
+// their fingerprint. If two contents share that part, one may wrongly count as successful,
+// which raises the evidence required to quarantine it and never lowers it.
 type successCache struct{ current, previous map[uint64]struct{} }
 
 func (c *successCache) add(f Fingerprint) {
--- a/quarantine/table.go
+++ b/quarantine/table.go
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// Limits of a table, for callers that send many different contents that crash targets:
-// about 250 B per content and 125 B per crash. The contents of the caller with the most
-// records are evicted first, so that one caller's flood does not evict the evidence on
-// others.
+// Limits of a table, for callers that send many different contents that crash targets. A
+// table takes about 250 B of memory per content and 125 B per crash. The contents of the
+// caller with the most records are evicted first, so that one caller's flood does not evict
+// the evidence on other callers' contents.
 const (
 	maxContents          = 512
-	maxCrashesPerContent = 2 * recentSuccessThreshold // the newest are kept
+	maxCrashesPerContent = 2 * recentSuccessThreshold // the newest crashes are kept
 	// pruneInterval is the minimum time between two searches for expired records.
 	pruneInterval = time.Second
 	// evictionBatch is how many contents are evicted at once, because the search for them
 	// takes 10 ms of CPU time.
 	evictionBatch = 32
-	// idleSuspectAge is the time since its last crash after which a suspect is evicted
-	// before quarantined contents. A content that is retried immediately crashes the next
-	// target sooner than that.
+	// idleSuspectAge is the time since its last crash after which a suspect, a content with
+	// crashes that is not quarantined, is evicted before quarantined contents. A content that
+	// is retried immediately crashes the next target sooner than that.
 	idleSuspectAge = 2 * time.Second
 )
 
@@ -62,7 +62,7 @@
 type record struct {
 	crashes     []versioned[Crash] // by time
 	lastSuccess versioned[time.Time]
-	lastProbe   time.Time // when this process last allowed it as a probe
+	lastProbe   time.Time // when this process last allowed the content to be sent as a probe
 }
 
 // versioned is a value with the sequence number under which this process recorded it.
@@ -80,11 +80,11 @@
 	seq         uint64
 	changed     chan struct{}
 	lastPrune   time.Time
-	digest      uint64 // cached until seq differs from digestAt, because every other entry requests it
-	digestAt    uint64
+	digest      uint64 // cached until seq changes, because every other entry requests the digest
+	digestAt    uint64 // value of seq at which digest was computed
 	findings    map[Fingerprint]Finding
 	stale       bool      // the findings must be recomputed
-	evaluatedAt time.Time // when they were last computed
+	evaluatedAt time.Time // when the findings were last computed
 }
 
 // NewTable returns an empty table.
@@ -174,7 +174,8 @@
 		r = &record{}
 		t.records[c.Content] = r
 		if t.successes.has(c.Content) {
-			// The exact time is unknown and irrelevant: it only has to precede the crash.
+			// The exact time of the success is unknown and irrelevant: it only has to precede the
+			// crash.
 			r.lastSuccess = versioned[time.Time]{c.At.Add(-1), t.nextSeq(), true}
 		}
 	}
@@ -296,7 +297,7 @@
 }
 
 // LocalChanges returns the evidence that this process itself recorded after the given
-// sequence number, and the current sequence number. Entries send it to each other
+// sequence number, and the current sequence number. Entries send this evidence to each other
 // immediately.
 func (t *Table) LocalChanges(since uint64) (Update, uint64) {
 	t.mu.Lock()
--- a/quarantine/table_test.go
+++ b/quarantine/table_test.go
@@ -26,7 +26,7 @@
 	return Crash{Content: f, Incarnation: incarnation(n), At: at(when), Reporter: "entry-0"}
 }
 
-// notHome is the home function of an entry that probes no content.
+// notHome is the home argument of Judge at an entry that probes no content.
 func notHome() bool { return false }
 
 // refused reports whether an entry that does not probe refuses the content.
@@ -53,14 +53,14 @@
 	assert.Assert(t, !refused(x, time.Second, poll))
 }
 
-// Requests that ran concurrently with the cause are not quarantined, not even one that did
-// at every crash.
+// Requests that ran concurrently with the cause are not quarantined, not even one that was
+// in flight at every crash.
 func TestBystanders(t *testing.T) {
 	x := NewTable()
 	bystanders := make([]Fingerprint, 4)
 	for i := range bystanders {
 		bystanders[i] = content(3, i)
-		for l := range i { // the last one was in flight at all three
+		for l := range i { // the last bystander was in flight at all three crashes
 			x.RecordCrashes(at(0), crash(bystanders[i], l, time.Duration(l)*time.Second))
 		}
 	}
@@ -71,7 +71,7 @@
 	assert.Assert(t, !refused(x, 3*time.Second, bad), "cannot be distinguished from the bystander yet")
 	x.RecordCrashes(at(0), crash(bad, 3, 3*time.Second))
 	assert.Assert(t, refused(x, 4*time.Second, bad))
-	x.RecordCrashes(at(0), crash(bystanders[3], 4, 4*time.Second)) // for another reason
+	x.RecordCrashes(at(0), crash(bystanders[3], 4, 4*time.Second)) // a crash that bad did not cause
 	for _, f := range bystanders {
 		assert.Assert(t, !refused(x, 5*time.Second, f))
 	}
@@ -268,7 +268,7 @@
 	assert.Equal(t, len(u.Crashes), 4)
 	x.RecordCrashes(at(5*time.Hour), crash(content(5, 5), 10, 5*time.Hour))
 	assert.Assert(t, !refused(x, 5*time.Hour, bad))
-	x.RecordCrashes(at(5*time.Hour), crash(bad, 2, 0)) // from a process that has not expired it yet
+	x.RecordCrashes(at(5*time.Hour), crash(bad, 2, 0)) // from a process where this crash has not expired yet
 	assert.Assert(t, !refused(x, 5*time.Hour, bad))
 }
 
--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -25,14 +25,14 @@
 )
 
 // Judge decides whether a content may be sent, and returns the finding on one that is
-// quarantined. home reports whether this entry is the one that probes the content. Probe is
-// returned once, until the outcome of the probe is known or the probe delay has passed
-// again.
+// quarantined. home reports whether this entry is the one that probes the content. After Judge
+// has returned Probe, it returns Refuse until the outcome of the probe is known or the probe
+// delay has passed again.
 func (t *Table) Judge(now time.Time, f Fingerprint, home func() bool) (Verdict, Finding) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.records[f]
-	if r == nil || len(r.crashes) < crashThreshold { // most suspects are bystanders
+	if r == nil || len(r.crashes) < crashThreshold { // saves the evaluation: most suspects are bystanders
 		return Send, Finding{}
 	}
 	if t.stale && (len(t.records) <= smallTableSize || now.Sub(t.evaluatedAt) >= evaluationInterval) {
@@ -72,8 +72,8 @@
 type evaluation struct {
 	suspects  []*suspect // by descending number of crashes
 	inFlight  map[Incarnation][]*suspect
-	crashes   []Crash // one per incarnation, by time
-	explained map[Incarnation]bool
+	crashes   []Crash              // one per incarnation, by time
+	explained map[Incarnation]bool // crashes attributed to a content that has been found to be a cause
 }
 
 // evaluate returns the findings on the contents to quarantine. Contents with the most
@@ -116,8 +116,8 @@
 	return e
 }
 
-// isCause reports whether a content is considered the cause of its crashes, based on those
-// that no other content explains.
+// isCause reports whether a content is considered the cause of its crashes, based on the
+// crashes that no other content explains.
 func (e *evaluation) isCause(s *suspect) bool {
 	unexplained := slices.DeleteFunc(slices.Clone(s.crashes), func(c Crash) bool { return e.explained[c.Incarnation] })
 	switch {
@@ -145,8 +145,8 @@
 	})
 }
 
-// weightedCount counts the crashes; a group that coincides with many other crashes counts
-// once.
+// weightedCount counts the unexplained crashes of a content; a group of them within
+// correlationWindow that coincides with many crashes of other targets counts once.
 func (e *evaluation) weightedCount(s *suspect, unexplained []Crash) int {
 	n := 0
 	for _, g := range groupByTime(unexplained) {
@@ -186,7 +186,7 @@
 }
 
 // isAmbiguous reports whether another content with at least as many crashes may have caused
-// so many of these that fewer than crashThreshold remain.
+// so many of the unexplained crashes of s that fewer than crashThreshold remain.
 func (e *evaluation) isAmbiguous(s *suspect, unexplained []Crash) bool {
 	shared := map[*suspect]int{}
 	for _, c := range unexplained {
