--- a/membership/rank.go
+++ b/membership/rank.go
@@ -7,8 +7,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score returns the rendezvous weight of a node for a key. All processes
-// compute the same value.
+// Score returns the weight of a node for a key in rendezvous hashing. All
+// processes compute the same value.
 func Score(key, node string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -18,7 +18,8 @@
 	return mix(d.Sum64())
 }
 
-// mix hashes a hash again, so that related keys produce different orders.
+// mix hashes a hash again, so that related keys rank the nodes in different
+// orders.
 func mix(x uint64) uint64 {
 	var b [8]byte
 	for i := range b {
--- a/membership/readers.go
+++ b/membership/readers.go
@@ -6,20 +6,23 @@
 	"time"
 )
 
-// readerKey prefixes the rendezvous key by which the readers of a failure domain are chosen.
+// readerKey prefixes the rendezvous key by which the readers of a failure domain, the processes
+// that watch the platform, are chosen.
 const readerKey = "reader/"
 
 // ReaderConfig limits how the fleet as a whole reads the platform.
 type ReaderConfig struct {
 	// PerDomain is how many processes of a failure domain watch the platform.
-	// A higher number tolerates more failures and uses more calls. Default 3.
+	// A higher number tolerates more failures and uses more platform calls.
+	// Default 3.
 	PerDomain int
 	// StaleAfter is the age of the last confirmation of the head, the newest
-	// published revision, after which a process reads the platform itself.
-	// Default 3 s.
+	// published revision, after which a process reads the platform itself (a
+	// fallback read). Default 3 s.
 	StaleAfter time.Duration
 	// FallbackRate limits the calls per second of all fallback reads in the
-	// fleet. Default 400, a fifth of the platform's limit.
+	// fleet. Default 400, a fifth of the calls per second that the platform
+	// accepts.
 	FallbackRate float64
 	// MinFallback is the minimum time between two fallback reads of one
 	// process. Default 1 s.
@@ -43,8 +46,8 @@
 	return c
 }
 
-// IsReader reports whether host is one of those that watch the platform: the
-// first PerDomain of the live hosts of its failure domain by rendezvous
+// IsReader reports whether host is one of the hosts that watch the platform:
+// the first PerDomain of the live hosts of its failure domain by rendezvous
 // hashing.
 func (c ReaderConfig) IsReader(host, domain string, members []Member) bool {
 	score := Score(readerKey+domain, host)
@@ -77,9 +80,10 @@
 	return time.Duration(span * rng.Float64())
 }
 
-// GossipTargets returns random hosts to exchange heartbeats with: up to local
-// hosts of the same failure domain and up to remote hosts of others. Suspect
-// hosts are included, so that their recovery is detected.
+// GossipTargets returns random hosts to exchange heartbeats with. The number of
+// hosts of the same failure domain is at most local, that of hosts of other
+// domains at most remote. Suspect hosts are included, so that their recovery is
+// detected.
 func GossipTargets(self, domain string, members []Member, local, remote int, rng *rand.Rand) []Member {
 	var out []Member
 	out = append(out, sample(members, local, rng, func(m Member) bool {
--- a/membership/view.go
+++ b/membership/view.go
@@ -1,10 +1,12 @@
-// Package membership combines the platform's host list, which lags behind,
-// with the status that this process receives from hosts directly. It performs
-// no I/O, and clock readings are passed as arguments.
+// Package membership combines the host list, which lags behind, with the status
+// that this process receives from hosts directly. The list comes from the
+// platform, the external system that the fleet runs on. The package performs no
+// I/O, and clock readings are passed as arguments.
 //
 // Facts have two sources only: the host list, and statements of a host about
-// its own incarnation. Suspicion is local to one process and never sent to
-// others, so a partition cannot make them consider a healthy host failed.
+// its own incarnation (process start). Suspicion is local to one process and
+// never sent to others, so a partition cannot make other processes consider a
+// healthy host failed.
 package membership
 
 import (
@@ -53,7 +55,7 @@
 	Listed
 	State       State
 	Incarnation uint64
-	Revision    uint64 // revision in force there, as last reported
+	Revision    uint64 // configuration revision in use at the host, as last reported
 	LastContact time.Time
 }
 
@@ -112,7 +114,7 @@
 	self    string
 	serial  uint64
 	hosts   map[string]*record
-	order   []string // sorted host names; nil after hosts were added or removed
+	order   []string // cache of the sorted host names; nil after hosts were added or removed
 	notices []notice
 }
 
@@ -124,8 +126,8 @@
 // Serial returns the serial number of the newest host list applied.
 func (v *View) Serial() uint64 { return v.serial }
 
-// ApplyList applies a host list. It ignores a list that is not newer than the
-// last one applied, and returns false for it.
+// ApplyList applies a host list. It ignores a list whose serial number is not
+// higher than that of the last list applied, and returns false for it.
 func (v *View) ApplyList(now time.Time, serial uint64, list []Listed) bool {
 	if serial <= v.serial {
 		return false
@@ -160,7 +162,7 @@
 		v.order = nil
 	}
 	if r.listed.Addr != "" && r.listed.Addr != l.Addr {
-		r.failedSince = time.Time{} // replaced: earlier failures do not apply
+		r.failedSince = time.Time{} // a new address: failures at the old one do not apply
 	}
 	if l.Leaving && !r.listLeaving {
 		r.listLeavingInc = r.incarnation
--- a/membership/view_test.go
+++ b/membership/view_test.go
@@ -55,7 +55,7 @@
 	assert.Assert(t, !v.RecordNotice(start, Notice{"h0000", 5}), "already known")
 	assert.Equal(t, stateOf(v, start, "h0000"), Leaving)
 	assert.DeepEqual(t, v.Notices(8), []Notice{{"h0000", 5}})
-	v.RecordStatus(start, "h0000", 5, false, 1) // delayed message
+	v.RecordStatus(start, "h0000", 5, false, 1) // a message sent before the host announced that it is leaving
 	assert.Equal(t, stateOf(v, start, "h0000"), Leaving)
 	v.RecordStatus(start, "h0000", 6, false, 1)
 	assert.Equal(t, stateOf(v, start, "h0000"), Live)
@@ -154,7 +154,7 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	cfg := ReaderConfig{}.ApplyDefaults()
 	perSecond := map[int]int{}
-	for range fleet { // all use fallback reads for two minutes
+	for range fleet { // each process uses fallback reads for two minutes
 		for at := cfg.FallbackDelay(fleet, rng); at < 2*time.Minute; at += cfg.FallbackDelay(fleet, rng) {
 			perSecond[int(at.Seconds())]++
 		}
