--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -2,9 +2,10 @@
 // versions or roles. It performs no I/O, and clock readings are passed as
 // arguments.
 //
-// The first live host of a service by rendezvous hashing issues permits,
-// which are leases. A new issuer waits one lease before it grants permits, so
-// that those of the previous issuer have expired.
+// The first live host of a service by rendezvous hashing issues permits to take
+// an engine out of service. A permit is a lease: it expires unless renewed. A
+// new issuer waits one lease duration before it grants permits, so that the
+// permits of the previous issuer have expired.
 package rollout
 
 import (
@@ -13,7 +14,7 @@
 	"time"
 )
 
-// DefaultLease is the lease of a permit unless configured.
+// DefaultLease is the lease duration of a permit unless configured.
 const DefaultLease = 5 * time.Second
 
 // Config holds the durations of an Issuer.
@@ -22,12 +23,13 @@
 	// a permit survives longer pauses of its holder, and a new issuer waits
 	// longer. Default 5 s.
 	Lease time.Duration
-	// StuckAfter is how long one holder may renew a permit, and how long an
-	// unreachable host counts as unavailable, before it no longer blocks the
-	// others. Default 5 min.
+	// StuckAfter is how long one holder may renew a permit, and how long a host
+	// that is unreachable or reported as not serving counts as unavailable.
+	// After that time the host no longer keeps others from getting a permit.
+	// Default 5 min.
 	StuckAfter time.Duration
-	// Retry is the time after which a refused host should retry. Default
-	// 200 ms.
+	// Retry is the time after which a host that was refused a permit should
+	// request it again. Default 200 ms.
 	Retry time.Duration
 }
 
@@ -50,8 +52,8 @@
 // Decision answers a request for a permit.
 type Decision struct {
 	Granted bool
-	Lease   time.Duration // of a granted permit
-	Retry   time.Duration // of a refused one
+	Lease   time.Duration // if granted: how long the permit is valid
+	Retry   time.Duration // if refused: time after which to request it again
 }
 
 // permit allows a host to take its engine out of service until it expires.
@@ -67,10 +69,11 @@
 	active      bool
 	activeSince time.Time // when this host became the issuer
 	permits     []permit
-	stuck       map[string]time.Time // host -> when its permit was revoked
+	stuck       map[string]time.Time // host -> when its permit was revoked after StuckAfter
 	reports     map[string]report    // by host whose engine does not serve
 }
 
+// report records that the engine of a host does not serve.
 type report struct {
 	since   time.Time
 	expires time.Time
@@ -82,7 +85,7 @@
 }
 
 // SetActive sets whether this host is the issuer. An issuer that becomes
-// active grants no permit for one lease.
+// active grants no permit for one lease duration.
 func (i *Issuer) SetActive(now time.Time, on bool) {
 	if on && !i.active {
 		i.activeSince = now
@@ -124,7 +127,7 @@
 }
 
 // ReportUnavailable records that the engine of host does not serve. The host
-// repeats the report at least once per lease while that is the case.
+// repeats the report at least once per lease duration while that is the case.
 func (i *Issuer) ReportUnavailable(now time.Time, host string) {
 	r, ok := i.reports[host]
 	if !ok || now.After(r.expires) {
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -39,7 +39,7 @@
 	ts := targets(3)
 	assert.Assert(t, i.Acquire(now, "h0", ts, 1).Granted)
 	for k := 0; k < 60 && !i.Acquire(now, "h1", ts, 1).Granted; k++ {
-		i.Acquire(now, "h0", ts, 1) // keeps renewing
+		i.Acquire(now, "h0", ts, 1) // h0 keeps renewing its permit
 		now = now.Add(2 * time.Second)
 	}
 	assert.DeepEqual(t, i.Holders(now), []string{"h1"})
@@ -62,8 +62,8 @@
 }
 
 // TestOraclePermits changes the issuer while hosts acquire, renew and release
-// permits, crash and pause. A host uses a permit until its lease has expired by
-// its own clock; at no time may more hosts than allowed use one.
+// permits, crash and pause. A host uses a permit until the lease has expired by
+// the host's own clock; at no time may more hosts than allowed use a permit.
 func TestOraclePermits(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const hosts, allowed = 6, 2
@@ -71,7 +71,7 @@
 		issuers := []*Issuer{NewIssuer(Config{}), NewIssuer(Config{}), NewIssuer(Config{})}
 		active := 0
 		issuers[0].SetActive(now, true)
-		until := map[string]time.Time{} // permits as the holders see them
+		until := map[string]time.Time{} // host -> when its permit expires by its own clock
 		host := func(t *rapid.T) string { return fmt.Sprintf("h%d", rapid.IntRange(0, hosts-1).Draw(t, "host")) }
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
