--- a/routing/endpoint.go
+++ b/routing/endpoint.go
@@ -1,7 +1,9 @@
 // Package routing selects the target host of a request in the mode of `springgate serve`.
 // In the mode of `springgate gateway` package dispatch does so, with the retry budget of
-// this package. Package routing performs no I/O; clock readings and randomness are passed
-// as arguments, and picking a host does not allocate.
+// this package. An entry is a process that sends callers' requests on to target hosts; a
+// slot of a host is its capacity for one running request. Package routing performs no I/O;
+// clock readings and randomness are passed as arguments, and picking a host does not
+// allocate.
 package routing
 
 import (
@@ -19,14 +21,16 @@
 	// ReportHalfLife is the time in which the reported load of other entries
 	// loses half its weight. Default 500 ms.
 	ReportHalfLife time.Duration
-	// SlowStart is how long a target takes to receive its full share after it
-	// became ready. Default 5 s.
+	// SlowStart is how long a target takes to receive its full share of the
+	// requests after it became ready. Default 5 s.
 	SlowStart time.Duration
-	// SpillThreshold is the load per slot of the better of two hosts of the entry's
-	// failure domain above which hosts of other domains are considered too. Default 1.
+	// SpillThreshold is the number of requests per slot at the less loaded of two
+	// hosts of the entry's failure domain above which hosts of other domains are
+	// considered too. Default 1.
 	SpillThreshold float64
-	// PrefixMaxLoad is the load per slot up to which the host that holds a
-	// prompt's prefix is preferred to less loaded ones. Default 1.
+	// PrefixMaxLoad is the number of requests per slot up to which the host that
+	// PickPrefix assigns to a prompt's prefix is preferred to less loaded hosts.
+	// Default 1.
 	PrefixMaxLoad float64
 	// EjectAfter is the number of consecutive failures that ejects a host.
 	// Default 5.
@@ -34,8 +38,8 @@
 	// EjectFor is how long the first ejection lasts. Each further one lasts
 	// EjectFor longer than the one before, up to ten times EjectFor. Default 2 s.
 	EjectFor time.Duration
-	// MaxEjected is the largest fraction of the hosts that may be ejected at
-	// once. Default 0.3.
+	// MaxEjected is the largest fraction of a service's hosts that may be ejected
+	// at once. Default 0.3.
 	MaxEjected float64
 }
 
@@ -55,8 +59,8 @@
 // maxEjectFactor limits the duration of repeated ejections to a multiple of EjectFor.
 const maxEjectFactor = 10
 
-// Endpoint holds an entry's request counters for one host. They are shared by
-// all goroutines that handle requests.
+// Endpoint holds an entry's request counters for one host. The counters are
+// shared by all goroutines that handle requests.
 type Endpoint struct {
 	Host   string
 	Addr   string
--- a/routing/outlier.go
+++ b/routing/outlier.go
@@ -15,7 +15,8 @@
 }
 
 // Check ejects e after too many consecutive failures, unless too many of the
-// service's hosts are ejected already. total is the number of its hosts.
+// service's hosts are ejected already. total is the number of the service's
+// hosts.
 func (j *Ejector) Check(now time.Time, e *Endpoint, total int) {
 	if e.failures.Load() < int64(j.cfg.EjectAfter) || now.Before(j.until[e.Host]) {
 		return
--- a/routing/pick.go
+++ b/routing/pick.go
@@ -38,10 +38,11 @@
 // report before all hosts are scanned.
 const maxDraws = 4
 
-// Pick returns the host for a request, or nil. Two random hosts of the entry's
-// failure domain are compared by load; if the load of the better one is above
-// SpillThreshold, two random hosts of other domains are compared with it. The
-// cost does not grow with the table.
+// Pick returns the host for a request, or nil if none is usable. Two random
+// hosts of the entry's failure domain are compared by load; if the load of the
+// less loaded one is above SpillThreshold, it is compared with the less loaded
+// of two random hosts of other domains. The cost does not grow with the table
+// unless few hosts are usable.
 func (t *Table) Pick(now time.Time, rng *rand.Rand, exclude []string) *Candidate {
 	best, load := t.pickFrom(t.local, now, rng, exclude)
 	if best != nil && load <= t.cfg.SpillThreshold {
@@ -89,9 +90,10 @@
 	return now.Sub(c.Report.At) <= t.cfg.ReportMaxAge && !slices.Contains(exclude, c.Endpoint.Host)
 }
 
-// load estimates the load of a host per slot, from this entry's own requests,
-// which are known exactly, and the requests of others in the last report, whose
-// weight decays with the age of the report. A target in slow start counts with
+// load estimates the number of requests per slot at a host, including the
+// request to be sent. It adds this entry's own requests, which are known
+// exactly, and the requests of other entries in the host's last report, whose
+// weight decays with the age of the report. A host in slow start counts with
 // fewer slots.
 func (t *Table) load(c *Candidate, now time.Time) float64 {
 	r := &c.Report
--- a/routing/prefix.go
+++ b/routing/prefix.go
@@ -13,7 +13,7 @@
 // PrefixMaxLoad; then Pick selects the host. The host of a prefix is determined
 // by rendezvous hashing: entries that know the same hosts agree without shared
 // state. That the prompts of a conversation share a prefix, and that routing by
-// it pays off, is from Nawinder Pawar, "How Endpoint Picker Routes";
+// the prefix pays off, is from Nawinder Pawar, "How Endpoint Picker Routes";
 // docs/design/requests.md compares this with the index described there.
 func (t *Table) PickPrefix(now time.Time, rng *rand.Rand, prefix string, exclude []string) *Candidate {
 	if c := t.prefixHost(prefix); c != nil && t.usable(c, now, exclude) && t.load(c, now) <= t.cfg.PrefixMaxLoad {
--- a/routing/prefix_test.go
+++ b/routing/prefix_test.go
@@ -36,8 +36,8 @@
 	simEntries = 2
 	simSlots   = 8
 	simCache   = 1500 // blocks
-	simSystem  = 16   // blocks that all prompts share
-	simTurn    = 8    // blocks that a turn adds
+	simSystem  = 16   // blocks at the start of every prompt that all conversations share
+	simTurn    = 8    // blocks that each turn adds to the prompt of its conversation
 	simTurns   = 6
 	simBase    = 10 * time.Millisecond // first token of a cached prompt
 	simPrefill = 3 * time.Millisecond  // for each block that is not cached
@@ -49,17 +49,17 @@
 	simReport  = 800 * time.Millisecond
 )
 
-// prefixIndex is the alternative to PickPrefix in the comparison. It records to
-// which host the last prompt with a block was sent.
+// prefixIndex is the alternative to PickPrefix in the comparison. It records for
+// each block the host to which the last prompt with that block was sent.
 type prefixIndex struct {
 	lru *simplelru.LRU[uint64, string]
 }
 
-// newPrefixIndex returns an index of at most blocks blocks.
+// newPrefixIndex returns an index that holds at most the given number of blocks.
 func newPrefixIndex(blocks int) *prefixIndex {
 	l, err := simplelru.NewLRU[uint64, string](max(1, blocks), nil)
 	if err != nil {
-		panic(err) // only for a size below one
+		panic(err) // NewLRU only fails for a size below one
 	}
 	return &prefixIndex{l}
 }
@@ -295,7 +295,8 @@
 // BenchmarkAffinity reports the time to the first token and the hit rate of
 // the prompt caches, at low load and at saturation.
 func BenchmarkAffinity(b *testing.B) {
-	// Without any hit a request takes a slot for 0.01 + 44 blocks * 0.003 + 0.4 s.
+	// Without any cache hit a request takes a slot for 0.01 + 44 blocks * 0.003 + 0.4 s: the
+	// first token, the prefill of a mean prompt, and decoding.
 	capacity := float64(simEngines*simSlots) / 0.542
 	for _, load := range []float64{0.3, 1.0} {
 		for _, mode := range []string{"none", "approximate", "events", "rendezvous"} {
--- a/routing/retry.go
+++ b/routing/retry.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// BudgetConfig bounds retries.
+// BudgetConfig bounds the retries of one service at one entry.
 type BudgetConfig struct {
 	// Ratio is how many retries each success adds to the budget. A higher
 	// ratio hides more failures and adds more load when all requests fail.
@@ -16,7 +16,7 @@
 	// Reserve is how many retries are allowed without any success, and the
 	// level to which the budget refills at one per second. Default 10.
 	Reserve float64
-	// Cap limits the size of the budget. Default 100.
+	// Cap is the largest number of retries that the budget holds. Default 100.
 	Cap float64
 	// NoRefill disables the refill over time: only successes add to the budget.
 	NoRefill bool
@@ -59,7 +59,8 @@
 	b.tokens = min(b.cfg.Cap, b.tokens+b.cfg.Ratio)
 }
 
-// Spend takes one retry from the budget, or returns false if it is exhausted.
+// Spend takes one retry from the budget, or returns false if the budget is
+// exhausted.
 func (b *Budget) Spend(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/routing/subset.go
+++ b/routing/subset.go
@@ -18,11 +18,11 @@
 const localQuarters = 3
 
 // Subset returns the targets that an entry keeps connections to: at most
-// size, three quarters from its own failure domain if it has as many. Targets
-// form a ring in an order that all entries share, and each entry takes
-// consecutive targets from the position on the ring that corresponds to its own
-// position among the entries, so that targets are spread evenly over the
-// subsets.
+// size, three quarters of them from the entry's own failure domain if that
+// domain has as many. Targets form a ring in an order that all entries share,
+// and each entry takes consecutive targets from the position on the ring that
+// corresponds to the entry's own position among the entries, so that targets
+// are spread evenly over the subsets.
 func Subset(self Node, entries, targets []Node, key string, size int) []Node {
 	if len(targets) <= size {
 		return targets
