--- a/admission/queue.go
+++ b/admission/queue.go
@@ -4,11 +4,12 @@
 // clock readings are passed as arguments.
 //
 // Teams share the target by weight with start-time fair queueing. Within a
-// team more urgent requests are served first, then earlier ones. A retry is
-// placed behind as many later first attempts as the queue can hold, so that it
-// does not delay them and is not starved by them. When the queue is full, the
-// team with the largest part of it relative to its weight loses its last
-// request, so a large team cannot block a small one.
+// team more urgent requests are served first, and equally urgent ones in order
+// of arrival. A retry is placed behind as many later first attempts as the queue
+// can hold, so that it does not delay them and is not starved by them. When the
+// queue is full, the team with the largest part of the queue relative to its
+// weight loses the last of its waiting requests, so a large team cannot block a
+// small one.
 package admission
 
 import (
@@ -23,17 +24,18 @@
 
 // Limits are the limits of one target.
 type Limits struct {
-	Concurrency int // requests that run concurrently
-	Queue       int // requests that wait
+	Concurrency int // largest number of requests that run concurrently
+	Queue       int // largest number of requests that wait
 }
 
 // TeamLimits are the limits of one team at one target.
 type TeamLimits struct {
 	Name        string
 	Weight      int // share relative to other teams
-	Concurrency int // running requests; 0 is no limit
+	Concurrency int // largest number of running requests; 0 is no limit
 	Rate        int // requests per second; 0 is no limit
-	// Priority is the most urgent level the team may use, and its default.
+	// Priority is the most urgent level of Request.Urgency that the team may use;
+	// its more urgent requests are treated as having this level.
 	Priority int
 }
 
@@ -46,8 +48,8 @@
 	Deadline time.Time
 }
 
-// Verdict is the result of an offer. A request that is neither started nor
-// refused waits.
+// Verdict is the result of Queue.Offer for one request. A request that is
+// neither started nor refused waits.
 type Verdict struct {
 	Start      bool // the request runs now
 	Refused    outcome.Reason
@@ -69,7 +71,7 @@
 
 // Parameters of the policy.
 const (
-	// neutralUrgency is the default of RFC 9218.
+	// neutralUrgency is the default urgency of RFC 9218.
 	neutralUrgency = 3
 	// retryShare is the fraction of the queue that retries may fill.
 	retryShare = 0.25
@@ -100,8 +102,8 @@
 	teams          map[string]*team
 	running        map[uint64]string // id -> team
 	queued         int
-	retries        int // retries among the queued requests
-	virtual        float64
+	retries        int     // retries among the queued requests
+	virtual        float64 // virtual time: virtual start time of the last request started
 	seq            uint64
 	serviceSeconds float64 // smoothed service time in seconds; 0 if unknown
 }
@@ -290,14 +292,14 @@
 	q.running[id] = t.limits.Name
 }
 
-// cost returns the virtual length of a request. Each level of urgency above the
-// neutral one halves it, so urgency shifts shares but starves no request.
+// cost returns the virtual length of a request. Each level more urgent than the
+// neutral one halves the length, so urgency shifts shares but starves no request.
 func cost(weight, urgency int) float64 {
 	return math.Exp2(float64(urgency-neutralUrgency)) / float64(weight)
 }
 
-// Done ends a running request. took is its service time, or zero if it did not
-// run after all.
+// Done ends a running request. took is its service time, or zero if the request
+// was started by the queue but did not run after all.
 func (q *Queue) Done(now time.Time, id uint64, took time.Duration) Effects {
 	name, ok := q.running[id]
 	if !ok {
@@ -315,7 +317,7 @@
 	return q.fill(now)
 }
 
-// Cancel removes a waiting request. It reports whether it was waiting.
+// Cancel removes a waiting request. It reports whether the request was waiting.
 func (q *Queue) Cancel(id uint64) bool {
 	for _, t := range q.teams {
 		for i := range t.queue {
--- a/admission/queue_test.go
+++ b/admission/queue_test.go
@@ -247,7 +247,7 @@
 		}
 		for due += perTick; due >= 1; due-- {
 			id++
-			name := "t0" // the big team offers half of all requests
+			name := "t0" // the big team, which offers half of all requests
 			if id%2 == 0 {
 				name = fmt.Sprintf("t%d", 1+int(id/2)%(teams-1))
 			}
@@ -262,8 +262,9 @@
 	return done, int(float64(rounds) * slots * float64(time.Millisecond) / float64(service))
 }
 
-// TestOverloadIsFair offers twice the capacity: goodput must stay near the peak,
-// and each small team must receive its share.
+// TestOverloadIsFair offers twice the capacity. The number of requests completed
+// in time (goodput) must be at least 90% of the number that the slots can serve,
+// and each small team must receive at least 90% of its fair share.
 func TestOverloadIsFair(t *testing.T) {
 	const teams = 10
 	done, peak := overload(teams, 20000)
@@ -272,7 +273,8 @@
 		total += n
 	}
 	assert.Assert(t, total*10 >= peak*9, "goodput %d of %d", total, peak)
-	// A small team offers 1/18 of twice the peak, which is more than its tenth.
+	// A small team offers 1/18 of twice the peak, which is more than its fair share, a tenth
+	// of the peak.
 	fair := peak / teams
 	for i := 1; i < teams; i++ {
 		n := done[fmt.Sprintf("t%d", i)]
