--- a/dispatch/admission.go
+++ b/dispatch/admission.go
@@ -18,8 +18,8 @@
 	// Overdue requests are retries of refused callers and can only be answered after their
 	// objective. They get the capacity that fresh requests leave.
 	Overdue
-	// Resumed requests are streams that have been partly delivered. Ending one wastes the work
-	// done for it.
+	// Resumed requests are streams that have been partly delivered. Refusing one would waste the
+	// work already done for it.
 	Resumed
 )
 
@@ -27,7 +27,7 @@
 func (s Standing) String() string { return [...]string{"fresh", "overdue", "resumed"}[s] }
 
 // Admission holds the limits under which a request is accepted at a target. An entry sends them
-// with its reservation request to the target's home, so that both apply the same limits.
+// with its reservation request to the target's home entry, so that both apply the same limits.
 type Admission struct {
 	MaxWait time.Duration // longest forecast time until the target starts on the request
 	MaxGap  time.Duration // longest forecast gap between events of the target's other streams; zero for no limit
--- a/dispatch/balancer.go
+++ b/dispatch/balancer.go
@@ -13,8 +13,8 @@
 	"github.com/springgate/springgate/residency"
 )
 
-// EngineState is the state of an engine as reported by its agent, the process that loads the
-// engine's weights.
+// EngineState is the state of an engine as reported by its agent, the process that supplies the
+// engine with weights and orders it to load them.
 type EngineState struct {
 	Version int // fully loaded version; 0 if none
 	Loading bool
--- a/dispatch/balancer_test.go
+++ b/dispatch/balancer_test.go
@@ -235,7 +235,7 @@
 	abandoned := start.Add(700 * time.Millisecond)
 	assert.DeepEqual(t, a.SilentTargets(abandoned), []string{"i-1"})
 	a.Finish(abandoned, c.Target, Result{PendingPrefill: 1000, Failed: true, Silent: true})
-	assert.DeepEqual(t, a.SilentTargets(abandoned.Add(100*time.Millisecond)), []string{"i-1"}) // still reported for a while after it was given up
+	assert.DeepEqual(t, a.SilentTargets(abandoned.Add(100*time.Millisecond)), []string{"i-1"}) // reported for a while after entry a abandoned the request
 	assert.Equal(t, len(a.SilentTargets(abandoned.Add(silenceReportDuration))), 0)
 
 	b := newTestBalancer(engineModel(), Config{}, engine(1, 1), engine(2, 1))
--- a/dispatch/cost.go
+++ b/dispatch/cost.go
@@ -2,8 +2,8 @@
 // the engines' cost model, the load that all entries report, and the observed health of
 // targets. An entry is a process that receives callers' requests and sends them on to targets.
 // Each target has one home entry, which counts the requests that all entries send to the target
-// and grants the entries reservations for them. A target is either a model engine, which has a
-// cost model, or a plain target, which has none. The objective of a request is the latency of
+// and grants the entries reservations at the target. A target is either a model engine, which has
+// a cost model, or a plain target, which has none. The objective of a request is the latency of
 // the first event up to which the request counts as in time. The package does no I/O; clock
 // readings and randomness are arguments.
 package dispatch
--- a/dispatch/health.go
+++ b/dispatch/health.go
@@ -8,8 +8,8 @@
 	// without earlier failures exceeds maxFailureRate after two consecutive failures.
 	failureWeight = 0.2
 	// maxFailureRate is the failure rate above which a target is ejected. Load balancing and
-	// retries compensate for one failure in five; above one in three a request does better
-	// elsewhere.
+	// retries compensate for one failure in five; above one in three a request does better at
+	// another target.
 	maxFailureRate = 0.35
 	// ejectBase is the duration of the first ejection. Each ejection that begins within
 	// ejectMemory of the start of the previous one lasts twice as long as that, up to ejectMax.
@@ -24,7 +24,8 @@
 	// latency for a plain target.
 	silentFactor = 3
 	// silenceReportDuration is how long an entry reports a target to other entries as silent
-	// after it abandoned a request there. It spans several load reports, which carry this.
+	// after it abandoned a request there. This time spans several load reports, which list the
+	// silent targets.
 	silenceReportDuration = 500 * time.Millisecond
 	// activityWindow is how recently an entry must have received data from a target to report
 	// the target as responsive. Streams send an event every 50 to 100 ms; an engine pass takes up
--- a/dispatch/objectives.go
+++ b/dispatch/objectives.go
@@ -11,7 +11,7 @@
 	// route that is no longer used soon stops affecting admission.
 	shareHalfLife = 5 * time.Second
 	// minObjectiveShare is the smallest fraction of a service's requests for which an objective
-	// is considered. Without it, a few callers would determine the wait of all.
+	// is considered. Without this minimum, a few callers would determine the wait of all.
 	minObjectiveShare = 0.05
 	// minObjectiveCount is the decayed count below which an objective is dropped.
 	minObjectiveCount = 0.05
@@ -60,8 +60,8 @@
 	s.shares[i].prompts += float64(prompt)
 }
 
-// tightest returns the smallest objective whose share is large enough, or other if there is
-// none.
+// tightest returns the smallest of other and the objectives that at least minObjectiveShare of
+// the requests have.
 func (s *objectiveStats) tightest(other time.Duration) time.Duration {
 	least := other
 	for _, o := range s.shares {
--- a/dispatch/residency_test.go
+++ b/dispatch/residency_test.go
@@ -71,8 +71,8 @@
 	assert.Assert(t, domainsOf(t, b, demand())["a"], "evacuation lifted")
 }
 
-// A home entry that knows of an evacuation grants no reservation there to an entry that does
-// not.
+// A home entry that knows that a failure domain is evacuated grants no reservation there to an
+// entry that does not know.
 func TestHomeDeniesReservationInEvacuatedDomain(t *testing.T) {
 	b := newRegionalBalancer(t, "a")
 	a := Admission{MaxWait: time.Hour}
