--- a/residency/residency.go
+++ b/residency/residency.go
@@ -1,6 +1,6 @@
 // Package residency decides which failure domains may run a request: those in the home regions
-// of its route and of its team, unless operators have evacuated them. It does no I/O. Only the
-// gateway mode of the entry uses it.
+// of its route and of its team, unless operators have evacuated the domain. The package does no
+// I/O. Only entries in the mode of `springgate gateway` use it.
 package residency
 
 import "slices"
