--- a/mechanism/mechanism.go
+++ b/mechanism/mechanism.go
@@ -16,16 +16,16 @@
 const (
 	CommonWait     Mechanism = iota // each request may wait at a target as long as its own latency objective allows
 	OverdueLast                     // retries of refused callers have the precedence of first attempts
-	Patience                        // fresh requests are refused without waiting for a target
+	Patience                        // requests other than retries are refused without waiting for a target
 	RetryAfter                      // refused callers are told to retry after 1 s
-	Homes                           // entries send requests without a reservation from the target's home entry, which counts those of all entries
+	Homes                           // entries reserve nothing at a target's home entry, which counts all requests to it
 	SharedLoads                     // each entry knows only the load of its own requests at a target
 	SharedSilence                   // each entry detects silent targets on its own
 	RemoteCost                      // targets in other failure domains cost no more than local ones
 	Ejection                        // targets that fail requests stay in rotation
 	Resume                          // broken streams are not resumed at another target
 	LateFirstEvent                  // requests wait for the first event of a silent target until their deadline
-	Turns                           // engines load a version as soon as its weights are staged, without staggering
+	Turns                           // engines load a version as soon as its weights are staged at them, without staggering
 	OlderVersion                    // a version is not loaded while a newer one is expected
 	NearRelay                       // pieces of weights are fetched from the origin, not from nearby agents
 	Quarantine                      // requests that crash targets are sent again
