--- a/quarantine/verdict.go
+++ b/quarantine/verdict.go
@@ -77,7 +77,8 @@
 }
 
 // evaluate returns the findings on the contents to quarantine. Contents with the most
-// crashes are examined first; the crashes that they explain do not count against others.
+// crashes are examined first; the crashes of a content found to be a cause do not count
+// against the contents examined after it.
 func evaluate(records map[Fingerprint]*record) map[Fingerprint]Finding {
 	e := newEvaluation(records)
 	out := map[Fingerprint]Finding{}
