--- a/routing/retry.go
+++ b/routing/retry.go
@@ -14,7 +14,7 @@
 	// Default 0.2.
 	Ratio float64
 	// Reserve is how many retries are allowed without any success, and the
-	// level to which the budget refills at one per second. Default 10.
+	// level up to which the budget refills at one retry per second. Default 10.
 	Reserve float64
 	// Cap is the largest number of retries that the budget holds. Default 100.
 	Cap float64
