--- a/gateway/announced.go
+++ b/gateway/announced.go
@@ -8,11 +8,12 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// announcementAt returns the announcement of a version that was read from the store at
-// now. announced is false if the version was already present when this process first read
-// the store; its timeout is then assumed to have expired. An entry that was disconnected
-// also uses now, as do all entries after an outage of the store, during which the timeout
-// does not run; the other entries report what they observed in the meantime.
+// announcementAt returns when a version that this process reads from the store now was
+// announced. announced is false if the version was already present when this process first
+// read the store; its timeout is then assumed to have expired. Otherwise the announcement
+// is dated now. That is too late if this entry was disconnected from the store, until other
+// entries report the time that they observed. After an outage of the store all entries date
+// it so, since a version's timeout does not run during an outage.
 func announcementAt(now time.Time, announced bool, timeout time.Duration) fleet.Announcement {
 	if !announced {
 		return fleet.Announcement{At: now.Add(-timeout), Estimated: true}
@@ -25,8 +26,9 @@
 	return fleet.Announcement{At: a.since, Estimated: a.estimated}
 }
 
-// Announced implements mesh.Listener. Estimated times are not sent: other entries may
-// have an observed time, and an estimate that was sent would never be withdrawn.
+// Announced implements mesh.Listener: it returns the announcement times that this entry
+// reports to the others. Estimated times are not sent: other entries may have an observed
+// time, and an estimate that was sent would never be withdrawn.
 func (c *Control) Announced(now time.Time) []peer.ObservedVersion {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,7 +61,8 @@
 	}
 }
 
-// minDateCorrection is the least correction that is applied to an announcement time.
+// minDateCorrection is the least correction that is applied to an observed announcement
+// time.
 // Entries observe an announcement some milliseconds apart, and each correction is sent to
 // all agents.
 const minDateCorrection = 100 * time.Millisecond
@@ -89,8 +92,8 @@
 }
 
 // insertMissed adds a version that was overwritten in the store by a newer one before this
-// entry read it, and reports whether it was missing. Its timeout expires before that of
-// the newer version.
+// entry read it, and reports whether it was missing. The version is needed because its
+// timeout expires before that of the newer version.
 func (c *Control) insertMissed(v fleet.VersionTarget, reported fleet.Announcement) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/assign.go
+++ b/gateway/assign.go
@@ -17,16 +17,16 @@
 type assignment struct {
 	model      *fleet.EngineModel
 	version    int
-	since      time.Time // when the version was announced, or assigned if it was not
-	order      []string  // addresses of the engines in rollout order; empty if not known yet
-	explicit   bool      // the operators announced the version
-	estimated  bool      // announced before this process started; since is the latest possible time
-	unreadable bool      // its pieces cannot be read
-	previous   *assignment
+	since      time.Time   // when the version was announced; if it was not, when it was assigned
+	order      []string    // addresses of the engines in rollout order; empty if not known yet
+	explicit   bool        // the operators announced the version
+	estimated  bool        // announced before this process started; since is set so that the timeout has expired
+	unreadable bool        // the pieces of the version's weights cannot be read
+	previous   *assignment // the assignment that this one replaced
 }
 
-// earlier returns the versions announced before this one that may not be served by all
-// engines yet, oldest first.
+// earlier returns the versions announced before this one that some engines may still lack,
+// oldest first.
 func (a *assignment) earlier(now time.Time, timeout time.Duration) []peer.AnnouncedVersion {
 	var out []peer.AnnouncedVersion
 	for b := a.previous; b != nil && b.explicit && len(out) < maxEarlierVersions; b = b.previous {
@@ -70,7 +70,8 @@
 	c.setAssignment(service, a)
 }
 
-// turnOrder returns the order in which the engines of a service change to a version.
+// turnOrder returns the order in which the engines of a service change to a version, each
+// in its turn.
 // Entries that know the same engines compute the same order.
 func (c *Control) turnOrder(service string, a *assignment) []string {
 	var addrs []string
@@ -84,7 +85,7 @@
 
 // updateOrders recomputes the order of the engines from the current list. Agents are
 // notified only if there was no order before: otherwise the positions change little, and
-// agents keep theirs.
+// agents keep the turn that they were sent.
 func (c *Control) updateOrders() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,8 +103,8 @@
 	}
 }
 
-// assign assigns to each service without an announced version the newest version that one
-// of its engines holds.
+// assign assigns to each service without an announced version the newest version that any
+// of its engines has loaded.
 func (c *Control) assign(ctx context.Context) {
 	cfg := c.gateway.Config()
 	if cfg == nil {
@@ -152,8 +153,10 @@
 	}
 }
 
-// Assignment implements mesh.Listener. It returns an announced version only once the
-// engines are known; an entry that starts reads them after the version.
+// Assignment implements mesh.Listener: it returns the assignment for an agent, and a
+// channel that is closed when assignments change. An announced version is returned only
+// once the engines, and so their turns, are known: an entry that starts reads the list of
+// engines after the version.
 func (c *Control) Assignment(agent peer.Presence) (*peer.Assignment, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -38,8 +38,8 @@
 	return c
 }
 
-// An agent must know each version that is not served by all engines yet: each has its own
-// timeout, and the pieces of the newest may not be available.
+// An agent must know each version that is not served by all engines yet: each version has
+// its own timeout, and the pieces of the newest may be unavailable.
 func TestAgentsReceiveEarlierVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControl(&fakeRelay{})
@@ -59,10 +59,11 @@
 	})
 }
 
-// Guards against an entry that receives a version late and dates its announcement by that
-// moment. With a 4.6 s delay on its link, an entry sent requests to engines with the
-// previous version for 11.3 s, where 8 s are allowed. Entries therefore exchange when they
-// observed an announcement.
+// Guards against an entry that receives a version late and takes the time of receipt for
+// the time of the announcement. With a 4.6 s delay on its link, an entry sent requests to
+// engines with the
+// previous version until 11.3 s after the announcement, where 8 s are allowed. Entries
+// therefore exchange the times at which they observed an announcement.
 func TestLateVersionTakesTheAgeReportedByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControl(&fakeRelay{})
@@ -187,8 +188,9 @@
 
 // Guards against a version that is overwritten in the store, by one announced a second
 // later, before an entry reads it. The timeout of the older version expires first. The
-// entry must take it over from the reports of other entries. Otherwise it sends requests to
-// engines with a version before both until the newer one's timeout expires.
+// entry must take the older version over from the reports of other entries. Otherwise it
+// sends requests to engines that serve a version older than both until the newer one's
+// timeout expires.
 func TestOverwrittenVersionKeepsItsTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControl(&fakeRelay{})
--- a/gateway/attempt.go
+++ b/gateway/attempt.go
@@ -65,9 +65,9 @@
 }
 
 // expireWithVersion cancels the request if the target serves an older version and has not
-// started the request when that version expires: how long the request will queue at the
-// target is not known when it is sent. Only a request that another target may run is
-// cancelled.
+// started the request when that version expires. This cannot be decided when the request is
+// sent, since it is not known then how long the request will queue at the target. Only a
+// request that another target may run is cancelled.
 func (a *attempt) expireWithVersion() {
 	if a.choice.StartBy.IsZero() || !a.x.route.Idempotent() {
 		return
@@ -90,8 +90,8 @@
 
 // checkLate decides about a request whose first event is late. A target that still sends
 // events of other streams is loaded, and sending the request elsewhere would only add
-// load, so it gets more time, up to firstEventLimit. A target that sends nothing is
-// abandoned. checkLate runs on the timer's goroutine.
+// load, so the target gets more time, up to firstEventLimit. The attempt at a target that
+// sends nothing is cancelled. checkLate runs on the timer's goroutine.
 func (a *attempt) checkLate(watchdog *clock.Timer) {
 	x := a.x
 	now := clock.Now()
@@ -130,12 +130,12 @@
 	return result{reason: ReasonConnLost, ran: true, sent: true}
 }
 
-// firstEventFactor is the multiple of the forecast that the first event of a busy target
+// firstEventFactor is how many times the forecast delay the first event of a busy target
 // may take.
 const firstEventFactor = 4
 
-// firstEventLimit is how long a target that sends events of other streams, or answers
-// other requests, may take before another target is tried.
+// firstEventLimit is how long a target that sends events of other streams, or answers other
+// requests, may take for the first event or the response before another target is tried.
 func (a *attempt) firstEventLimit() time.Duration {
 	if a.x.route.Kind != fleet.Streaming {
 		return a.plainLimit()
--- a/gateway/control.go
+++ b/gateway/control.go
@@ -29,8 +29,8 @@
 
 // ControlConfig holds the timing and the switches of a Control.
 type ControlConfig struct {
-	// Tick is the interval at which state that changes only with time is checked. Default
-	// 200 ms.
+	// Tick is the interval at which state that changes without a change of the mirror is
+	// checked. Default 200 ms.
 	Tick time.Duration
 	// Off is the set of mechanisms that are switched off.
 	Off mechanism.Off
@@ -38,12 +38,14 @@
 	VersionTimeout time.Duration
 }
 
-// Relay fetches weights for the agents.
+// Relay fetches the weights of model versions, which are divided into pieces, for the
+// agents.
 type Relay interface {
 	// Prefetch reads the pieces of a new version before agents request them.
 	Prefetch(ctx context.Context, model string, version, pieces int)
-	// Hold makes a version that is not new available; its pieces are read when agents
-	// request them. It reports whether the version is newer than those held already.
+	// Hold makes a version available that was announced before this process started; its
+	// pieces are read when agents request them. Hold reports whether the version is newer
+	// than those made available before.
 	Hold(model string, version int) bool
 	// Failing reports whether the latest prefetch of a piece of a version failed.
 	Failing(model string, version int) bool
@@ -53,7 +55,7 @@
 // store and applies changes to the gateway and its balancer.
 type Control struct {
 	cfg      ControlConfig
-	addr     string // of this entry, sent to peers
+	addr     string // of this entry, sent to agents
 	gateway  *Gateway
 	balancer *dispatch.Balancer
 	decoder  Decoder
@@ -75,7 +77,7 @@
 	// mirrorRevision is the revision of the mirror. It may exceed the revision of the items
 	// by changes that arrived just after they were read.
 	mirrorRevision int64
-	versionRev     map[string]int64 // by key
+	versionRev     map[string]int64 // last revision applied of each version item, by key
 	list           []*fleet.Instance
 
 	mu          sync.Mutex
@@ -209,8 +211,8 @@
 	}
 }
 
-// notifyRelay passes a version to the relay. A version that is not new is not prefetched,
-// since few engines lack it.
+// notifyRelay passes a version to the relay. A version announced before this process
+// started is not prefetched, since few engines lack it.
 func (c *Control) notifyRelay(ctx context.Context, v fleet.VersionTarget, announced bool) {
 	if !announced {
 		c.relay.Hold(v.Model, v.Version)
@@ -252,16 +254,17 @@
 	c.balancer.UpdateNotices(clock.Now())
 }
 
-// serves reports whether a target belongs to a configured service. A target of another
-// service must not replace a configured one at the same address either.
+// serves reports whether a target belongs to a configured service. Other targets are left
+// out, also so that they do not replace a target of a configured service at the same
+// address.
 func (c *Control) serves(i *fleet.Instance) bool {
 	cfg := c.gateway.Config()
 	return cfg == nil || cfg.Services[i.Service] != nil
 }
 
 // decodeInstance decodes an item of the target list. An item that is not readable as a
-// target describes none, even if it did before. This is logged once until the item is
-// readable again, since it may be rewritten every second.
+// target counts as none, even if an earlier revision of it described a target. This is
+// logged once until the item is readable again, since it may be rewritten every second.
 func (c *Control) decodeInstance(i mirror.Item, old decodedInstance) decodedInstance {
 	inst, err := c.decoder.Instance(i)
 	if err != nil {
--- a/gateway/crashdetector.go
+++ b/gateway/crashdetector.go
@@ -16,24 +16,26 @@
 
 const (
 	// dialCheckTimeout bounds the check whether a target still listens: fifteen times the
-	// longest round trip. A target that cannot be checked in time is not assumed to have
-	// ended.
+	// longest network round trip. A target that cannot be checked in time is not assumed to
+	// have ended.
 	dialCheckTimeout = 100 * time.Millisecond
 	// crashReportWait is how long a request whose target has just ended waits before it is
 	// sent to another target, so that reports of crashes that other entries observed at
 	// the same moment arrive first. It is three times the longest one-way delay between two
 	// entries.
 	crashReportWait = 20 * time.Millisecond
-	// suspectRetention is how long a suspect is kept after the last broken connection. A
-	// target that restarts does so within seconds, and its next incarnation shows that
-	// the previous one has ended.
+	// suspectRetention is how long a suspect (a run of a target's process to which
+	// connections broke) is kept after the last broken connection. A target that restarts
+	// does so within seconds, and its next incarnation shows that the previous one has
+	// ended.
 	suspectRetention = 30 * time.Second
 	// maxCrashesPerSuspect bounds the unreported crashes of each suspect; the newest are
 	// kept. There may be several, since a target serves requests concurrently.
 	maxCrashesPerSuspect = 64
 )
 
-// incarnationOf returns the identity of a target's incarnation.
+// incarnationOf returns the identity of a target's incarnation, that is, of one run of its
+// process.
 func incarnationOf(i fleet.Instance) quarantine.Incarnation {
 	return quarantine.Incarnation{Target: i.ID, StartMs: i.StartMs}
 }
@@ -48,8 +50,8 @@
 }
 
 // crashDetector determines which connections break because their target ended. A reset, a
-// network partition or a frozen target must not count, because counted contents are
-// quarantined. An end is detected if the target's address refuses connections, or if
+// network partition or a frozen target must not count as a crash, because contents with
+// several crashes are quarantined. An end is detected if the target's address refuses connections, or if
 // another incarnation is listed. A target that was draining or no longer listed is not
 // counted as having crashed under its requests.
 type crashDetector struct {
@@ -66,8 +68,8 @@
 }
 
 // connectionLost records that the connection to a target broke during a request with the
-// content, sent at sent. It waits for the check of the target and reports whether the
-// target is known to have ended.
+// given content and time of sending. It waits for the check of the target and reports
+// whether the target is known to have ended.
 func (e *crashDetector) connectionLost(ctx context.Context, t fleet.Instance, content quarantine.Fingerprint, sent, now time.Time) bool {
 	x, counts := e.recordLoss(t, content, sent, now)
 	if !counts {
@@ -183,8 +185,8 @@
 	x.unreported = nil
 }
 
-// recordAnswer records that an incarnation answered a request that was sent at sent. If
-// that was after its connections broke, they did not break because it ended.
+// recordAnswer records that an incarnation answered a request. If the request was sent
+// after connections to the incarnation broke, they did not break because it ended.
 func (e *crashDetector) recordAnswer(t fleet.Instance, sent time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/gateway/evacuation.go
+++ b/gateway/evacuation.go
@@ -7,9 +7,9 @@
 	"github.com/springgate/springgate/mirror"
 )
 
-// applyEvacuations applies the evacuations of failure domains: those whose keys are in the
-// mirror of the store. The mirror orders changes by revision, so an evacuation that was
-// withdrawn does not reappear.
+// applyEvacuations applies the evacuations that the operators have ordered: an evacuated
+// failure domain gets no requests while the key of its evacuation is in the mirror. The
+// mirror orders changes by revision, so an evacuation that was withdrawn does not reappear.
 func (c *Control) applyEvacuations(items []mirror.Item) {
 	var evacuated []string
 	for _, i := range items {
--- a/gateway/exchange.go
+++ b/gateway/exchange.go
@@ -45,13 +45,13 @@
 	started         bool // the response header has been written to the caller
 	waited          time.Duration
 	tightest        time.Duration // tightest objective of the service's callers
-	isRetry         bool          // the caller was refused before
+	isRetry         bool          // the request is probably a retry of a refused caller
 	firstEventDelay time.Duration
 	maxGap          time.Duration   // longest pause between events
 	target          string          // of the last send
 	choice          dispatch.Choice // of the last send
-	retries         []Reason
-	nextFreeAt      time.Time // when a target accepts a request again; zero if unknown
+	retries         []Reason        // for each retry, why the preceding attempt failed
+	nextFreeAt      time.Time       // when the first target accepts a request again; zero if unknown
 }
 
 // ServeHTTP implements http.Handler.
--- a/gateway/foreign_test.go
+++ b/gateway/foreign_test.go
@@ -32,8 +32,8 @@
 	return inst, nil
 }
 
-// Items that describe no target do not affect others, whoever writes them and however
-// often.
+// Items of the target list that describe no target do not affect others, whoever writes
+// them and however often.
 func TestInvalidItemsDoNotAffectOthers(t *testing.T) {
 	log, lines := test.NewNullLogger()
 	log.SetLevel(logrus.InfoLevel)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,7 +1,14 @@
 // Package gateway implements the entry of `springgate gateway`, the mode in which callers'
-// requests are forwarded directly from the entry to the target. It matches routes and
-// teams, chooses targets, relays responses and event streams, and resumes broken streams
-// at other targets. The header names are defined by a Dialect.
+// requests are forwarded directly from the entry to the target. The gateway matches routes
+// and teams, chooses targets, relays responses and event streams, and resumes broken
+// streams at other targets. The header names are defined by a Dialect.  An entry is a
+// process that callers connect to; there are several. A target is a server process that
+// runs requests; one that serves a model is also called an engine. The agent of an engine
+// is the process that supplies it with model weights. The configuration, the target list
+// and the announcements of model versions are in a store, of which each entry keeps a
+// mirror, that is, a copy in memory. A version that the operators announce has a timeout:
+// when it has passed, older versions of the model have expired and must not be used for new
+// requests.
 package gateway
 
 import (
@@ -24,11 +31,11 @@
 
 // Call is the request metadata in the header of a caller's request.
 type Call struct {
-	ID        string // of this attempt of the caller
-	Key       string // API key
-	Remaining time.Duration
-	Prompt    int // tokens
-	LastEvent string
+	ID        string        // identifies one attempt; a caller's retry has another ID
+	Key       string        // API key
+	Remaining time.Duration // time that the caller still waits for the response
+	Prompt    int           // length of the prompt in tokens
+	LastEvent string        // ID of the event after which a stream resumes; empty at its start
 }
 
 // ForwardInfo is the metadata in the header of a request that is forwarded to a target.
@@ -41,11 +48,11 @@
 
 // ResponseInfo is the metadata in the header of a target's response.
 type ResponseInfo struct {
-	ID            string // of the request that it answers
-	Signed        bool   // it has the target's signature
-	NotRun        bool   // the target states that it did not run the request
-	OtherInstance bool   // another instance has the address
-	Notice        notice.Statement
+	ID            string           // of the request that the response answers
+	Signed        bool             // the response has the target's signature
+	NotRun        bool             // the target states that it did not run the request
+	OtherInstance bool             // not the addressed instance answered, but another one at its address
+	Notice        notice.Statement // the back-off, rate limit or departure that the target announces
 }
 
 // Dialect maps request metadata to header names.
@@ -56,19 +63,20 @@
 	DecodeResponse(status int, h http.Header) ResponseInfo
 }
 
-// Reserver reserves capacity of a target at its home entry. Each target has one home, so
-// that entries that see the same free target at the same moment do not all fill it.
+// Reserver reserves capacity of a target at its home entry, the one entry that grants the
+// reservations of all entries at this target. Without it, entries that see the same free
+// target at the same moment would all fill it.
 type Reserver interface {
-	// Reserve requests a place for a request whose prompt has the given number of tokens.
-	// The place is also granted if the home does not answer in time, unless the choice is
-	// Paced.
+	// Reserve requests a place, that is, capacity for one request, whose prompt has the
+	// given number of tokens. The place is also granted if the home entry does not answer
+	// in time, unless the choice is Paced: the rate of such a target is limited.
 	Reserve(ctx context.Context, c dispatch.Choice, prompt int) dispatch.Reservation
 }
 
-// MirrorState describes the state of this entry's mirror of the store.
+// MirrorState describes the state of this entry's mirror, its copy of the store.
 type MirrorState struct {
-	Revision int64         // the revision that it has reached
-	Age      time.Duration // since it was last confirmed to be current
+	Revision int64         // the store's revision that the mirror has reached
+	Age      time.Duration // time since the mirror was last confirmed to be current
 }
 
 // Config holds the limits of a Gateway.
@@ -79,33 +87,36 @@
 	// unknown.
 	MirrorState func() MirrorState
 
-	// Crashes records which requests crash targets. Default: a private table. Hasher
-	// computes the fingerprints of contents, Host names this entry in the table.
+	// Crashes records which requests crash targets. Default: a table that is not shared
+	// with other entries. Hasher computes the fingerprints of request contents. Host names
+	// this entry as a reporter of crashes in the table.
 	Crashes *quarantine.Table
 	Hasher  quarantine.Hasher
 	Host    string
-	// Probes reports whether this entry is the one that probes a quarantined content.
-	// Default: it is.
+	// Probes reports whether this entry is the one that probes a quarantined content, that
+	// is, lets one request with this content through to test whether targets still crash.
+	// Default: this entry probes all contents.
 	Probes func(quarantine.Fingerprint) bool
 
-	// MaxWaitRatio is the part of the service's tightest objective that a fresh request
-	// may wait for a target: long enough to bridge a short lack of targets, and short
-	// enough that a refused caller has lost no useful time. All requests of a service wait
-	// equally long, since those that waited longer would win the places that others give
-	// up. Default 0.1.
+	// MaxWaitRatio is the part of the service's tightest objective (the shortest
+	// first-response latency that counts as in time for any of its current callers) that a
+	// fresh request, one that is not a retry, may wait for a target: long enough to bridge
+	// a short lack of targets, and short enough that a refused caller has lost no useful
+	// time. The limit is the same for all requests of a service, since those with a longer
+	// one would win the places that others give up. Default 0.1.
 	MaxWaitRatio float64
 	// RetryMaxWait is how long a request that failed at one target may wait for another.
 	// Default 250 ms.
 	RetryMaxWait time.Duration
-	// FirstEventLimit is the least time allowed for a first event at a target that is
-	// sending events of other streams. Default 2.2 s.
+	// FirstEventLimit is the least time allowed for the first event of a stream at a target
+	// that is sending events of other streams. Default 2.2 s.
 	FirstEventLimit time.Duration
 	// FirstEventTimeout is how long a target that sends nothing may take for a first event
-	// before another target is tried. Default 600 ms.
+	// of a stream before another target is tried. Default 600 ms.
 	FirstEventTimeout time.Duration
 	// StallTimeout is the least pause after which a stream is resumed at another target.
-	// Longer pauses are allowed up to twice the route's MaxGap and up to stallFactor times
-	// the forecast gap. Default 900 ms.
+	// The pause allowed is the longest of StallTimeout, twice the route's MaxGap, and
+	// stallFactor times the forecast gap between events. Default 900 ms.
 	StallTimeout time.Duration
 	// MaxBufferedResponse bounds how much of a non-streaming response is buffered until it
 	// is complete, in bytes. Default 256 KiB.
@@ -114,16 +125,18 @@
 	// started is cancelled: the time that closing its connection may take to reach the
 	// target over a link shared with weight transfers. Default 250 ms.
 	CancelLead time.Duration
-	// RetryAfter is the part of the remaining time after which a refused caller should
-	// retry, the longest that callers respect: most bursts, version changes and restarts
-	// are over by then. RetrySpread is the part by which it varies, so that callers
-	// refused at the same time do not all retry at the same time. Defaults 1/3 and 0.2.
+	// RetryAfter is the part of a refused caller's remaining time after which the caller
+	// should retry. Callers do not wait longer than this part; most bursts, version changes
+	// and restarts are over by then. RetrySpread is the part of the delay by which it
+	// varies at random, so that callers refused at the same time do not all retry at the
+	// same time. Defaults 1/3 and 0.2.
 	RetryAfter, RetrySpread float64
-	// RetryRatio is how many retries each request adds to the budget, and RetryBurst the
-	// most that all entries together may accumulate.
+	// RetryRatio is how many retries each request adds to the retry budget of its service,
+	// and RetryBurst the most retries that the budgets of all entries together may
+	// accumulate for a service.
 	RetryRatio, RetryBurst float64
-	// MinRemaining is the least remaining time with which a target can still serve a
-	// request. Default 30 ms.
+	// MinRemaining is the least remaining time of a request with which it is sent to
+	// another target. Default 30 ms.
 	MinRemaining time.Duration
 }
 
@@ -207,8 +220,8 @@
 func (g *Gateway) Inflight() int64 { return g.inflight.Load() }
 
 // SetEntries sets how many entries share the retry budget. Existing budgets are resized
-// rather than replaced: a new budget is full, and entries join and leave every second
-// during a network partition.
+// rather than replaced: a new budget is full, so that retries would be unbounded during a
+// network partition, when entries join and leave every second.
 func (g *Gateway) SetEntries(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -221,13 +234,14 @@
 	}
 }
 
-// budgetShare is how many retries this entry may accumulate. The caller holds the lock.
+// budgetShare is how many retries this entry may accumulate for a service. The caller holds
+// the lock.
 func (g *Gateway) budgetShare() float64 {
 	return max(g.cfg.RetryBurst/float64(max(g.entries, 1)), 1)
 }
 
 // budget returns the retry budget of a service. The entries share it without coordination:
-// each has an equal share of the burst and refills it with its own requests.
+// each has an equal share of RetryBurst and refills it with its own requests.
 func (g *Gateway) budget(service string) *routing.Budget {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -405,7 +405,7 @@
 	x, y := newTarget(t, notRunHandler), newTarget(t, notRunHandler)
 	f := newTestGateway(t, x, y)
 	f.gateway.cfg.RetryRatio, f.gateway.cfg.RetryBurst = 0.01, 8
-	f.gateway.SetEntries(4) // a share of 2
+	f.gateway.SetEntries(4) // this entry's share of the 8 retries is 2
 	for range 10 {
 		f.call(http.MethodPost, "/unsafe/x", "b")
 	}
@@ -419,7 +419,7 @@
 	x, y := newTarget(t, notRunHandler), newTarget(t, notRunHandler)
 	f := newTestGateway(t, x, y)
 	f.gateway.cfg.RetryRatio, f.gateway.cfg.RetryBurst = 0.01, 8
-	f.gateway.SetEntries(4) // a share of 2
+	f.gateway.SetEntries(4) // this entry's share of the 8 retries is 2
 	for i := range 10 {
 		f.call(http.MethodPost, "/unsafe/x", "b")
 		f.gateway.SetEntries(3 + i%2)
@@ -445,8 +445,9 @@
 	assert.Equal(t, n, 8)
 }
 
-// A request that may wait longer than others wins the places that these give up, so the
-// wait of all requests is derived from the tightest objective.
+// A request that may wait longer than others wins the places at targets that the others
+// give up, so the longest wait of all requests is derived from the tightest objective of
+// their service's callers.
 func TestMaxWaitFollowsTheTightestObjective(t *testing.T) {
 	g := &Gateway{cfg: Config{}.applyDefaults()}
 	x := &exchange{g: g, route: &fleet.Route{Objective: 1500 * time.Millisecond}, tightest: 250 * time.Millisecond, start: time.Now(),
--- a/gateway/notice.go
+++ b/gateway/notice.go
@@ -5,9 +5,10 @@
 	"github.com/springgate/springgate/clock"
 )
 
-// recordNotice records the notice that a target attached to its response. A response of
-// another instance at the address, or one that is not signed by a target, says nothing
-// about the target.
+// recordNotice records the notice (back-off, rate limit or departure) that a target
+// attached to its response. A response of another instance at the address, or one that is
+// not signed by a target, says nothing about the target. A response that states that the
+// request did not run needs no signature.
 func (a *attempt) recordNotice(info ResponseInfo) {
 	if info.OtherInstance || !info.Signed && !info.NotRun {
 		return
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -70,8 +70,9 @@
 	assert.Equal(t, x.count(), 1)
 }
 
-// Guards against relying on the list alone: a target that had announced in a response that
-// it was leaving got requests as before, because the list still showed it as ready.
+// Guards against relying on the target list alone: a target that had announced in a
+// response that it was leaving got requests as before, because the list still showed it as
+// ready.
 func TestLeavingTargetGetsNoMoreRequests(t *testing.T) {
 	for path, h := range map[string]http.HandlerFunc{"/unsafe/x": okHandler, "/stream/x": streamHandler(3, 3), "/safe/x": failHandler} {
 		x, stays := newTarget(t, withLeaving(h)), newTarget(t, h)
--- a/gateway/peers.go
+++ b/gateway/peers.go
@@ -12,15 +12,16 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// holder is an agent whose engine holds a version of a model.
+// holder is an agent whose engine holds a version of a model, that is, has loaded it.
 type holder struct {
-	addr    string // address at which it serves pieces
+	addr    string // address at which the agent serves pieces of the weights
 	domain  string
 	model   string
 	version int
 }
 
-// Loads implements mesh.Listener.
+// Loads implements mesh.Listener: it applies a report of another entry about the load and
+// the state of targets.
 func (c *Control) Loads(from string, l *peer.Loads) {
 	c.mergeVersions(clock.Now(), from, l.Versions)
 	c.mergeNotices(from, l.Notices)
@@ -56,7 +57,8 @@
 	}
 }
 
-// Notices implements mesh.Listener.
+// Notices implements mesh.Listener: it returns the notices of targets for the other
+// entries.
 func (c *Control) Notices() []peer.TargetNotice {
 	var out []peer.TargetNotice
 	for _, received := range c.balancer.Reports() {
@@ -66,10 +68,11 @@
 	return out
 }
 
-// EntryLost implements mesh.Listener.
+// EntryLost implements mesh.Listener: the load that a lost entry reported is dropped.
 func (c *Control) EntryLost(addr string) { c.balancer.SetLoads(addr, nil) }
 
-// EngineState implements mesh.Listener.
+// EngineState implements mesh.Listener: it applies the state of an agent's engine; nil
+// means that the agent is not reachable.
 func (c *Control) EngineState(agent peer.Presence, s *peer.EngineState) {
 	if s == nil {
 		c.log.WithField("addr", agent.EngineAddr).Info("Agent no longer reachable.")
--- a/gateway/place.go
+++ b/gateway/place.go
@@ -11,7 +11,7 @@
 	"github.com/springgate/springgate/residency"
 )
 
-// place waits until a target can serve the request in time.
+// place chooses a target. It waits until one can serve the request in time.
 func (x *exchange) place(ctx context.Context, d dispatch.Demand) (dispatch.Choice, Reason) {
 	start := clock.Now()
 	defer func() { x.waited += clock.Since(start) }()
@@ -58,8 +58,8 @@
 // the request may not wait.
 const maxDeferredTargets = 4
 
-// pick chooses a target whose home entry grants a place. Targets whose reservation is
-// deferred, since they accept no request for now, are skipped.
+// pick chooses a target whose home entry (see Reserver) grants a place. A target that
+// accepts no requests for now defers the reservation and is skipped.
 func (x *exchange) pick(ctx context.Context, d dispatch.Demand, until time.Time) (dispatch.Choice, dispatch.Verdict) {
 	for deferred := 0; ; deferred++ {
 		choice, verdict := x.g.balancer.Pick(clock.Now(), x.service, d, x.avoid)
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -24,8 +24,8 @@
 }
 
 // quarantined reports whether the request is refused because targets crash when they run
-// it. It is checked before each send, since other entries may have observed a crash in the
-// meantime.
+// it. It is called before each send, since other entries may have observed a crash since
+// the preceding one.
 func (x *exchange) quarantined() bool {
 	if x.probing || x.g.cfg.Off.Has(mechanism.Quarantine) {
 		return false
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -109,8 +109,8 @@
 	assert.Equal(t, totalRequests(targets), 3)
 }
 
-// If no entry or agent has the crash records any more, a request is quarantined again
-// after the same number of crashes.
+// If no entry or agent has the crash records any more, a request is quarantined again after
+// the same number of crashes, three.
 func TestRequestIsQuarantinedAgainAfterCrashRecordsAreLost(t *testing.T) {
 	targets := newCrashingTargets(t, 12)
 	for round := 1; round <= 2; round++ {
@@ -123,8 +123,8 @@
 }
 
 // The same request arrives at all entries at once, before any of them has observed a
-// crash. No attempt has more sends than its route allows, and later ones are not sent at
-// all.
+// crash. No attempt is sent to more targets than its route allows, and later attempts are
+// not sent at all.
 func TestSimultaneousArrivals(t *testing.T) {
 	const entries, attempts = 4, 2
 	targets := newCrashingTargets(t, 12)
@@ -159,7 +159,8 @@
 	assert.Equal(t, totalRequests(targets), 10)
 }
 
-// The end of a draining target is planned, even if requests are still running there.
+// The end of a draining target is planned and no crash, even if requests are still running
+// there.
 func TestPlannedEndsDoNotCount(t *testing.T) {
 	targets := newCrashingTargets(t, 5)
 	f := newTestGateway(t, targets...)
@@ -194,8 +195,8 @@
 	}
 }
 
-// A proxy in front of a target accepts connections although the target has ended. Its next
-// incarnation shows that it has.
+// A proxy in front of a target accepts connections although the target has ended. The
+// target's next incarnation in the list shows that the previous one has ended.
 func TestCrashDetectedByTheNextIncarnation(t *testing.T) {
 	var targets []*target
 	for range 5 {
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -68,7 +68,7 @@
 	if resp.StatusCode >= http.StatusInternalServerError {
 		return result{reason: ReasonTargetError, ran: true, sent: true, held: held}
 	}
-	if a.x.started { // the remaining events of a stream were expected
+	if a.x.started { // a stream is being resumed; its remaining events were expected
 		return result{reason: ReasonTargetError, ran: true, sent: true}
 	}
 	a.x.firstEventDelay = clock.Since(a.x.start)
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -7,9 +7,9 @@
 )
 
 // Roster retains instances that disappeared from the target list for a short time, since
-// list items expire while the store is unavailable although the targets run. Requests may
-// be sent to a target that really left: it answers that it has not run them. Roster does no
-// I/O and reads no clock.
+// list items expire while the store is unavailable although the targets run. So requests
+// may be sent to a target that really left; such a target answers that it has not run them.
+// Roster does no I/O and reads no clock.
 type Roster struct {
 	// RetainFor is how long an instance that disappeared without draining is retained. It must
 	// be less than the time during which a target that left may still get requests.
@@ -21,8 +21,9 @@
 	known map[string]*fleet.Instance
 	// vanished maps the IDs of retained instances to how long the store has been available
 	// since they disappeared, during which a running target could have been listed again.
-	// The time since the last outage is not used: an entry with slow calls to the store
-	// detects outages again and again, and would retain a target that left for as long.
+	// The time since the last outage alone does not suffice: an entry with slow calls to
+	// the store detects outages again and again, and would retain a target that left until
+	// that stops.
 	vanished map[string]time.Duration
 	updated  time.Time
 	down     bool // at the last update
--- a/gateway/roster_test.go
+++ b/gateway/roster_test.go
@@ -29,7 +29,8 @@
 	return out
 }
 
-// The item of a crashed incarnation stays in the list for seconds.
+// The item of a crashed incarnation, that is, run of a target's process, stays in the list
+// for seconds after the next one is listed at the same address.
 func TestNewerIncarnationReplacesTheOlder(t *testing.T) {
 	r := Roster{RetainFor: time.Second}
 	old := &fleet.Instance{ID: "old", Addr: "x", Revision: 7}
@@ -39,7 +40,7 @@
 	got = r.Update(start, []*fleet.Instance{old, next}, false, time.Time{})
 	assert.DeepEqual(t, state(got), map[string]bool{"new": false, "other": true})
 	got = r.Update(start, []*fleet.Instance{next}, false, time.Time{})
-	assert.DeepEqual(t, state(got), map[string]bool{"new": false, "other": true}) // and it is not retained
+	assert.DeepEqual(t, state(got), map[string]bool{"new": false, "other": true}) // the older incarnation is not retained
 }
 
 func TestVanishedInstanceIsRetained(t *testing.T) {
@@ -77,8 +78,8 @@
 
 // An entry with slow calls to the store may detect short outages again and again while the
 // store is available and targets leave for good. A running target is listed again once the
-// store has been available for CatchUp; one that is not has left, however often an outage
-// seems to have ended.
+// store has been available for CatchUp; a target that is still missing then has left,
+// however often an outage seems to have ended.
 func TestFlappingOutagesDoNotRetainATargetThatLeft(t *testing.T) {
 	r := Roster{RetainFor: time.Second, CatchUp: 3 * time.Second}
 	r.Update(start, listed("a", "b"), false, time.Time{})
--- a/gateway/run.go
+++ b/gateway/run.go
@@ -25,7 +25,7 @@
 	held *bufferedResponse
 }
 
-// run sends the request until it is answered or may not be retried.
+// run sends the request until it is answered or must not be retried.
 func (x *exchange) run(ctx context.Context) {
 	x.g.budget(x.service).Success()
 	var held *bufferedResponse
@@ -149,9 +149,10 @@
 }
 
 // logSending logs which target a request is sent to, and the state on which the choice was
-// based. The revision of the target's list item and the revision and age of the mirror
-// distinguish updates that were lost (a current mirror beyond the target's last change),
-// updates that were late (an old mirror) and a request that was long in transit.
+// based. The revision of the target's list item and the revision and age of the mirror tell
+// why a request reached a target that should not get it: the update of the target's item
+// was lost (the mirror is current and its revision is beyond that update), the update was
+// late (the mirror is old), or the request was long in transit.
 func (x *exchange) logSending(c dispatch.Choice) {
 	listed := x.g.cfg.MirrorState()
 	f := logrus.Fields{"request": x.call.ID, "target": c.Instance.ID, "addr": c.Instance.Addr, "load": c.Load.Requests,
--- a/gateway/server.go
+++ b/gateway/server.go
@@ -39,8 +39,8 @@
 }
 
 // Timeouts and limits of callers' connections. They are wider than the limits that the
-// configuration sets for callers, so that a race cannot cut off a caller that keeps within
-// those.
+// configuration sets for callers, so that a race cannot cut off a caller that observes the
+// configured limits.
 const (
 	headerTimeout  = 15 * time.Second
 	idleTimeout    = 2 * time.Minute
--- a/gateway/stream.go
+++ b/gateway/stream.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// stallFactor is the multiple of the forecast gap that a stream may pause.
+// stallFactor is how many times the forecast gap between two events a stream may pause.
 const stallFactor = 3
 
 // stallTimeout is how long the stream may pause before it is resumed at another target.
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -14,8 +14,9 @@
 
 // Guards against clocks that stop while the machine is suspended with requests in flight.
 // After the resume, requests whose time had expired were sent to targets with remaining
-// time that they no longer had, and were held beyond their route's timeout by the length
-// of the suspension. The timeout of a version announced before was extended by as much.
+// time that they no longer had, and were not ended until the length of the suspension after
+// their route's timeout. The timeout of a version announced before the suspension was
+// extended by as much.
 func TestSuspension(t *testing.T) {
 	for _, d := range []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second} {
 		machine := clocktest.New(t)
