--- a/gateway/assign_test.go
+++ b/gateway/assign_test.go
@@ -61,9 +61,8 @@
 
 // Guards against an entry that receives a version late and takes the time of receipt for
 // the time of the announcement. With a 4.6 s delay on its link, an entry sent requests to
-// engines with the
-// previous version until 11.3 s after the announcement, where 8 s are allowed. Entries
-// therefore exchange the times at which they observed an announcement.
+// engines with the previous version until 11.3 s after the announcement, where 8 s are
+// allowed. Entries therefore exchange the times at which they observed an announcement.
 func TestLateVersionTakesTheAgeReportedByPeers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestControl(&fakeRelay{})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,14 +1,15 @@
 // Package gateway implements the entry of `springgate gateway`, the mode in which callers'
 // requests are forwarded directly from the entry to the target. The gateway matches routes
 // and teams, chooses targets, relays responses and event streams, and resumes broken
-// streams at other targets. The header names are defined by a Dialect.  An entry is a
-// process that callers connect to; there are several. A target is a server process that
-// runs requests; one that serves a model is also called an engine. The agent of an engine
-// is the process that supplies it with model weights. The configuration, the target list
-// and the announcements of model versions are in a store, of which each entry keeps a
-// mirror, that is, a copy in memory. A version that the operators announce has a timeout:
-// when it has passed, older versions of the model have expired and must not be used for new
-// requests.
+// streams at other targets. The header names are defined by a Dialect.
+//
+// An entry is a process that callers connect to; there are several. A target is a server
+// process that runs requests; one that serves a model is also called an engine. The agent
+// of an engine is the process that supplies it with model weights. The configuration, the
+// target list and the announcements of model versions are in a store, of which each entry
+// keeps a mirror, that is, a copy in memory. A version that the operators announce has a
+// timeout: when it has passed, older versions of the model have expired and must not be
+// used for new requests.
 package gateway
 
 import (
@@ -111,8 +112,9 @@
 	// FirstEventLimit is the least time allowed for the first event of a stream at a target
 	// that is sending events of other streams. Default 2.2 s.
 	FirstEventLimit time.Duration
-	// FirstEventTimeout is how long a target that sends nothing may take for a first event
-	// of a stream before another target is tried. Default 600 ms.
+	// FirstEventTimeout is how long a target that sends nothing at all may take for the
+	// first event of a stream, or for a non-streaming response, before another target is
+	// tried. Default 600 ms.
 	FirstEventTimeout time.Duration
 	// StallTimeout is the least pause after which a stream is resumed at another target.
 	// The pause allowed is the longest of StallTimeout, twice the route's MaxGap, and
@@ -135,8 +137,8 @@
 	// and RetryBurst the most retries that the budgets of all entries together may
 	// accumulate for a service.
 	RetryRatio, RetryBurst float64
-	// MinRemaining is the least remaining time of a request with which it is sent to
-	// another target. Default 30 ms.
+	// MinRemaining is the least remaining time with which a target can still serve a
+	// request. With less, a failed request is not sent to another target. Default 30 ms.
 	MinRemaining time.Duration
 }
 
