--- a/weights/limiter.go
+++ b/weights/limiter.go
@@ -7,18 +7,19 @@
 	"sync"
 )
 
-// limiter limits the number of concurrent calls. The limit may differ from call to call,
-// since it depends on the number of live entries. Waiting calls are admitted by ascending
-// rank.
+// limiter limits the number of concurrent calls to the origin. The limit may differ from
+// call to call, since it depends on the number of live entries. Waiting calls are admitted
+// by ascending rank.
 type limiter struct {
 	mu      sync.Mutex
 	running int
 	waiting []*waiter // by rank, then by arrival
 }
 
-// rank is the priority of a read of a model's pieces. Older versions take precedence, since
-// they must be served first. Within a version, reads are ordered by index: agents fetch pieces
-// in this order, and a late piece delays all following ones.
+// rank is the priority of a read of a model's pieces; the lowest rank comes first. Older
+// versions take precedence, since they must be served first. Within a version, reads are
+// ordered by index: agents fetch pieces in this order, and a late piece delays all
+// following ones.
 type rank struct {
 	version, index int
 }
--- a/weights/manifest.go
+++ b/weights/manifest.go
@@ -1,8 +1,13 @@
-// Package weights distributes the pieces of model weights from their origin to the
-// hosts. Entries act as relays. In each failure domain one entry, the reader, is
-// responsible for fetching a given piece: in the origin's domain from the origin, in
-// other domains from the reader in the origin's domain. So a version is read from the
-// origin once and is sent once to each other failure domain.
+// Package weights distributes the pieces of model weights from their origin to the hosts.
+// Entries, the processes that callers connect to, act as relays. In each failure domain one
+// entry, the reader, is responsible for fetching a given piece: in the origin's domain from
+// the origin, in other domains from the reader in the origin's domain. So a version is read
+// from the origin once and is sent once to each other failure domain.
+//
+// A relay holds a version if it keeps the version's pieces in memory as it receives them.
+// An agent, the process beside an engine, fetches pieces from a relay and stages them, that
+// is, puts them on the engine, which then loads them. Relays can read staged pieces from
+// agents.
 package weights
 
 import (
@@ -16,7 +21,7 @@
 var (
 	// ErrCorrupt is returned if data does not match its digest.
 	ErrCorrupt = errors.New("weights: piece does not match its digest")
-	// ErrNoSource is returned if neither an entry nor the origin provided the data.
+	// ErrNoSource is returned if no source (entry, agent or origin) provided the data.
 	ErrNoSource = errors.New("weights: not available from any source")
 )
 
--- a/weights/order_test.go
+++ b/weights/order_test.go
@@ -81,9 +81,10 @@
 	return last
 }
 
-// The origin becomes unavailable when most of a version has been read, and a newer version is
-// announced before it recovers. The rest of the older version must be read first: it must be
-// served first, and reading all of the newer one takes many times longer.
+// The origin becomes unavailable when most of a version has been read, and a newer version
+// is announced before the origin recovers. The rest of the older version must be read
+// first: the older version must be served first, and reading all of the newer one takes
+// many times longer.
 func TestOlderVersionIsReadFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perPiece, missing = 40 * time.Millisecond, 24
--- a/weights/prefetch.go
+++ b/weights/prefetch.go
@@ -20,11 +20,11 @@
 	}
 }
 
-// Hold makes the relay retain the pieces of a version that are requested from then on. That is
-// sufficient for a version that was announced before this process started: most engines have it
-// staged, and prefetching it would only delay the manifest on the origin's link, and agents
-// cannot proceed without the manifest. It reports whether the version is newer than those held
-// already.
+// Hold makes the relay retain the pieces of a version that are requested from then on. That
+// is sufficient for a version that was announced before this process started: most engines
+// have it staged. Prefetching the pieces would only delay the manifest on the origin's
+// link, and agents cannot proceed without the manifest. Hold reports whether the version is
+// newer than those held already.
 func (r *Relay) Hold(model string, version int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,8 +129,9 @@
 	return h != nil && h.failing
 }
 
-// awaitHolders waits for agents that have already staged the version. It does so only for a
-// version that engines may hold when the fleet starts.
+// awaitHolders waits for an agent that has already staged the version, from which the
+// pieces can be read instead of the origin. It does so only for a version that engines may
+// hold when the fleet starts.
 func (r *Relay) awaitHolders(ctx context.Context, model string, version int) {
 	if version > firstVersion {
 		return
@@ -146,5 +147,5 @@
 // firstVersion is the version that engines may hold when the fleet starts.
 const firstVersion = 1
 
-// holderPollInterval is the interval between checks for holders.
+// holderPollInterval is the interval between checks for agents that have staged a version.
 const holderPollInterval = 100 * time.Millisecond
--- a/weights/relay.go
+++ b/weights/relay.go
@@ -27,15 +27,16 @@
 	// PeerTimeout bounds one read from another entry, which may have to read
 	// from the origin first. Default 5 s.
 	PeerTimeout time.Duration
-	// OriginConns is the maximum number of concurrent reads from the origin. Two
-	// saturate its link. Default 3. With many entries each of them uses fewer,
-	// because the origin resets connections above a total limit.
+	// OriginConns is the maximum number of concurrent reads of this entry from the origin.
+	// Two reads saturate the origin's link. Default 3. With many entries each of them uses
+	// fewer, because the origin resets connections above a total limit.
 	OriginConns int
-	// HolderWait is the maximum wait for agents that hold the first version,
-	// before it is read from the origin. Default 4 s.
+	// HolderWait is the maximum wait for agents that have staged the first version (see
+	// firstVersion), before it is read from the origin. Default 4 s.
 	HolderWait time.Duration
-	// Tries is the number of passes over the sources. Default 4. Requests of other
-	// entries, which retry themselves, get at most 2.
+	// Tries is the number of passes over the sources of a piece or manifest (see
+	// Relay.sources). Default 4. Requests of other entries, which retry themselves, get at
+	// most 2.
 	Tries int
 	// RetryPause is the back-off after the first pass, which doubles with each
 	// further one. It prevents tight loops on sources that refuse immediately.
@@ -44,8 +45,8 @@
 	// PrefetchRetryPause is the pause before failed prefetches are retried. The
 	// origin may be unavailable for seconds. Default 200 ms.
 	PrefetchRetryPause time.Duration
-	// Overlap is the age below which a version is still kept when a newer one
-	// arrives: engines may have to load it until the newest is completely available.
+	// Overlap is the age below which a held version is kept when a newer one arrives:
+	// engines may have to load the older one until the newest is completely available.
 	// Default 10 s, which is somewhat longer than a version change.
 	Overlap time.Duration
 }
@@ -92,11 +93,11 @@
 // heldVersion is the state of one version in a relay.
 type heldVersion struct {
 	version    int
-	since      time.Time
-	manifest   *Manifest
-	pieces     map[int][]byte
-	mismatches int  // consecutive pieces that did not match the manifest
-	failing    bool // the latest prefetch of a piece failed
+	since      time.Time      // when the relay began to hold the version
+	manifest   *Manifest      // nil until it has been read
+	pieces     map[int][]byte // by index
+	mismatches int            // consecutive pieces that did not match the manifest
+	failing    bool           // the latest prefetch of a piece failed
 }
 
 // NewRelay returns an empty relay.
--- a/weights/relay_test.go
+++ b/weights/relay_test.go
@@ -153,7 +153,8 @@
 	}
 }
 
-// Entries with slow links need their links for live requests.
+// Entries with slow links need their links for live requests, so they are not selected as
+// readers.
 func TestEntriesWithSlowLinksAreNotReaders(t *testing.T) {
 	n := newNetwork(threeDomains())
 	r := n.relays["a1"]
@@ -176,7 +177,8 @@
 	readAll(t, n.relays["b1"], 2)
 }
 
-// A manifest may be corrupted in transit. Valid pieces do not match it then.
+// A manifest may be corrupted in transit. Valid pieces do not match the corrupt manifest,
+// so it must be read again.
 func TestCorruptManifestIsReadAgain(t *testing.T) {
 	n := newNetwork(map[string]string{"a1": "a"})
 	n.hold(2)
@@ -198,7 +200,8 @@
 	assert.Equal(t, len(n.origin.pieces), 0)
 }
 
-// An agent that has staged another version in the meantime serves different bytes.
+// An agent that has staged another version since it reported the requested one serves
+// different bytes.
 func TestPieceOfAnotherVersionIsRejected(t *testing.T) {
 	n := newNetwork(threeDomains())
 	n.hold(2)
@@ -208,8 +211,8 @@
 	readAll(t, n.relays["b1"], 2)
 }
 
-// The origin refuses connections above its limit. Pieces are then read from any entry that holds
-// them, not only from their readers.
+// The origin refuses connections above its limit. Pieces are then read from any entry that
+// has them in memory, not only from their readers.
 func TestEntriesServeHeldVersionDuringOriginOutage(t *testing.T) {
 	n := newNetwork(threeDomains())
 	n.hold(2)
@@ -236,7 +239,8 @@
 	assert.Equal(t, len(n.origin.pieces), 0)
 }
 
-// A version that is not new is read when agents request it and is not prefetched.
+// A version that was announced before an entry started is read when agents request it and
+// is not prefetched.
 func TestHeldVersionIsNotPrefetched(t *testing.T) {
 	n := newNetwork(map[string]string{"a1": "a"})
 	r := n.relays["a1"]
--- a/weights/sources.go
+++ b/weights/sources.go
@@ -7,12 +7,12 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// maxHops limits how often a request is forwarded: to the reader of the requester's failure
-// domain, and from there to the reader of the origin's domain.
+// maxHops limits how often a request is forwarded between entries: once to the reader of
+// the requester's failure domain, and from there once to the reader of the origin's domain.
 const maxHops = 2
 
-// maxOtherSources limits the number of entries other than the readers that are asked for data
-// that they hold, after the readers and the origin have failed.
+// maxOtherSources limits how many entries other than the readers are asked for data that
+// they have in memory, after the readers and the origin have failed.
 const maxOtherSources = 4
 
 // originConnShare is the share of the connections accepted by the origin that all entries
@@ -24,7 +24,7 @@
 // empty.
 type source struct {
 	addr      string
-	localOnly bool // the entry must answer only from what it holds
+	localOnly bool // the entry must answer only from its memory
 }
 
 func (s source) isOrigin() bool { return s.addr == "" }
@@ -64,9 +64,9 @@
 	return membership.First(key, addrs)
 }
 
-// pieceSources returns the sources of a piece in order. An agent of the same failure domain that
-// has it staged comes first, since it loads neither the origin nor a link between failure
-// domains.
+// pieceSources returns the sources of a piece in the order in which they are tried. An
+// agent of the same failure domain that has the version staged comes first, since a read
+// from the agent uses neither the origin's link nor one between failure domains.
 func (r *Relay) pieceSources(key string, q *peer.GetPiece, try int) []source {
 	out := r.sources(key, q.Hops, try)
 	agent := membership.First(key, r.holders(r.self.Domain, q.Model, q.Version))
@@ -76,9 +76,9 @@
 	return append([]source{{addr: agent}}, out...)
 }
 
-// sources returns the sources for key in order: the reader of this entry's failure domain, the
-// reader of the origin's domain, and the origin. From the second try on, other entries that may
-// hold the data come before the origin.
+// sources returns the sources for key in the order in which they are tried: the reader of
+// this entry's failure domain, the reader of the origin's domain, and the origin. From the
+// second pass on, other entries that may have the data in memory come before the origin.
 func (r *Relay) sources(key string, hops, try int) []source {
 	var out []source
 	o := r.origin()
