--- a/gateway/announced.go
+++ b/gateway/announced.go
@@ -62,9 +62,8 @@
 }
 
 // minDateCorrection is the least correction that is applied to an observed announcement
-// time.
-// Entries observe an announcement some milliseconds apart, and each correction is sent to
-// all agents.
+// time. Entries observe an announcement some milliseconds apart, and each correction is
+// sent to all agents.
 const minDateCorrection = 100 * time.Millisecond
 
 // correctDate corrects when a version was announced, and reports whether it did. A version
--- a/gateway/assign.go
+++ b/gateway/assign.go
@@ -71,8 +71,7 @@
 }
 
 // turnOrder returns the order in which the engines of a service change to a version, each
-// in its turn.
-// Entries that know the same engines compute the same order.
+// in its turn. Entries that know the same engines compute the same order.
 func (c *Control) turnOrder(service string, a *assignment) []string {
 	var addrs []string
 	for _, i := range c.list {
--- a/gateway/crashdetector.go
+++ b/gateway/crashdetector.go
@@ -51,9 +51,9 @@
 
 // crashDetector determines which connections break because their target ended. A reset, a
 // network partition or a frozen target must not count as a crash, because contents with
-// several crashes are quarantined. An end is detected if the target's address refuses connections, or if
-// another incarnation is listed. A target that was draining or no longer listed is not
-// counted as having crashed under its requests.
+// several crashes are quarantined. An end is detected if the target's address refuses
+// connections, or if another incarnation is listed. A target that was draining or no longer
+// listed is not counted as having crashed under its requests.
 type crashDetector struct {
 	table *quarantine.Table
 	host  string
--- a/gateway/roster.go
+++ b/gateway/roster.go
@@ -22,8 +22,8 @@
 	// vanished maps the IDs of retained instances to how long the store has been available
 	// since they disappeared, during which a running target could have been listed again.
 	// The time since the last outage alone does not suffice: an entry with slow calls to
-	// the store detects outages again and again, and would retain a target that left until
-	// that stops.
+	// the store detects outages again and again, and would retain a target that left for as
+	// long as its calls are slow.
 	vanished map[string]time.Duration
 	updated  time.Time
 	down     bool // at the last update
