--- a/sidecar/doubt.go
+++ b/sidecar/doubt.go
@@ -12,11 +12,11 @@
 type LoadOrder struct {
 	Model   string
 	Version int
-	// Precondition is the Sequence of the report on which the order is based. An
-	// engine that has begun another order since refuses it.
+	// Precondition is the Sequence of the report on which the order is based. An engine
+	// that has begun another order since that report refuses this one.
 	Precondition int64
-	// Token is the fencing token, which increases with each order. An engine that
-	// has seen a higher one refuses the order.
+	// Token is the fencing token, which increases with each order. An engine that has seen
+	// a higher token refuses the order.
 	Token uint64
 }
 
@@ -34,21 +34,22 @@
 	ErrOrderFenced = errors.New("sidecar: load order refused: fencing token is too low")
 )
 
-// fenceAheadMs is how far the tokens are ahead of the clock from the first attempt
-// to fence the previous agent on. That agent's orders may not have reached the engine
-// yet, and their tokens exceed the current time if its clock was ahead. Clocks are
-// stepped by seconds.
+// fenceAheadMs is how far the tokens are ahead of the clock after the first attempt to
+// fence orders of the previous agent, the process that managed the engine before this one.
+// Its orders may not have reached the engine yet, and their tokens exceed the current time
+// if its clock was ahead. Clocks are stepped by seconds.
 const fenceAheadMs = 60_000
 
-// previousAgentAttempts is the number of attempts to fence the previous agent's orders,
-// or to identify them from the staged pieces, before the sidecar falls back to the next
-// method. Engines may ignore tokens, and the staged version may be so old that its
-// manifest is no longer available.
+// previousAgentAttempts is the number of attempts to fence the previous agent's orders, or
+// to identify them from the staged pieces, before the sidecar falls back to the next
+// method: identification after fencing, and waiting for OrderGrace after identification.
+// Engines may ignore tokens, and the staged version may be so old that its manifest is no
+// longer available.
 const previousAgentAttempts = 3
 
-// firstRaiseMs is how far the tokens are raised when one was too low. The step doubles
-// each time, so that an agent whose clock was stepped back by seconds exceeds the
-// tokens of the previous agent in a few attempts.
+// firstRaiseMs is how far the tokens are raised when the engine first refuses one as too
+// low. The step doubles with each further refusal, so that an agent whose clock was stepped
+// back by seconds exceeds the tokens of the previous agent in a few attempts.
 const firstRaiseMs = 1000
 
 // tokens generates fencing tokens. They follow the Unix time in ms, so the tokens of
@@ -88,7 +89,7 @@
 	nextAttempt   time.Time // earliest time of the next repeat or fencing attempt
 	adopted       bool      // a previous agent sent it, if it was sent at all
 	inspected     bool      // the staged pieces were read and belong to no known version
-	probeToken    uint64    // token below that of a fencing order which the engine accepted; 0: none yet
+	probeToken    uint64    // a lower token than that of the fencing order that the engine accepted; 0: none yet
 	ignoresTokens bool      // the engine does not enforce fencing tokens
 }
 
@@ -131,7 +132,7 @@
 	d.backOff(now, cfg)
 }
 
-// backOff records one more attempt to settle the order, and schedules the next.
+// backOff records one more attempt to settle the order, and schedules the next attempt.
 func (d *inDoubtOrder) backOff(now time.Time, cfg Config) {
 	wait := cfg.RepeatMin << min(d.attempts, 16) // keeps the shift from overflowing; far above RepeatMax
 	d.attempts++
@@ -171,9 +172,10 @@
 }
 
 // reopenAfterRestart marks orders as in doubt again if the engine was restarted, as if a
-// previous agent had sent them. A restarted engine counts from 0 and knows no tokens, so a
-// delayed order with precondition 0 may take effect once more. If the staged version is
-// complete, it is loaded first, which settles such orders.
+// previous agent had sent them. A restarted engine counts orders from 0 and has seen no
+// tokens, so a delayed order with precondition 0 may take effect once more. If the staged
+// version is complete, it is loaded before other pieces are staged, which settles such
+// orders.
 func (s *Sidecar) reopenAfterRestart(now time.Time, r Report) {
 	newProcess := !fleet.SameIncarnation(s.startTimeMs, r.StartTimeMs)
 	restarted := !s.up || newProcess || r.Sequence < s.sequence
--- a/sidecar/fetch.go
+++ b/sidecar/fetch.go
@@ -57,7 +57,7 @@
 	return firstErr
 }
 
-// fetch fetches one piece, unless it is already in memory, and stages it.
+// fetch fetches one piece, unless the agent already has it in memory, and stages it.
 func (s *Sidecar) fetch(ctx context.Context, index int) error {
 	ctx, cancel := clock.WithTimeout(ctx, s.cfg.FetchTimeout)
 	defer cancel()
@@ -112,9 +112,9 @@
 	}
 }
 
-// prefetch fetches pieces of the newest version into memory while an older version is
-// staged. After FetchRound it starts no more fetches, so that the next step is planned
-// again.
+// prefetch fetches pieces of the newest version into the agent's memory while an older
+// version stays staged. After Config.FetchRound it starts no more fetches, so that the next
+// step is planned again.
 func (s *Sidecar) prefetch(ctx context.Context, as assignmentState, version, concurrency int) error {
 	ctx, cancel := clock.WithTimeout(ctx, s.cfg.FetchWait)
 	defer cancel()
--- a/sidecar/inspect.go
+++ b/sidecar/inspect.go
@@ -15,8 +15,9 @@
 // versions of n pieces. There are several, since one may be missing or corrupt.
 func sampleIndexes(n int) []int { return slices.Compact([]int{0, n / 2, max(n-1, 0)}) }
 
-// sample reads some staged pieces. The result has no key for a piece that is not staged.
-// If a read got no answer, it returns an error along with the pieces that were read.
+// sample reads some staged pieces, by index. The result has no key for a piece that is not
+// staged. If a read got no answer, sample returns an error along with the pieces that were
+// read.
 func (s *Sidecar) sample(ctx context.Context, as assignmentState) (map[int][]byte, error) {
 	ctx, cancel := clock.WithTimeout(ctx, s.cfg.CallTimeout)
 	defer cancel()
@@ -59,10 +60,10 @@
 }
 
 // inspect identifies the version of the pieces that a previous agent has staged at the
-// engine. Any order in doubt of that agent is for this version, because it staged no other
-// one while the order was in doubt. So an order for this version is repeated first. If
-// nothing or too little is staged, the agent sent no order. A read without an answer is
-// inconclusive and is retried.
+// engine. Any order in doubt of that agent is for this version, because the agent staged no
+// other one while the order was in doubt. So an order for this version is repeated first.
+// If nothing or too little is staged, the previous agent sent no order. A read without an
+// answer is inconclusive and is retried. inspect returns the time until the next reconcile.
 func (s *Sidecar) inspect(ctx context.Context, as assignmentState, version int, r Report) time.Duration {
 	sample, err := s.sample(ctx, as)
 	if len(sample) == 0 {
@@ -103,9 +104,10 @@
 	s.log.WithFields(logrus.Fields{"version": version, "unread": unread, "tries": s.inDoubt.attempts}).Warn("Staged pieces match no known version.")
 }
 
-// adopt takes over the pieces that a previous agent has staged, and its order. It settles
-// the order only on reads that the engine answered. It returns the time until the next
-// reconcile.
+// adopt takes over the pieces that a previous agent has staged, and the order that the
+// previous agent may have sent. adopt settles the order as never sent only if the reads that the
+// engine answered prove that; unanswered reads prove nothing. It returns the time until the
+// next reconcile.
 func (s *Sidecar) adopt(ctx context.Context, as assignmentState, m *weights.Manifest, r Report) time.Duration {
 	if !s.stage.isFor(m.Model, m.Version) {
 		if s.stage != nil {
--- a/sidecar/plan.go
+++ b/sidecar/plan.go
@@ -10,13 +10,13 @@
 // Report is an engine's status report.
 type Report struct {
 	Models []fleet.ModelVersion
-	Busy   bool // an order is in progress
+	Busy   bool // the engine is carrying out an order
 	// Sequence is the number of orders that the engine has begun since its start.
 	// An engine that does not count them reports 0.
 	Sequence    int64
 	StartTimeMs int64 // Unix time of the engine's start; 0 if not reported
-	Running     int
-	Waiting     int
+	Running     int   // requests that the engine is running
+	Waiting     int   // requests that wait at the engine
 }
 
 // serves returns the version that the engine holds with all layers, or 0.
@@ -31,7 +31,7 @@
 // Actions.
 const (
 	Rest    Action = iota // nothing to do
-	Watch                 // an order is in progress
+	Watch                 // the engine is carrying out an order; wait for its end
 	Stage                 // stage the missing pieces at the engine
 	Fetch                 // fetch pieces of a version into memory while another one must stay staged
 	Await                 // staged; wait for the engine's turn
@@ -45,17 +45,18 @@
 	return [...]string{"rest", "watch", "stage", "fetch", "await", "load", "fence", "inspect"}[a]
 }
 
-// Step is an action and its version, which is 0 for Rest and Watch.
+// Step is an action and the version that it concerns, which is 0 for Rest and Watch.
 type Step struct {
 	Action  Action
 	Version int
 }
 
-// progress is the share of a version's pieces that is available in one place.
+// progress is how many of a version's pieces are available in one place: staged at the engine,
+// or fetched into the agent's memory.
 type progress struct {
 	version  int
 	complete bool
-	share    float64 // of the pieces
+	share    float64 // available pieces divided by all pieces of the version
 }
 
 // isComplete reports whether all pieces of a version are available.
@@ -69,8 +70,8 @@
 	inDoubt inDoubtOrder
 }
 
-// commitShare is the share of a version's pieces from which on the sidecar waits for the
-// remaining ones, since they arrive sooner than all pieces of another version.
+// commitShare is the share of a version's pieces that must be available for the sidecar to
+// wait for the remaining ones, since they arrive sooner than all pieces of another version.
 const commitShare = 0.5
 
 // Plan returns the next step.
@@ -93,10 +94,10 @@
 	return step
 }
 
-// planInDoubt plans while a known order may still take effect. The order is repeated,
-// since it was due anyway, and the engine begins only one of several orders with the same
-// precondition. Until it is settled, the order's version stays staged, and newer versions
-// are fetched into memory.
+// planInDoubt plans while an order for a known version may still take effect. The order is
+// repeated: it was due when it was first sent, and the engine begins only one of several
+// orders with the same precondition. Until the order is settled, its version stays staged,
+// and newer versions are fetched into the agent's memory.
 func (c Config) planInDoubt(now time.Time, serving int, pending []announcedVersion, h holdings) Step {
 	d, newest := h.inDoubt, pending[len(pending)-1].version
 	complete := h.staged.isComplete(d.version)
@@ -147,10 +148,11 @@
 }
 
 // planTwoPending plans when a version was announced before the engine loaded the preceding
-// one. One load is better than two, so the newest version takes precedence. But it still has
-// to be fetched from the origin, which may become unavailable: if it cannot be fetched, or not
-// in time, the engine loads the older one by its deadline. The staged pieces of the older
-// version are kept until the newest is complete in the agent's memory.
+// one. One load is better than two, so the newest version takes precedence. But the newest
+// version still has to be fetched from the origin, which may become unavailable: if it
+// cannot be fetched, or not in time, the engine loads the older version by that version's
+// deadline. The staged pieces of the older version are kept until the newest is complete in
+// the agent's memory.
 func (c Config) planTwoPending(now time.Time, serving int, pending []announcedVersion, as assignmentState, h holdings) Step {
 	newest := pending[len(pending)-1]
 	older := olderCandidate(pending[:len(pending)-1], h)
@@ -174,8 +176,10 @@
 	return Step{Stage, newest.version}
 }
 
-// tooLate reports whether fetching the rest of the newest version would take until after the
-// deadline of the oldest pending one. The engine would then have no version that it may serve.
+// tooLate reports whether fetching the rest of the newest version, estimated as the missing
+// share of Config.Lead, would take until less than Config.Margin before the deadline of the
+// oldest pending version. After that deadline the engine would have no version that it may
+// serve.
 func (c Config) tooLate(now time.Time, as assignmentState, pending []announcedVersion, h holdings) bool {
 	missing := time.Duration((1 - h.fetched.share) * float64(c.Lead))
 	due := pending[0].announced.Add(time.Duration(as.TimeoutMs)*time.Millisecond - c.Margin)
@@ -183,8 +187,9 @@
 }
 
 // loadOlderAt returns when the engine loads an older version that is completely staged: at
-// the engine's turn while the newest version is unavailable, otherwise at the end of the turn
-// window, or Margin later if at least commitShare of the newest version has been fetched.
+// the engine's turn while the newest version is unavailable, otherwise at the end of the
+// turnWindow of the older version, or Config.Margin later if at least commitShare of the
+// newest version has been fetched.
 func (c Config) loadOlderAt(as assignmentState, pending []announcedVersion, older announcedVersion, unavailable bool, h holdings) time.Time {
 	t := c.turnWindowOf(as, pending, older)
 	switch {
--- a/sidecar/plan_test.go
+++ b/sidecar/plan_test.go
@@ -166,8 +166,9 @@
 	}
 }
 
-// A refusal for the token proves that this agent's orders are fenced, but not those of the
-// previous agent, whose tokens may be higher.
+// An order that the engine refuses because its token is too low proves that this agent's
+// earlier orders are fenced, but not those of the previous agent, whose tokens may be
+// higher.
 func TestTokenRefusalSettlesOwnOrders(t *testing.T) {
 	own, previous := inDoubtOrder{open: true, version: 2}, inDoubtOrder{open: true}
 	adopted := inDoubtOrder{open: true, version: 2, adopted: true}
@@ -201,9 +202,10 @@
 }
 
 // A version whose announcement time is only estimated, because no entry observed the
-// announcement, is not pending if an entry observed that of a newer version. The older version
-// was then announced while the store was unavailable, so its deadline has not passed. It is
-// pending once an entry reports an observed time, which an estimate does not replace.
+// announcement, is not pending if an entry observed the announcement of a newer version.
+// The older version was then announced while the store was unavailable, so its deadline has
+// not passed. The older version is pending once an entry reports an observed time, which an
+// estimate does not replace.
 func TestObservedAnnouncementTakesPrecedenceOverEstimated(t *testing.T) {
 	estimated := newAssignment(2, 0, 0)
 	estimated.AgeMs, estimated.AgeEstimated = 8000, true
--- a/sidecar/sidecar.go
+++ b/sidecar/sidecar.go
@@ -45,8 +45,8 @@
 	tokens          tokens
 	unconfirmedPuts unconfirmedPuts
 
-	sequence    int64     // of the last report
-	startTimeMs int64     // likewise
+	sequence    int64     // Report.Sequence of the last report
+	startTimeMs int64     // Report.StartTimeMs of the last report
 	sentAtZero  time.Time // time of the last unanswered order with precondition 0
 
 	stalled      int // version with a piece that could not be fetched
@@ -64,7 +64,7 @@
 func New(cfg Config, engine Engine, addr string, source Source, publish func(peer.EngineState), stats *Stats,
 	log logrus.FieldLogger) *Sidecar {
 	cfg = cfg.applyDefaults()
-	var putsUntil time.Time // until when a delayed put of a previous agent may arrive
+	var putsUntil time.Time // until when a delayed put of a piece by a previous agent may arrive
 	if !cfg.FirstStart {
 		putsUntil = clock.Now().Add(cfg.OrderGrace)
 	}
@@ -88,8 +88,8 @@
 	}
 }
 
-// RemoveEntry drops what a lost entry reported about its ability to read the newest
-// version. The versions that it announced stay assigned.
+// RemoveEntry drops a lost entry's report on whether that entry can read the newest
+// version. The versions that it assigned stay assigned.
 func (s *Sidecar) RemoveEntry(entry string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,8 +186,8 @@
 	return s.cfg.PollBusy
 }
 
-// awaitEngine fetches pieces while a new engine is still starting. They are staged as soon
-// as it answers.
+// awaitEngine fetches pieces while a new engine is still starting. The pieces are staged as
+// soon as the engine answers.
 func (s *Sidecar) awaitEngine(ctx context.Context) time.Duration {
 	as := s.assigned()
 	if s.reached || s.cfg.FirstStart || as.Model == "" {
@@ -272,7 +272,8 @@
 	return s.cfg.FetchesServing
 }
 
-// stall defers a version in favour of an older one for StallFor.
+// stall defers a version in favour of an older one for Config.StallFor, since its manifest
+// or one of its pieces could not be fetched or staged.
 func (s *Sidecar) stall(version int) {
 	s.stalled, s.stalledUntil = version, clock.Now().Add(s.cfg.StallFor)
 }
@@ -286,7 +287,7 @@
 	if !s.verifyForOrder(ctx, age) {
 		return 0 // the next step stages the bad pieces again
 	}
-	if !s.inDoubt.known() { // with a repeated order the engine may continue to serve for long
+	if !s.inDoubt.known() { // while an order is repeated the engine may serve for long; it is not reported as loading
 		s.publishState(as.Model, r.serves(as.Model, as.Layers), true, r.StartTimeMs)
 	}
 	order := s.newLoadOrder(as.Model, version, r)
@@ -310,7 +311,7 @@
 		case s.inDoubt.fencedBy(err):
 			s.settle(clock.Now(), "fenced")
 		case s.inDoubt.known():
-			s.inDoubt.backOff(clock.Now(), s.cfg) // each repeat reads all pieces
+			s.inDoubt.backOff(clock.Now(), s.cfg) // each repeat reads all pieces, which costs time
 		}
 	}
 	return s.cfg.PollBusy
@@ -321,7 +322,8 @@
 	return LoadOrder{Model: model, Version: version, Precondition: r.Sequence, Token: s.tokens.next(clock.Now())}
 }
 
-// sendOrder sends an order, and records the time if it has precondition 0 and is unanswered.
+// sendOrder sends an order, and records the time if the order has precondition 0 and gets
+// no answer (see reopenAfterRestart).
 func (s *Sidecar) sendOrder(ctx context.Context, order LoadOrder) error {
 	ctx, cancel := clock.WithTimeout(ctx, s.cfg.OrderTimeout)
 	defer cancel()
@@ -332,9 +334,10 @@
 	return err
 }
 
-// fence makes the engine refuse older orders. An order for the version that it serves changes
-// nothing, but the engine records its token. Then an order with a lower token must be refused,
-// otherwise the engine does not enforce tokens.
+// fence makes the engine refuse older orders. It sends an order for the version that the
+// engine serves, which changes nothing, but the engine records the order's token. Then it
+// sends an order with a lower token as a test: if the engine does not refuse that one, it
+// does not enforce tokens. fence returns the time until the next reconcile.
 func (s *Sidecar) fence(ctx context.Context, model string, serving int, r Report) time.Duration {
 	var err error
 	if s.inDoubt.probeToken == 0 {
--- a/sidecar/sidecar_test.go
+++ b/sidecar/sidecar_test.go
@@ -24,7 +24,8 @@
 
 func content(version, index int) string { return fmt.Sprintf("version %d piece %d", version, index) }
 
-// fakeEngine loads the staged pieces and records whether they were all of the ordered version.
+// fakeEngine loads the staged pieces when ordered, and records whether any of them was
+// missing, corrupt or not of the ordered version.
 type fakeEngine struct {
 	mu            sync.Mutex
 	down          bool
@@ -52,8 +53,8 @@
 	readTime    time.Duration // duration of the read of a staged piece
 }
 
-// slowPut is the delay of an unanswered put. It takes effect after the put has timed out, and
-// before the last turn of a version that was announced at the same time.
+// slowPut is the delay after which an unanswered put takes effect: after the put has timed
+// out, and before the last turn of a version that is announced when the put is sent.
 const slowPut = 6400 * time.Millisecond
 
 func (e *fakeEngine) Report(context.Context, string) (Report, error) {
@@ -324,7 +325,7 @@
 }
 
 // The origin becomes unavailable just after a newer version was announced. The older version
-// is served in time, and the newer one once it is available.
+// is served by its deadline, and the newer one once the origin is available again.
 func TestOlderVersionIsServedInTimeIfNewerIsUnavailable(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1}
 	source := &fakeSource{delay: 250 * time.Millisecond, unavailable: 3}
@@ -445,8 +446,8 @@
 	return a
 }
 
-// An unanswered order is repeated until the engine's report or an answer settles it. It is
-// counted once.
+// An unanswered order is repeated until the engine's report or an answer settles it. The
+// order counts once as in doubt, however often it is repeated.
 func TestUnansweredOrderIsRepeated(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, late: seconds(-1, -1)}
 	runSidecar(t, Config{}, e, &fakeSource{}, func(s *Sidecar, published func() peer.EngineState) {
@@ -505,7 +506,7 @@
 
 // A piece becomes corrupt while an order is in doubt, and its source is slow to provide it
 // again. The order would take effect 3.8 s after the corruption, beyond the 3 s for which a load
-// of corrupt bytes is tolerated. It must be fenced without waiting for the fetch.
+// of corrupt bytes is tolerated. The order must be fenced without waiting for the fetch.
 func TestOrderIsFencedDuringSlowRepair(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1, late: seconds(4.5, -1, -1, -1, -1, -1, -1, -1, -1, -1, -1, -1)}
 	source := &fakeSource{}
@@ -678,8 +679,9 @@
 	})
 }
 
-// Reads of staged pieces are so slow that with four concurrent reads the checks are outdated
-// before the order is sent. The sidecar must increase the concurrency and send the order.
+// Reads of staged pieces are so slow that with four concurrent reads the first checks are
+// outdated before the load order is sent. The sidecar must read more pieces concurrently
+// and send the order.
 func TestSlowReadsDoNotPreventOrder(t *testing.T) {
 	e := &fakeEngine{staged: map[int]string{}, serves: 1, readTime: 900 * time.Millisecond}
 	runSidecar(t, Config{}, e, &fakeSource{}, func(s *Sidecar, published func() peer.EngineState) {
@@ -690,8 +692,8 @@
 	})
 }
 
-// An entry that failed to read the newest version is lost. Its report must no longer cause the
-// older version to be loaded.
+// An entry that reported that it failed to read the newest version is lost. The report must
+// no longer cause the older version to be loaded.
 func TestRemovedEntryNoLongerMakesVersionUnreadable(t *testing.T) {
 	s := New(Config{}, &fakeEngine{}, "engine", &fakeSource{}, func(peer.EngineState) {}, NewStats(metrics.NewRegistry()), logrus.New())
 	a := newAssignment(2, 0, 1)
--- a/sidecar/stage.go
+++ b/sidecar/stage.go
@@ -26,14 +26,15 @@
 	version       int
 	manifest      *weights.Manifest
 	staged        []bool      // at the engine
-	pieces        [][]byte    // fetched, but not staged yet
+	pieces        [][]byte    // in the agent's memory: fetched, but not staged yet; by index
 	checked       []time.Time // when each staged piece was last known to be valid
 	missing       int         // number of pieces not staged at the engine
 	started       time.Time
 	transferTimes transferTimes
 }
 
-// transferTimes are the total times of the transfers of all pieces.
+// transferTimes are the times, summed over all pieces, of the transfers from the entries to
+// the agent (fetching) and from the agent to the engine (staging).
 type transferTimes struct{ fetching, staging atomic.Int64 } // ns
 
 func newStage(m *weights.Manifest) *stage {
@@ -98,7 +99,8 @@
 		return err
 	}
 	s.stage = newStage(m)
-	// The first piece shows whether reading the rest is worthwhile.
+	// If the first piece is not staged or not valid, the others are not read: probably no
+	// piece of this version is staged.
 	began := clock.Now()
 	if s.checkPiece(ctx, 0) == valid {
 		s.recordCheck(0, true, began)
--- a/sidecar/stage_test.go
+++ b/sidecar/stage_test.go
@@ -99,7 +99,8 @@
 	}
 }
 
-// One missing piece does not prove that no load was ordered.
+// If one of the staged pieces is missing, the previous agent may have ordered the load all
+// the same.
 func TestOrderIsRepeatedIfFirstPieceIsMissing(t *testing.T) {
 	e := &fakeEngine{staged: stagedVersion(2)}
 	delete(e.staged, 0)
@@ -159,8 +160,8 @@
 	assert.Assert(t, !e.loadedInvalid)
 }
 
-// An engine that ignores tokens accepts the fencing order and older orders as well. Only the
-// refusal of a lower token proves that it is fenced.
+// An engine that ignores tokens accepts the fencing order and older orders as well. Only
+// the refusal of an order with a lower token proves that older orders are fenced.
 func TestEngineIgnoringTokensIsNotConsideredFenced(t *testing.T) {
 	e := &fakeEngine{staged: stagedVersion(2), serves: 1, ignoresTokens: true}
 	runSidecar(t, Config{}, e, &fakeSource{delay: 200 * time.Millisecond}, func(s *Sidecar, published func() peer.EngineState) {
@@ -189,8 +190,8 @@
 	return errors.New("status 503")
 }
 
-// The back-off between repeats of an order increases also when they are refused, since each
-// repeat reads all pieces.
+// The back-off between repeats of an order increases also when the repeats are refused,
+// since each repeat reads all pieces.
 func TestRefusedRepeatBacksOff(t *testing.T) {
 	var sent atomic.Int64
 	e := &fakeEngine{staged: map[int]string{}, serves: 1}
--- a/sidecar/verify.go
+++ b/sidecar/verify.go
@@ -10,21 +10,22 @@
 	"github.com/springgate/springgate/clock"
 )
 
-// concurrentReads is the number of staged pieces that are read back concurrently. Reading one
-// at a time may exceed the maximum age of a check when an order is sent. Each retry for the
-// same order reads four times as many, so that an engine with slow reads gets orders too.
+// concurrentReads is the number of staged pieces that are read back concurrently. If they
+// were read one at a time, the first check might exceed Config.OrderAge when the last one
+// has finished. Each retry for the same order reads four times as many pieces concurrently,
+// so that an engine with slow reads gets orders too.
 const concurrentReads = 4
 
 // maxVerifyAttempts limits how often one reconcile checks the staged pieces because the
 // preceding checks took too long.
 const maxVerifyAttempts = 3
 
-// unconfirmedPuts are the pieces whose put was not answered. For each index it holds the time
-// until which that put may still arrive and overwrite a newer piece.
+// unconfirmedPuts are the pieces whose put to the engine was not answered. until has, for
+// each index, the time until which the put may still arrive and overwrite a newer piece.
 type unconfirmedPuts struct {
 	mu    sync.Mutex
 	until map[int]time.Time
-	all   time.Time // likewise for puts of a previous agent, of any index
+	all   time.Time // until when puts of a previous agent, of any index, may still arrive
 }
 
 func (u *unconfirmedPuts) add(index int, until time.Time) {
@@ -84,9 +85,9 @@
 // checkCounts counts the pieces that were not found valid.
 type checkCounts struct{ bad, unanswered int }
 
-// readBack reads and verifies the staged pieces whose last check is at least age old, or that
-// a delayed put may overwrite. Staged bytes may become corrupt. A piece whose read got no
-// answer counts as missing until it is read or put.
+// readBack reads and verifies the staged pieces whose last check is at least age old, since
+// staged bytes may become corrupt, and those that a delayed put may overwrite. A piece
+// whose read got no answer counts as missing until it is read or put successfully.
 func (s *Sidecar) readBack(ctx context.Context, age time.Duration, concurrency int) checkCounts {
 	var due []int
 	for i, at := range s.stage.checked {
@@ -114,7 +115,7 @@
 	return n
 }
 
-// verify reads staged pieces back and reports whether all of them are valid.
+// verify calls readBack and reports whether all pieces that it read are valid.
 func (s *Sidecar) verify(ctx context.Context, age time.Duration, concurrency int) bool {
 	n := s.readBack(ctx, age, concurrency)
 	if n == (checkCounts{}) {
@@ -125,8 +126,8 @@
 	return false
 }
 
-// verifyForOrder verifies the staged pieces until no check is older than OrderAge. Checks may
-// be too old because the agent was paused in between or because reads are slow.
+// verifyForOrder verifies the staged pieces until no check is older than Config.OrderAge.
+// Checks may be too old because the agent was paused since or because reads are slow.
 func (s *Sidecar) verifyForOrder(ctx context.Context, age time.Duration) bool {
 	concurrency := concurrentReads
 	for range maxVerifyAttempts {
--- a/sidecar/wanted.go
+++ b/sidecar/wanted.go
@@ -11,16 +11,17 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// maxAnnouncedVersions limits the number of remembered versions.
+// maxAnnouncedVersions limits the number of versions in an assignmentState.
 const maxAnnouncedVersions = 4
 
-// announcedVersion is a version that the operators announced, with the time by this
-// process's clock.
+// announcedVersion is a version that the operators announced, with the time of the
+// announcement by this process's clock.
 type announcedVersion struct {
 	version   int
 	announced time.Time
-	// estimated is true if no entry observed the announcement. The entries that know
-	// the version started after it, and assume that its deadline has passed.
+	// estimated is true if no entry observed the announcement. The entries that know the
+	// version started after the announcement, and assume that the version's deadline has
+	// passed.
 	estimated bool
 }
 
@@ -30,7 +31,7 @@
 }
 
 // assignmentState combines the assignments of all entries: the newest assignment, and the
-// versions announced before it that may not be served yet.
+// versions announced before it that the engine may still lack.
 type assignmentState struct {
 	peer.Assignment
 	versions []announcedVersion // oldest first; the last is the assignment's
@@ -62,7 +63,8 @@
 	return out
 }
 
-// without returns the state without an entry's failure to read the newest version.
+// without returns the state without an entry's report that it fails to read the newest
+// version.
 func (as assignmentState) without(entry string) assignmentState {
 	as.failing = maps.Clone(as.failing)
 	delete(as.failing, entry)
@@ -92,10 +94,11 @@
 }
 
 // pending returns the versions newer than the served one, oldest first. A version whose
-// announcement no entry observed is omitted if that of a newer version was observed: it was
-// announced while the store was unavailable, and its deadline has not passed. No older version
-// is served too long by this, since an entry that only estimates the announcement time routes to
-// no engine with an older version.
+// announcement no entry observed is omitted if the announcement of a newer version was
+// observed: the omitted version was announced while the store was unavailable, and its
+// deadline has not passed. This does not make engines serve an older version for too long,
+// since an entry that only estimates the announcement time routes to no engine with an
+// older version.
 func (as assignmentState) pending(serving int) []announcedVersion {
 	var out []announcedVersion
 	for i, av := range as.versions {
@@ -149,7 +152,7 @@
 	return t
 }
 
-// at returns the time of a turn, counted from 0, out of a number of turns.
+// at returns the start of a turn, counted from 0, of the given number of turns.
 func (t turnWindow) at(turn, of int) time.Time {
 	if of <= 1 {
 		return t.start
