--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// withLeaving adds the announcement that the target is leaving to all of its responses.
+// withLeaving adds to all responses of a target the announcement that it is leaving.
 func withLeaving(h http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Leaving", "1")
@@ -53,7 +53,7 @@
 	for i := range 40 {
 		assert.Equal(t, f.call(http.MethodPost, "/unsafe/x", "", "Id", fmt.Sprint("r", i)).status, http.StatusOK)
 	}
-	const allowed = 1.5*4*1 + 5 // in 4 s
+	const allowed = 1.5*4*1 + 5 // requests within 4 s: 1.5 times the limit of 1 per second, plus 5
 	assert.Assert(t, x.count() <= allowed, "%d requests", x.count())
 	assert.Equal(t, x.count()+free.count(), 40)
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -221,7 +221,8 @@
 	assert.Equal(t, totalRequests(targets), 13)
 }
 
-// The address of a target refused a connection, but the same incarnation answers again.
+// The address of a target refused a connection, but the same incarnation (run of the
+// target's process) answers again. The crash recorded for it must be retracted.
 func TestTargetThatAnswersAgainHadNotCrashed(t *testing.T) {
 	x := newTarget(t, okHandler)
 	f := newTestGateway(t, x)
