--- a/mesh/catchup.go
+++ b/mesh/catchup.go
@@ -26,10 +26,10 @@
 	go m.catchUp(ctx, addr)
 }
 
-// catchUpDelay returns how long the own copy may be behind a peer's before it catches up
-// from there. There is no delay if the copy has been unconfirmed for longer than a watch
-// takes, because no watch result is to be expected then. An entry without a copy reads
-// it from its source.
+// catchUpDelay returns how long the own copy may be behind a peer's before the missing
+// changes are read from that peer. There is no delay if the copy has been unconfirmed for
+// longer than a watch takes, because no watch result is to be expected then. An entry that has
+// no copy yet waits nevertheless, because its follower reads the whole copy from its source.
 func (m *Mesh) catchUpDelay(now time.Time) time.Duration {
 	if at := m.table.ConfirmedAt(); !at.IsZero() && now.Sub(at) > m.cfg.StaleAfter {
 		return 0
--- a/mesh/copies_test.go
+++ b/mesh/copies_test.go
@@ -15,7 +15,7 @@
 // Parameters of TestCopiesConvergeAfterFaults.
 const (
 	faultDuration  = 12 * time.Second
-	settleDuration = 6 * time.Second // longer than detecting a lost source and the timeout of calls that hang
+	settleDuration = 6 * time.Second // longer than it takes to detect a lost source and to time out calls that hang
 	faultInterval  = 50 * time.Millisecond
 	faultSeeds     = 40
 	copiesEntries  = 8
--- a/mesh/crashes.go
+++ b/mesh/crashes.go
@@ -11,7 +11,8 @@
 	"github.com/springgate/springgate/quarantine"
 )
 
-// All processes replicate the records of requests that were running when targets crashed.
+// All processes replicate the records of requests that were running when targets crashed. A
+// record identifies its request by the content, a fingerprint of what the request contains.
 // An entry sends its own observations to the others at once. Each process sends all of its
 // records when a link opens, so that a process that starts or was cut off receives them
 // with its first messages; agents keep them so that they survive a restart of all entries.
@@ -24,7 +25,8 @@
 	agentCrashThreshold = 2
 	// agentCrashInterval is the minimum time between two crash messages to an agent.
 	agentCrashInterval = 200 * time.Millisecond
-	// crashMismatchDelay is how long an entry's digest must differ: two full load reports.
+	// crashMismatchDelay is how long the digest of another entry's records must differ from
+	// the own one before that entry is sent all records: two full load reports.
 	crashMismatchDelay = time.Second
 	// crashResendInterval is the minimum time between two full sets of records sent to an
 	// entry.
@@ -158,8 +160,8 @@
 	}
 }
 
-// Probes reports whether this entry is the one that retries a content that is otherwise
-// blocked.
+// Probes reports whether this entry is the one, of all live entries, that retries a content
+// that the others block.
 func (m *Mesh) Probes(content quarantine.Fingerprint) bool {
 	addrs := append(addrsOf(m.Entries()), m.self.Addr)
 	return membership.First(content.String(), addrs) == m.self.Addr
--- a/mesh/crashes_test.go
+++ b/mesh/crashes_test.go
@@ -14,14 +14,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// propagationLimit is the maximum time until a connected entry must know a content that is
-// blocked, as the requirements state it.
+// propagationLimit is the time within which, by the requirements, each connected entry must
+// know that a content is blocked.
 const propagationLimit = 3 * time.Second
 
 // crashingContent is a content that was running when three targets crashed.
 var crashingContent = quarantine.Fingerprint{1, 2, 3}
 
-// recordThreeCrashes makes the entry observe these crashes.
+// recordThreeCrashes makes the entry observe three crashes with crashingContent.
 func (e *entry) recordThreeCrashes() {
 	for i := range 3 {
 		e.crashes.RecordCrashes(time.Now(), quarantine.Crash{Content: crashingContent, Incarnation: quarantine.Incarnation{Target: fmt.Sprint("i-", i), StartMs: 5}, At: time.Now(), Reporter: e.addr})
@@ -63,8 +63,8 @@
 	})
 }
 
-// The entry that observed the crashes and another one cannot reach each other; a third one
-// reaches both.
+// The entry that observed the crashes and another one cannot reach each other, but a third entry
+// reaches both and must pass the records on.
 func TestCrashesReachEntryThroughAThirdOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := startEntries(t, 5)
@@ -130,7 +130,7 @@
 	})
 }
 
-// No message is sent while there are no records.
+// No message about crashes is sent while there are no crash records.
 func TestNoMessageWithoutCrashes(t *testing.T) {
 	cursor := crashCursor{table: quarantine.NewTable()}
 	assert.Assert(t, cursor.snapshot() == nil && cursor.observed() == nil && cursor.forAgent() == nil)
--- a/mesh/differ.go
+++ b/mesh/differ.go
@@ -11,8 +11,8 @@
 )
 
 // mismatchConfirmDelay is how long two copies of the same revision must differ to be
-// reported: four load reports, so that a single wrong one, whatever its cause, does not
-// make an entry read all of the store.
+// reported: four full load reports, which carry the digests of the copies, so that a single
+// wrong digest, whatever its cause, does not make an entry read all of the store.
 const mismatchConfirmDelay = 2 * time.Second
 
 // difference describes a peer's copy of the store that is not equal to the own one.
@@ -68,8 +68,7 @@
 }
 
 // repairInterval is the minimum time between two full reads of the store because the own
-// copy differs from another one. repairJitter is the fraction of it that is added at
-// random, so that entries that detect a difference together do not read together.
+// copy differs from another one. Up to repairJitter times repairInterval is added at random, so that entries that detect a difference together do not read together.
 const (
 	repairInterval = 4 * time.Second
 	repairJitter   = 0.5
@@ -77,8 +76,8 @@
 
 // repair reads the full copy from the store again if it differs from another entry's: it is
 // not known which of the two missed a change. This guards against changes lost for unknown
-// reasons: a target that has left would get requests until its key in the store changes
-// again, which never happens. Copies that still differ afterwards are detected again.
+// reasons: without the repair, a target that has left would get requests until its key in the
+// store changes again, which never happens. Copies that still differ afterwards are detected again.
 // The lock must be held.
 func (m *Mesh) repair(ctx context.Context, now time.Time) {
 	if m.store == nil || !m.copyDifferences.any() || now.Before(m.nextRepairAt) {
--- a/mesh/differ_test.go
+++ b/mesh/differ_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A difference must be reported once, and only if it lasts; it stays in effect until the
-// copies are equal again.
+// A difference between two copies must be reported once, and only if it lasts; it stays recorded
+// until the copies are equal again.
 func TestLastingDifferenceIsReportedOnce(t *testing.T) {
 	d := differences{}
 	at := func(ms int) time.Time { return start.Add(time.Duration(ms) * time.Millisecond) }
--- a/mesh/entries_test.go
+++ b/mesh/entries_test.go
@@ -26,7 +26,7 @@
 	all   []*entry
 }
 
-// entry is one of them.
+// entry is one entry of the set.
 type entry struct {
 	fleet       *entries
 	addr        string
@@ -37,12 +37,12 @@
 	pool        *peer.Pool
 	stop        context.CancelFunc
 	crashes     *quarantine.Table
-	unreachable map[string]bool // addresses that it cannot reach
+	unreachable map[string]bool // addresses that this entry cannot reach
 	starts      uint64          // number of starts
-	delay       atomic.Int64    // of all that the entry sends, in nanoseconds
+	delay       atomic.Int64    // transit time of all that the entry sends, in nanoseconds
 	mu          sync.Mutex
 	down        bool
-	conns       []*peer.Conn  // opened by others
+	conns       []*peer.Conn  // connections that other processes opened
 	frozen      chan struct{} // closed when the entry is frozen
 }
 
@@ -82,7 +82,7 @@
 }
 
 // delayedConn is one end of a connection; what it sends arrives after a delay, in order.
-// Writes do not block for the delay.
+// Write returns at once.
 type delayedConn struct {
 	net.Conn
 	delay  *atomic.Int64
--- a/mesh/follow_test.go
+++ b/mesh/follow_test.go
@@ -175,7 +175,8 @@
 	}
 }
 
-// The age of a peer's answer is that at the peer when it answered, plus the transit time.
+// The age of a copy in a peer's answer is the age at which the peer sent it, plus the transit
+// time of the answer.
 func TestTransitTimeCountsIntoTheAgeOfAPeersAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const delay = 300 * time.Millisecond
@@ -196,8 +197,8 @@
 	})
 }
 
-// A delay between the measurement of the age and the sending of the answer does not count
-// into the time for which the peer waited.
+// A delay at the peer between the measurement of the age and the sending of the answer must not
+// count as time for which the peer waited for changes, so that the receiver adds it to the age.
 func TestDelayAfterTheAgeWasReadCountsAsTransit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		table := mirror.NewTable("")
@@ -212,7 +213,7 @@
 	})
 }
 
-// When the readers lose the store, as many other entries watch it instead.
+// When the readers lose the store, the same number of other entries watch it instead.
 func TestOtherEntriesWatchTheStoreWhenReadersLoseIt(t *testing.T) {
 	for _, f := range []fault{silent, refused, reset} {
 		t.Run(string(f), func(t *testing.T) {
@@ -240,7 +241,8 @@
 	}
 }
 
-// An entry whose copy is older than a watch takes does not wait for the watch.
+// An entry whose copy has been unconfirmed for longer than a watch of the store takes reads the
+// missing changes from a peer at once, without waiting for a watch result.
 func TestStaleCopyCatchesUpWithoutDelay(t *testing.T) {
 	cfg := Config{}.applyDefaults()
 	table := mirror.NewTable("")
@@ -260,8 +262,8 @@
 	return n
 }
 
-// Without faults, three entries call the store once a second each, and no copy has an age
-// above that of one watch and the load report about it.
+// Without faults, three entries call the store once a second each, and no copy gets older than
+// the time that one watch and the load report about it take.
 func TestHealthyFleetCallsTheStoreThreeTimesASecond(t *testing.T) {
 	for _, pause := range []time.Duration{0, 370 * time.Millisecond} {
 		t.Run(fmt.Sprint("started ", pause, " apart"), func(t *testing.T) {
--- a/mesh/link.go
+++ b/mesh/link.go
@@ -52,7 +52,8 @@
 	l.signal()
 }
 
-// streamOpened resets the send state for a new stream, on which nothing was sent yet.
+// streamOpened resets the send state for a new stream, on which nothing was sent yet; states are
+// the reports that this entry forwards.
 func (l *link) streamOpened(states map[string]peer.RelayedState) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -117,7 +118,7 @@
 	}
 }
 
-// session opens a stream and sends queued messages until it breaks. It reports whether the
+// session opens a stream and sends queued messages until the stream breaks. It reports whether the
 // entry was reached.
 func (l *link) session(ctx context.Context, dialTimeout time.Duration) bool {
 	dialCtx, cancel := clock.WithTimeout(ctx, dialTimeout)
@@ -136,7 +137,7 @@
 	ended := make(chan struct{})
 	defer func() {
 		s.Close()
-		<-ended // no message of the entry may be handled after it counts as lost
+		<-ended // no message of the entry may be handled after the entry counts as lost
 	}()
 	l.mesh.mu.Lock()
 	l.streamOpened(l.mesh.allForwarded())
@@ -165,7 +166,7 @@
 }
 
 // nextCrashes returns the crash records to send to the entry now, or nil. An agent observes
-// no crashes itself: it sends what it has kept when the link opens.
+// no crashes itself: it only sends, when the link opens, the records that it keeps.
 func (l *link) nextCrashes(cursor *crashCursor) *peer.Crashes {
 	switch {
 	case cursor.table == nil:
--- a/mesh/linkchoice.go
+++ b/mesh/linkchoice.go
@@ -6,11 +6,12 @@
 )
 
 // Limits on the links of one agent. If agents linked to all entries, the number of links
-// would grow with the product of both, and all would be opened in the second in which a
+// would grow with the product of agents and entries, and all would be opened in the second in which a
 // fleet starts.
 const (
 	// nearLinks is how many entries of its own failure domain an agent links to. They serve
-	// pieces, each entry those that it fetches on behalf of the domain.
+	// pieces (parts of model weights), each entry those that it fetches on behalf of the
+	// domain.
 	nearLinks = 8
 	// farLinks is how many entries of other failure domains an agent links to, as a
 	// fallback for those of its own domain. One of them may be lost in the same incident
--- a/mesh/loadreporter.go
+++ b/mesh/loadreporter.go
@@ -6,7 +6,7 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// loadReporter decides which loads of this process to send: all of them at each
+// loadReporter decides which loads of this process (requests in flight at a target) to send: all of them at each
 // heartbeat, and only the changes in between. A full report makes up for reports
 // that were lost. It performs no I/O and reads no clock.
 type loadReporter struct {
@@ -15,14 +15,14 @@
 	lastFull  time.Time
 	lastSent  time.Time
 
-	storeFailing bool // store state as last sent
-	storeSeenAt  time.Time
+	storeFailing bool      // store state as last sent
+	storeSeenAt  time.Time // time of the store read that was last reported
 	storeSentAt  time.Time // when the store state was last sent
 }
 
 // storeReportInterval is the minimum time between two reports that are sent only because
 // the store was read again. A watch that ends once a second is reported at once; in a
-// burst of changes a watch ends every 200 ms.
+// burst of changes a watch ends every 200 ms, and not each is reported.
 const storeReportInterval = 400 * time.Millisecond
 
 func newLoadReporter(heartbeat time.Duration) *loadReporter {
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -1,7 +1,10 @@
-// Package mesh connects the processes of `springgate gateway` and their agents. Entries
-// discover each other from a few seeds, exchange their loads in flight, and receive the state
-// of each engine from the agent beside it. There is no leader and no shared state; what a
-// process has reported is discarded once it is no longer reachable.
+// Package mesh connects the processes of `springgate gateway`, called entries, and the agents,
+// each of which runs beside an engine (a model server). Entries discover each other from a few
+// configured addresses, the seeds, exchange how many requests they have in flight at each
+// target, and receive the state of each engine from the agent beside it. Each entry keeps a copy
+// of the store, the key-value store of the configuration and the targets, which it reads from
+// the store itself or from another entry. There is no leader and no shared state; what a process
+// has reported is discarded once that process is no longer reachable.
 package mesh
 
 import (
@@ -19,9 +22,9 @@
 	// entries send to it between two reports is not seen. Default 15 ms.
 	Interval time.Duration
 	// IntervalPerEntry, times the number of live entries, is a lower bound of the
-	// interval, so that an entry does not send more messages in larger fleets; the home
-	// entries of targets make up for older reports. Default 1.5 ms: 15 ms at 10 entries,
-	// 0.6 s at 390.
+	// interval, so that an entry does not send more messages in larger fleets. The reports
+	// are older then; the home entry of a target, which grants places at it (see
+	// Reserver), makes up for that. Default 1.5 ms: 15 ms at 10 entries, 0.6 s at 390.
 	IntervalPerEntry time.Duration
 	// Heartbeat is the maximum time between two messages. Default 500 ms.
 	Heartbeat time.Duration
@@ -38,16 +41,16 @@
 	// of changes, because watches start at least 200 ms apart. Default 1.2 s.
 	StaleAfter time.Duration
 	// RetryAfter is the pause before a broken link is opened again; while the entry is
-	// unreachable it doubles with every other attempt, up to MaxRetryAfter. When all
+	// unreachable, the pause doubles with every other attempt, up to MaxRetryAfter. When all
 	// processes start together, agents are up some 100 ms before the entries. Defaults
 	// 50 ms and 400 ms.
 	RetryAfter, MaxRetryAfter time.Duration
-	// FirstDialTimeout bounds the first attempts to dial an entry; it doubles in the same
+	// FirstDialTimeout bounds the first attempts to dial an entry; the timeout doubles in the same
 	// way, up to DialTimeout. A SYN to a host without power is lost and retransmitted
 	// after 1 s, so a new attempt succeeds sooner. Defaults 60 ms, ten times the longest
 	// round trip, and 250 ms, for saturated links. If the entries are powered on up to
-	// 0.4 s after an agent, the agent is linked 0.1 s after they are up; with 250 ms from
-	// the first attempt on it took 0.3 s.
+	// 0.4 s after an agent, the agent is linked 0.1 s after they are up; with a timeout of
+	// 250 ms from the first attempt on, that took 0.3 s.
 	FirstDialTimeout, DialTimeout time.Duration
 }
 
@@ -98,10 +101,10 @@
 // no clock.
 type peerClock struct {
 	windowStart       time.Time // start of the current window
-	prevZero, minZero time.Time // earliest zero of the peer's clock in the previous and the current window
+	prevZero, minZero time.Time // earliest estimate, in the previous and the current window, of the local time at which the peer's clock was zero
 }
 
-// observe returns the clock updated with a reading.
+// observe returns the clock updated with a reading of the peer's clock that arrived at now.
 func (c peerClock) observe(now time.Time, reading time.Duration) peerClock {
 	zero := now.Add(-reading)
 	if c.windowStart.IsZero() {
@@ -240,9 +243,9 @@
 }
 
 // ConfirmedAt returns when an entry last saw by its own calls that the store had nothing
-// beyond revision, or zero. Confirmations that entries received from others do not count:
-// passed around a cycle, the error of the transit time would make them younger in each
-// round.
+// beyond revision, or zero. Confirmations that entries received from others do not count: if
+// they were passed around a cycle of entries, the error of the transit time would make them
+// seem younger after each round.
 func (m *Members) ConfirmedAt(revision int64) (at time.Time) {
 	for _, x := range m.byAddr {
 		if x.Revision <= revision && x.storeSeenAt.After(at) {
--- a/mesh/members_test.go
+++ b/mesh/members_test.go
@@ -36,7 +36,7 @@
 	assert.Assert(t, !m.Observe(start, presence("b:1", 1, 0)), "the member is live already")
 	assert.DeepEqual(t, addrs(m.Live(start.Add(expire))), []string{"b:1"})
 	assert.Equal(t, len(m.Live(start.Add(expire+1))), 0)
-	assert.DeepEqual(t, m.Addrs(), []string{"b:1"}) // it is still dialled
+	assert.DeepEqual(t, m.Addrs(), []string{"b:1"}) // the expired entry is still dialled
 }
 
 func TestEarlierIncarnationIsIgnored(t *testing.T) {
@@ -87,20 +87,22 @@
 	m.MarkUnreachable("b:1")
 	assert.Assert(t, m.Observe(start.Add(expire+2), presence("b:1", 2, 1)), "the higher incarnation is unreachable")
 
-	// As an agent records a linked entry.
+	// An agent records a linked entry with a time in the future (see Mesh.entryLinked).
 	m.Observe(start.Add(linkValidity), presence("c:1", 5, 9))
 	m.MarkUnreachable("c:1")
 	assert.Assert(t, m.Observe(start.Add(linkValidity+time.Second), presence("c:1", 3, 1)))
 }
 
-// presenceSeenAt returns a presence of an entry that saw the store when it sent this, at clock.
+// presenceSeenAt returns a presence of an entry that saw the store at the moment of sending, when
+// the entry's own uptime clock showed clock.
 func presenceSeenAt(clock time.Duration) peer.Presence {
 	p := presence("b:1", 1, 7)
 	p.Store = peer.StoreStatus{Known: true, UptimeMs: clock.Milliseconds()}
 	return p
 }
 
-// However long a report is in transit, the store was seen when the report was sent.
+// The time at which a peer saw the store must be derived from the peer's clock, and so must not
+// depend on how long the report was in transit.
 func TestTransitTimeDoesNotMoveConfirmation(t *testing.T) {
 	m := NewMembers("a:1", nil, expire)
 	m.Observe(start, presenceSeenAt(time.Hour))
--- a/mesh/mesh.go
+++ b/mesh/mesh.go
@@ -22,7 +22,7 @@
 	// EntryLost is called when an entry is no longer live.
 	EntryLost(addr string)
 	// EngineState receives the state of an agent's engine; s is nil once no report of
-	// it is left.
+	// that engine is left.
 	EngineState(agent peer.Presence, s *peer.EngineState)
 	// Assignment returns what the engine beside an agent must serve, or nil, and a
 	// channel that is closed when that may have changed.
@@ -44,8 +44,8 @@
 	onEntryLost   func(addr string)
 	table         *mirror.Table // nil at agents
 	metrics       metrics.Registry
-	startedAt     time.Time              // zero of the clock that is sent to others
-	sourceChanges metrics.Counter        // of the own copy
+	startedAt     time.Time              // zero of this process's uptime clock, whose readings are sent to others
+	sourceChanges metrics.Counter        // changes of the source from which the own copy of the store is read
 	store         *mirror.MonitoredStore // set by NewFollower
 	crashes       *quarantine.Table      // crash records; nil for none
 	engines       *reportRegistry
@@ -58,7 +58,7 @@
 	liveChanged     chan struct{} // closed when live changes
 	leaving         bool
 	latestReport    *peer.EngineState          // latest report, at agents; sent on links that open later
-	forwarder       string                     // address of the entry that forwards it
+	forwarder       string                     // address of the entry that forwards latestReport to the other entries
 	forwarded       map[string]forwardedReport // reports that this entry forwards, by engine
 	behindSince     time.Time
 	catchingUp      bool
@@ -85,7 +85,8 @@
 	Table       *mirror.Table // own copy of the store; nil at agents
 	Log         logrus.FieldLogger
 	Metrics     metrics.Registry // nil for none
-	// Crashes is replicated with the other processes; nil for none.
+	// Crashes holds the crash records, which are replicated to the other processes (see
+	// crashes.go); nil for none.
 	Crashes *quarantine.Table
 }
 
@@ -128,8 +129,8 @@
 	return p
 }
 
-// storeStatus returns the revision of the own copy, and what the calls of this process
-// show about the store.
+// storeStatus returns the revision of the own copy of the store, and what this process's own
+// calls to the store show about the store.
 func (m *Mesh) storeStatus(now time.Time) (int64, peer.StoreStatus) {
 	at, revision := m.table.LastStoreRead()
 	c := peer.StoreStatus{Known: !at.IsZero(), Failing: m.failing(), UptimeMs: now.Sub(m.startedAt).Milliseconds()}
@@ -144,8 +145,9 @@
 	return (d + time.Millisecond - 1).Milliseconds()
 }
 
-// stamped returns a load report with the state of the store and the ages as of now, because
-// the report may have been queued for some time. Other messages are returned unchanged.
+// stamped returns a load report in which all but the loads is as of now, such as the state and
+// the age of the copy of the store, because the report may have been queued for some time.
+// Other messages are returned unchanged.
 func (m *Mesh) stamped(msg peer.Message) peer.Message {
 	loads, ok := msg.(*peer.Loads)
 	if !ok {
@@ -166,7 +168,7 @@
 }
 
 // Run maintains links to other entries and refreshes the members until ctx ends. loads
-// returns what this process has in flight; it is nil at agents.
+// returns the requests that this process has in flight at each target; it is nil at agents.
 func (m *Mesh) Run(ctx context.Context, loads func() []peer.TargetLoad) {
 	ticker := time.NewTicker(m.cfg.Interval)
 	defer ticker.Stop()
@@ -185,7 +187,8 @@
 	}
 }
 
-// refresh updates the links, the live members and, at entries, the role and the copy.
+// refresh updates the links, the live members and, at entries, the role (see role)
+// and the copy of the store.
 func (m *Mesh) refresh(ctx context.Context, now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/mesh/mesh_test.go
+++ b/mesh/mesh_test.go
@@ -130,7 +130,7 @@
 	return out
 }
 
-// until waits until ok returns true; it is called after each message and every 5 ms.
+// until waits until ok returns true; ok is called after each message and every 5 ms.
 func (n *node) until(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	for t.Context().Err() == nil {
@@ -185,7 +185,8 @@
 	}
 }
 
-// A target's home decides; an entry that cannot reach the home decides on its own.
+// The home entry of a target decides whether a request may be sent there; an entry that cannot
+// reach the home decides on its own.
 func TestReserveCallsTheHome(t *testing.T) {
 	a := startNode(t, "a", 1, nil, false, nil)
 	b := startNode(t, "b", 1, []string{a.server.Addr()}, false, nil)
--- a/mesh/reports.go
+++ b/mesh/reports.go
@@ -50,7 +50,7 @@
 }
 
 // remove deletes a stream's report of an engine. It returns the report now in effect, and
-// whether that changed. If none is left, it returns the last one and known is false.
+// whether that changed. If no report of the engine is left, it returns the removed one and known is false.
 func (e engineReports) remove(from streamID, engine string) (rep engineReport, known, changed bool) {
 	old, existed := e.newest(engine)
 	delete(e[engine], from)
@@ -69,7 +69,7 @@
 // ended.
 type reportChange struct {
 	report engineReport
-	known  bool // if false, no report is left and this is the last one
+	known  bool // if false, no report of the engine is left and report is the removed one
 }
 
 // removeStream deletes all reports of a stream.
--- a/mesh/reports_test.go
+++ b/mesh/reports_test.go
@@ -11,8 +11,8 @@
 	return engineReport{peer.Presence{EngineAddr: "e", Incarnation: incarnation}, peer.EngineState{Addr: "e", Version: version, Seq: seq}}
 }
 
-// The newest report is in effect on whatever stream it arrived, and the newest remaining one
-// once that stream ends.
+// The newest report of an engine is in effect on whatever stream it arrived, and the newest
+// remaining one once that stream ends.
 func TestNewestReportOfAnEngineIsInEffect(t *testing.T) {
 	e := engineReports{}
 	assert.Assert(t, e.add(1, report(1, 1, 5)))
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -12,8 +12,9 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// Reserver reserves places at targets with their home entries. The home of a target is an
-// entry of its failure domain, chosen by rendezvous hashing. It implements gateway.Reserver.
+// Reserver reserves places at targets, each for one request, by calls to their home entries. The
+// home of a target is an entry of its failure domain, chosen by rendezvous hashing, that grants
+// or denies the places at it. Reserver implements gateway.Reserver.
 type Reserver struct {
 	mesh     *Mesh
 	balancer *dispatch.Balancer
@@ -105,7 +106,7 @@
 	_ = s.SendLast(ctx, &peer.ReserveReply{Granted: p.Granted, Known: p.Known, WaitMs: milliseconds(p.Wait), Notice: peer.EncodeNotice(p.Report)})
 }
 
-// home returns the home entry of a target, which decides who may use it.
+// home returns the home entry of a target, which decides which entries may send requests to it.
 func (m *Mesh) home(target, domain string) string {
 	var near, all []string
 	for _, p := range append([]peer.Presence{m.self}, m.Entries()...) {
--- a/mesh/reserve_test.go
+++ b/mesh/reserve_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// startHomeAndRequester starts two entries and returns a target whose home is the first.
+// startHomeAndRequester starts two entries and returns a target whose home is the first entry.
 func startHomeAndRequester(t *testing.T) (home, requester *node, target *fleet.Instance) {
 	home = startNode(t, "a", 1, nil, false, nil)
 	requester = startNode(t, "b", 1, []string{home.server.Addr()}, false, nil)
@@ -44,8 +44,8 @@
 	return dispatch.Choice{Instance: *target, Paced: true, Admission: dispatch.Admission{MaxWait: time.Hour}}
 }
 
-// Guards against a home that does not know a limit and grants more than the limit that the
-// requester knows.
+// Guards against a home entry that does not know a target's request limit, and so grants more
+// than the limit that the requesting entry has received from the target.
 func TestHomeLearnsALimitFromTheRequester(t *testing.T) {
 	home, requester, target := startHomeAndRequester(t)
 	announceLimit(requester, target, 1)
@@ -62,8 +62,8 @@
 	assert.Equal(t, requester.balancer.ReportOf(target.ID).Limit.PerS, 1.0)
 }
 
-// Guards against using a target whose limit is shared by all entries when its home cannot be
-// called: an entry then took the place as granted.
+// Guards against using a target whose request limit is shared by all entries when its home cannot
+// be called: an entry then took its request as granted.
 func TestPacedTargetIsNotUsedWithoutItsHome(t *testing.T) {
 	home, requester, target := startHomeAndRequester(t)
 	unknown := *target
@@ -76,7 +76,7 @@
 	assert.Equal(t, requester.reserver.Reserve(t.Context(), choice, 10), dispatch.ReservationGranted)
 }
 
-// Full load reports carry the limits that the sender knows.
+// Full load reports carry the request limits of targets that the sender knows.
 func TestFullLoadReportsCarryLimits(t *testing.T) {
 	home, requester, target := startHomeAndRequester(t)
 	announceLimit(requester, target, 2)
--- a/mesh/role_test.go
+++ b/mesh/role_test.go
@@ -28,8 +28,8 @@
 	assert.Equal(t, m.ConfirmedAt(9), start.Add(-100*time.Millisecond))
 }
 
-// assignRoles returns how many of n entries read the store when the first failing of them in
-// rank do not reach it, and the read delay of each by rank.
+// assignRoles returns how many of n entries are readers, and the read delay of each entry by
+// rank, if the highest ranked entries, as many as failing says, do not reach the store.
 func assignRoles(t *testing.T, n, failing int) (readers int, delays []time.Duration) {
 	t.Helper()
 	addrs := make([]string, n)
@@ -63,8 +63,8 @@
 	}
 }
 
-// The store's data crosses to a failure domain without a reader only once: one entry of it
-// follows a reader, and the others follow that entry.
+// The store's data crosses to a failure domain without a reader only once: one entry of the
+// domain follows a reader, and the others follow that entry.
 func TestOneEntryOfAFailureDomainFollowsAReader(t *testing.T) {
 	var all []readerCandidate
 	for i := range 35 {
@@ -114,8 +114,8 @@
 	assert.Equal(t, delays[6], time.Duration(0))
 }
 
-// Readers report at once that the store was read, at a limited rate, and at once that their
-// calls to it fail.
+// Readers report without waiting for the next heartbeat that the store was read, at a limited
+// rate, and that their calls to the store fail, without that limit.
 func TestStoreStateIsReportedAtOnce(t *testing.T) {
 	a := newLoadReporter(time.Second)
 	sent := 0
--- a/mesh/size_test.go
+++ b/mesh/size_test.go
@@ -39,9 +39,9 @@
 	poweredOff    atomic.Bool // the host has no power
 	down          bool        // refuses connections
 	conns         []*peer.Conn
-	engines       map[string]peer.EngineState // by address, as the mesh reported
+	engines       map[string]peer.EngineState // by engine address, as the mesh reported them
 	assigned      map[string]bool             // at agents: entries that have sent an assignment
-	assignedEarly bool                        // at agents: an entry assigned before it was known as live
+	assignedEarly bool                        // at agents: an assignment arrived from an entry that the agent did not yet know as live
 }
 
 const fleetDomains = 5
@@ -99,7 +99,7 @@
 
 func (m *process) serve(ctx context.Context, s *peer.Stream, first peer.Message) {
 	var mesh *Mesh
-	m.locked(func() { mesh = m.mesh }) // replaced at a restart
+	m.locked(func() { mesh = m.mesh }) // m.mesh is replaced at a restart
 	if p, ok := first.(*peer.Presence); ok {
 		mesh.Serve(ctx, s, p)
 	}
@@ -171,10 +171,11 @@
 	for _, m := range c.members {
 		m.kill()
 	}
-	time.Sleep(time.Second) // until pauses between attempts are over
+	time.Sleep(time.Second) // until the pauses between dial attempts are over
 }
 
-// sent returns what all processes sent over a border.
+// sent returns what all processes sent to peers of a locality: inside or outside the sender's
+// failure domain.
 func (c *processes) sent(b peer.Locality) (bytes, messages int64) {
 	for _, m := range c.members {
 		n, k := m.meter.SentAll(b)
@@ -256,7 +257,8 @@
 	})
 }
 
-// The hosts of the entries get power up to 0.4 s later than an agent's.
+// The hosts of the entries get power up to 0.4 s later than an agent's host; the agent must then
+// link to them soon.
 func TestEntriesAreLinkedSoonAfterTheirHostsGetPower(t *testing.T) {
 	for _, later := range []time.Duration{50, 150, 250, 350, 400} {
 		synctest.Test(t, func(t *testing.T) {
@@ -329,7 +331,8 @@
 }
 
 // What a process sends between failure domains when all start at once grows more slowly than
-// the fleet. Full lists to all at each change grew with the cube of the fleet's size.
+// the fleet. Sending full member lists to all at each change grew with the cube of the
+// fleet's size.
 func TestStartSendsLittleBetweenFailureDomains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		small, _, _ := startBytes(t, 24)
--- a/mesh/store_test.go
+++ b/mesh/store_test.go
@@ -31,7 +31,7 @@
 	mu          sync.Mutex
 	fault       fault
 	changed     chan struct{}        // closed when fault changes
-	calls       []time.Time          // when they began
+	calls       []time.Time          // start times of the calls
 	answerDelay func() time.Duration // delay between making and returning an answer; nil for none
 }
 
--- a/mesh/suspension_test.go
+++ b/mesh/suspension_test.go
@@ -13,7 +13,7 @@
 // Ages, and the clock that an entry sends to others, must include the time for which its host
 // was suspended. Guards against an entry that reported an old read of the store as recent,
 // considered entries live that had sent nothing during the suspension, and whose clock
-// permanently lagged by it.
+// permanently lagged by the length of the suspension.
 //
 // The store stops answering before the suspension. Otherwise an entry might call it as soon as
 // the host resumes, and its copy would then be as recent as reported.
--- a/mesh/updates_test.go
+++ b/mesh/updates_test.go
@@ -35,7 +35,7 @@
 	assert.Assert(t, n.next(self, all) == nil)
 }
 
-// Members are announced to an entry only by the seeds and three more, so that the number of
+// Members are announced to an entry only by the seeds and three more entries, so that the number of
 // announcements does not grow with the cube of the fleet.
 func TestFewEntriesAnnounceMembersToAnEntry(t *testing.T) {
 	all := presencesOf(35)
