--- a/mirror/digest.go
+++ b/mirror/digest.go
@@ -19,7 +19,7 @@
 
 // Digest returns a hash of all items of the copy, and the copy's revision. If two copies
 // at the same revision have different digests, one of them missed a change. The digest
-// is 0 while the copy reflects some changes beyond its revision.
+// is 0 (unknown) while the copy reflects some changes beyond its revision.
 func (t *Table) Digest() (digest uint64, revision int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -30,7 +30,7 @@
 }
 
 // LateEvents returns the number of events that were ignored because their revision was
-// not above the copy's: they came in responses that arrived out of order.
+// not above the copy's revision: they came in responses that arrived out of order.
 func (t *Table) LateEvents() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -14,9 +14,9 @@
 
 // Config holds the timing parameters of a Follower.
 type Config struct {
-	// Wait is how long one watch waits for changes. Each watch is one billed call,
-	// but a watch whose connection was dropped silently is detected only after
-	// Wait. Default 1 s, because a configuration must take effect within 2 s.
+	// Wait is how long one watch waits for changes. A longer wait needs fewer calls, of
+	// which each at the store is billed, but a watch whose connection was dropped silently
+	// is detected only after Wait. Default 1 s, because a configuration must take effect within 2 s.
 	Wait time.Duration
 	// MinWatchInterval is the minimum time between the starts of two watches at a source
 	// whose calls are billed: each change ends a watch, and changes come in bursts.
@@ -27,17 +27,17 @@
 	WatchGrace time.Duration
 	// RangeTimeout bounds the read of a full copy. A copy of 3,000 targets has 1 MB,
 	// and the entries of a failure domain that start together read it over one link:
-	// seven of them need 2.1 s at 27 Mbit/s. An entry that times out sooner starts
+	// seven entries need 2.1 s at 27 Mbit/s. An entry that times out sooner starts
 	// over, and its traffic delays the reads of the others. Default 4 s.
 	RangeTimeout time.Duration
 	// Backoff is the delay after a failure when there is no other source; it doubles
-	// up to MaxBackoff. In an outage of the store all processes retry at this rate,
+	// with each further failure, up to MaxBackoff. In an outage of the store all processes retry at this rate,
 	// and the first that succeeds notifies the others. Defaults 50 ms and 2 s.
 	Backoff, MaxBackoff time.Duration
 	// StaleAfter is the age of the copy at which the store is read independently of
-	// the current source. Watches at the store confirm the copy each Wait, at the
-	// latest Wait and MinWatchInterval after the last confirmation. A change must be
-	// received within 2 s, which leaves the remainder for ReadTimeout and network
+	// the current source. Watches at the store confirm the copy once per Wait, at the
+	// latest Wait plus MinWatchInterval after the last confirmation. A change must be
+	// received within 2 s; what StaleAfter leaves of that is for ReadTimeout and network
 	// latency. Default 1.3 s.
 	StaleAfter time.Duration
 	// ReadTimeout bounds a read of the store because of a stale copy. A slow store
@@ -120,7 +120,8 @@
 }
 
 // maxImmediateRetries is the number of consecutive failures up to which another source
-// is tried without back-off: one failure of the store and one of a reader.
+// is tried without back-off: one failure of the store and one of a reader (an entry that
+// follows the store and that others follow).
 const maxImmediateRetries = 2
 
 // Run keeps the table up to date until ctx ends.
@@ -177,7 +178,7 @@
 }
 
 // source returns the source to follow now. A peer may have no copy yet, so a process
-// without a copy alternates between the peer and the store.
+// without a copy alternates between the peer and the store after each failure.
 func (f *Follower) source() (Source, <-chan struct{}) {
 	src, changed := f.route.Source()
 	if src == nil || f.table.Revision() == 0 && f.failures%2 == 1 {
@@ -243,9 +244,9 @@
 }
 
 // watchWait returns how long a watch that starts now waits for changes. A watch at the
-// store ends when Wait has passed since the last confirmed read of the store: a response
-// with changes that arrives late in a watch confirms the copy only as of the watch's
-// start.
+// store ends when Wait has passed since the time as of which this process's last read of the
+// store confirmed the copy. That may be longer ago than the end of the last watch: a response
+// with changes that arrives late in a watch confirms the copy only as of the watch's start.
 func (f *Follower) watchWait(src Source, now time.Time) time.Duration {
 	if src != Source(f.store) {
 		return f.cfg.Wait
@@ -275,7 +276,7 @@
 const catchUpTimeout = time.Second
 
 // CatchUp applies the changes that src has beyond the table, without waiting for new
-// ones. It reads the full copy if src no longer has the history.
+// changes. It reads the full copy if src no longer has the history after the table's revision.
 func CatchUp(ctx context.Context, src Source, t *Table) error {
 	if after := t.Revision(); after > 0 {
 		err := catchUpChanges(ctx, src, t, after)
--- a/mirror/lateanswer_test.go
+++ b/mirror/lateanswer_test.go
@@ -7,15 +7,15 @@
 )
 
 // These tests guard against changes that are lost between copies. Responses need not be
-// applied in the order in which they were created: a watch, reads because the copy is
-// stale, and reads of peers that are ahead start at the same revision, and a full copy is
+// applied in the order in which they were created: a watch, a read because the copy is stale
+// and a read from a peer that is ahead may all start at the same revision, and a full copy is
 // read in pages, each later than the one before.
 //
 // A target that was removed between the pages of one entry's full read stayed in the copies of
-// two followers of that entry. They sent requests to it up to 9.7 s after it had left, while
-// their copies were 0.3 to 0.6 s old but had not received the removal.
+// two followers of that entry. They sent requests to the target up to 9.7 s after it had left:
+// by their age of 0.3 to 0.6 s their copies were current, but they had not received the removal.
 
-// A target changed its entry and was then removed. A response that was created between
+// A target's key in the store was changed and then removed. A response that was created between
 // these two changes arrived last, and the copy added the target again, permanently because
 // no later change of that key follows.
 func TestLateAnswerDoesNotBringBackARemovedKey(t *testing.T) {
@@ -37,7 +37,7 @@
 	leaving, removed := set("a leaving target", 11), removal("a removed target", 12)
 	source, follower := NewTable(""), NewTable("")
 	follower.Replace(start, before)
-	source.Replace(start, Batch{Events: []Event{leaving, set("config", 9)}, Revision: 10}) // the second page has a later state
+	source.Replace(start, Batch{Events: []Event{leaving, set("config", 9)}, Revision: 10}) // the second page shows the state at revision 12
 	source.Apply(start, Batch{Events: []Event{leaving, removed}, Revision: 12})
 	b, err := source.Watch(t.Context(), follower.Revision(), 0)
 	assert.NilError(t, err)
--- a/mirror/monitoredstore.go
+++ b/mirror/monitoredstore.go
@@ -10,7 +10,7 @@
 	"github.com/springgate/springgate/clock"
 )
 
-// watchOverdueAfter is how long after its wait a watch may take before the store is
+// watchOverdueAfter is how long a watch may take beyond its wait before the store is
 // counted as unreachable. A slow store answers within 0.4 s.
 const watchOverdueAfter = 500 * time.Millisecond
 
@@ -25,11 +25,11 @@
 	log   logrus.FieldLogger
 
 	mu           sync.Mutex
-	lastCall     time.Time // start of the last call
-	lastSuccess  time.Time // start of the last successful call
-	failures     int       // since the last successful call
-	failingSince time.Time // when the first of these failures was recorded
-	recovered    chan struct{}
+	lastCall     time.Time     // start of the last call
+	lastSuccess  time.Time     // start of the last successful call
+	failures     int           // since the last successful call
+	failingSince time.Time     // when the first failure after the last success was recorded
+	recovered    chan struct{} // closed and replaced when a call succeeds after failures
 }
 
 // NewMonitoredStore wraps a store that has not been called yet.
@@ -80,9 +80,9 @@
 	return b, err
 }
 
-// Watch implements Source. A response without changes was created at the end of the
-// wait or later. One with changes may have been created at any time since the call
-// started.
+// Watch implements Source. A response without changes was created by the store at the end of
+// the wait or later, so its age is less by the wait. One with changes may have been created at
+// any time since the call started.
 func (s *MonitoredStore) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Batch, error) {
 	call := s.begin()
 	overdue := clock.AfterFunc(wait+watchOverdueAfter, func() { s.recordFailure(call, errors.New("mirror: watch of the store is overdue")) })
--- a/mirror/monitoredstore_test.go
+++ b/mirror/monitoredstore_test.go
@@ -29,8 +29,8 @@
 	return Batch{Events: s.events, Revision: after + int64(len(s.events))}, nil
 }
 
-// The age of a response is its upper bound: the response may have been created at any
-// time since the call started, and does not reflect later changes in the store.
+// The age that is stated for a response is an upper bound: the response may have been created
+// at any time since the call started, and does not reflect later changes in the store.
 func TestAgeOfResponseIsItsUpperBound(t *testing.T) {
 	change := []Event{set("a", 2)}
 	for _, c := range []struct {
@@ -110,9 +110,10 @@
 	return p.Table.Watch(ctx, after, wait)
 }
 
-// At any rate of changes, a reader's copy gets no older than one watch and the interval
-// before the next, and no read because of a stale copy is needed. Each change costs at most one
-// call in addition to those without changes, and a burst costs at most five calls per second.
+// At any rate of changes, the copy of a process that follows the store gets no older than the
+// time of one watch and the interval before the next, and no read because of a stale copy is
+// needed. Each change costs at most one call in addition to the calls that are made without
+// changes, and a burst costs at most five calls per second.
 func TestCopyStaysFreshAtAnyRateOfChanges(t *testing.T) {
 	for _, every := range []time.Duration{20, 150, 500, 850, 950, 990, 1050, 1900, 3700} {
 		every *= time.Millisecond
--- a/mirror/oracle_test.go
+++ b/mirror/oracle_test.go
@@ -51,8 +51,8 @@
 	split string // first key of the second page
 }
 
-// page returns the items with keys from from up to, not including, to; an empty to is no
-// bound.
+// page returns the items whose keys are at least from and below to; if to is empty, there is no
+// upper bound.
 func (m *model) page(from, to string) []Event {
 	var out []Event
 	for key, e := range m.items {
@@ -63,7 +63,8 @@
 	return out
 }
 
-// lateWatch is a response to a watch of a copy that arrives after later ones.
+// lateWatch is a response to a watch for a copy that arrives after responses that were created
+// later.
 type lateWatch struct {
 	table  *Table
 	answer Batch
--- a/mirror/staleread.go
+++ b/mirror/staleread.go
@@ -13,7 +13,8 @@
 )
 
 // staleCheckInterval is the time between two checks of the copy's age. It must be small
-// against the time that remains of the 2 s limit after StaleAfter.
+// compared with the time that Config.StaleAfter leaves of the 2 s within which a change must be
+// received.
 const staleCheckInterval = 50 * time.Millisecond
 
 // readStoreWhenStale reads the store when the copy is stale, independently of the
@@ -48,13 +49,13 @@
 	return f.backoff(failures, jitter)
 }
 
-// backupMinFailures is the number of consecutive failures after which a backup probes
-// the store only each ProbeInterval. By then it has backed off for about 2 s, and processes
-// that reach the store have reported it.
+// backupMinFailures is the number of consecutive failures after which a backup (see
+// Route.Backup) calls the store only once per ProbeInterval. By then it has backed off for about
+// 2 s, and processes that reach the store have reported that.
 const backupMinFailures = 6
 
 // readStore applies the changes that the store has beyond the copy, without waiting for
-// new ones.
+// new changes.
 func (f *Follower) readStore(ctx context.Context, stale bool) {
 	age := f.age(clock.Now())
 	err := f.readChanges(ctx)
@@ -101,8 +102,8 @@
 // count as an outage: longer than one rejected call and its retry take.
 const outageAfter = 500 * time.Millisecond
 
-// Outage reports whether the store is unavailable, and when the last outage ended. It
-// is no outage if only this process cannot reach the store, because the copy is then
+// Outage reports whether the store is unavailable, and when the last outage ended. If only
+// this process cannot reach the store, that is no outage, because the copy is then
 // kept current from other processes.
 func (f *Follower) Outage() (down bool, ended time.Time) {
 	now := clock.Now()
--- a/mirror/staleread_test.go
+++ b/mirror/staleread_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// storeAt returns a source that answers at once with a change at the current value of
-// revision.
+// storeAt returns a source that answers at once; its only key was last changed at the current
+// value of revision.
 func storeAt(revision *atomic.Int64) *scripted {
 	return &scripted{name: "store", all: func() (Batch, error) { return Batch{Revision: revision.Load()}, nil },
 		watch: func(after int64) (Batch, error) {
@@ -44,7 +44,8 @@
 	})
 }
 
-// When processes start together, the peer to follow may have no copy yet.
+// When processes start together, the peer to follow may have no copy yet. The first copy must
+// then be read from the store.
 func TestFirstCopyIsReadFromStoreIfPeerHasNone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/mirror/stats.go
+++ b/mirror/stats.go
@@ -19,7 +19,7 @@
 	metrics.NewRegisteredFunctionalGauge("mirror.copy_age_ms", s.registry, f)
 }
 
-// registerLateEvents registers the gauge of the number of late events.
+// registerLateEvents registers the gauge of the number of late events (see Table.LateEvents).
 func (s *Stats) registerLateEvents(f func() int64) {
 	metrics.NewRegisteredFunctionalGauge("mirror.events_late", s.registry, f)
 }
--- a/mirror/suspension_test.go
+++ b/mirror/suspension_test.go
@@ -16,7 +16,7 @@
 var suspensions = []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second}
 
 // Guards against a stale copy after the host was suspended. The monotonic clock stops
-// during a suspension, so a copy whose age was measured by it counted as fresh, and the
+// during a suspension, so a copy whose age was measured by that clock counted as fresh, and the
 // entry served an outdated configuration until a watch ended.
 func TestSuspension(t *testing.T) {
 	for _, d := range suspensions {
--- a/mirror/table.go
+++ b/mirror/table.go
@@ -1,7 +1,9 @@
-// Package mirror keeps copies of prefixes of the platform's key-value store in each entry
-// of `springgate gateway`. A copy follows the store directly or, where the store cannot
-// be reached, the copy of a peer. Revisions are those of the store, so a process may
-// change its source at any time without going back to an older state.
+// Package mirror keeps copies of the platform's key-value store in each entry (gateway process)
+// of `springgate gateway`; a copy holds the keys with one prefix. A copy follows its source: the
+// store or the copy of a peer, which is another entry. Revisions are those of the store, so a
+// process may change its source at any time without going back to an older state. A source
+// confirms a copy when it shows that the store had, at some time, nothing beyond the copy; the
+// age of the copy is the time since then.
 package mirror
 
 import (
@@ -29,7 +31,7 @@
 type Item struct {
 	Key      string
 	Value    []byte
-	Revision int64 // revision of the last change
+	Revision int64 // store revision of the key's last change
 }
 
 // Event is a change of one key.
@@ -43,7 +45,7 @@
 type Batch struct {
 	Events        []Event
 	Revision      int64         // the next watch continues after this revision
-	MaxRevision   int64         // of a full copy: changes between Revision and this may be included in part
+	MaxRevision   int64         // of a full copy: some changes between Revision and MaxRevision may be included
 	Age           time.Duration // upper bound of the time since the source was confirmed to agree with the store
 	AgeMeasuredAt time.Time     // when Age was measured; set by Table only
 	// FromStore says that this process read the batch from the store, not from a peer.
@@ -66,8 +68,8 @@
 // Bounds of the history of changes that a table keeps for peers that follow it. A
 // follower that is further behind reads the full copy, about 1 MB at 3,000 targets. When
 // many targets register at once, a few hundred changes come between two watches, and all
-// followers would read the full copy if the history were shorter. A change has a few
-// hundred bytes, a configuration tens of thousands.
+// followers would read the full copy if the history were shorter than that. A change of a
+// target has a few hundred bytes, one of a configuration tens of thousands.
 const (
 	maxHistoryLength = 4096
 	maxHistoryBytes  = 1 << 20
@@ -78,8 +80,8 @@
 // A copy reflects all changes up to its revision. It may also reflect some later changes,
 // because a full copy is read in pages, each later than the one before. Therefore the
 // state of a key does not show which changes the copy has received; only the revision
-// does. Changes up to the revision are never applied again, and each later one goes into
-// the history for followers, even if the copy already reflects it.
+// does. Changes up to the revision are never applied again, and each later change goes into
+// the history for followers, even if the copy already reflects that change.
 type Table struct {
 	prefix string
 
@@ -89,10 +91,10 @@
 	historySize   int     // in bytes
 	historyStart  int64   // the history is complete after this revision
 	revision      int64
-	maxRevision   int64     // changes between revision and this may be reflected in part
+	maxRevision   int64     // the copy may reflect some changes between revision and maxRevision
 	firstRevision int64     // revision of the first read
 	confirmedAt   time.Time // when the copy was last confirmed to agree with the store
-	storeReadAt   time.Time // likewise, by this process's own reads of the store only
+	storeReadAt   time.Time // like confirmedAt, but by this process's own reads of the store only
 	changed       chan struct{}
 	digest        uint64 // of all items
 	lateEvents    int64  // events ignored because their revision was not above the copy's
@@ -110,8 +112,8 @@
 	return t.revision
 }
 
-// FirstRevision returns the revision of the first read. The age of changes up to it is
-// unknown.
+// FirstRevision returns the revision of the first read. It is not known how long ago changes up
+// to that revision were made.
 func (t *Table) FirstRevision() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,9 +131,9 @@
 	return out, t.changed
 }
 
-// Apply applies changes that were requested from the copy's revision at that time. Events
-// that the copy has reached since then are skipped: responses may arrive out of order,
-// and a late one would add a target again after its removal was applied.
+// Apply applies the changes after the revision that the copy had when they were requested.
+// Events up to the revision that the copy has reached since then are skipped: responses may
+// arrive out of order, and a late one would add a target again after its removal was applied.
 func (t *Table) Apply(now time.Time, b Batch) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -148,7 +150,7 @@
 }
 
 // Replace replaces the copy by a batch with all items of the prefix. Keys that are missing
-// from the batch are removed, unless they changed after its revision. A batch older than
+// from the batch are removed, unless they changed after the batch's revision. A batch older than
 // the copy is ignored.
 func (t *Table) Replace(now time.Time, b Batch) {
 	t.mu.Lock()
@@ -200,8 +202,8 @@
 }
 
 // record adds a change to the history for followers, even if the copy already reflects
-// it. When such changes were left out, half of 14 entries kept a permanently outdated
-// state of three targets after one full read.
+// it. When changes that the copy already reflected were left out, half of 14 entries kept a
+// permanently outdated state of three targets after one full read.
 func (t *Table) record(e Event) {
 	t.history = append(t.history, e)
 	t.historySize += e.size()
@@ -265,8 +267,8 @@
 	return t.storeReadAt, t.revision
 }
 
-// Confirm records that another process found no changes in the store beyond the copy at
-// the given time.
+// Confirm records that another process found, at the given time, no changes in the store beyond
+// the copy.
 func (t *Table) Confirm(at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/mirror/table_test.go
+++ b/mirror/table_test.go
@@ -185,8 +185,8 @@
 	})
 }
 
-// The store rejects this process: it follows a peer, and the store again after that has
-// recovered.
+// While the store rejects this process, the process follows a peer; it follows the store again
+// once the store has recovered.
 func TestFollowerFallsBackToPeer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -229,7 +229,7 @@
 	})
 }
 
-// An outage of all sources is reported, and its end.
+// An outage of all sources is reported, and so is its end.
 func TestFollowerReportsOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
