--- a/spread/bench_test.go
+++ b/spread/bench_test.go
@@ -14,8 +14,9 @@
 	benchLimit   = time.Hour
 )
 
-// BenchmarkSpread transfers one version to all hosts over simulated links. In one window
-// the origin's link can transfer four copies and each host's link two.
+// BenchmarkSpread transfers one version to all hosts over simulated links. In one window (see
+// the constant) the origin's link can transfer four copies of the version and each host's link
+// two.
 func BenchmarkSpread(b *testing.B) {
 	for _, goal := range []intent.Spread{intent.SpreadTime, intent.SpreadOriginBytes} {
 		for _, hosts := range []int{12, 100, 470} {
--- a/spread/config.go
+++ b/spread/config.go
@@ -12,14 +12,14 @@
 	// Goal selects whether transfer time or traffic at the origin is minimised.
 	// Default intent.SpreadTime.
 	Goal intent.Spread
-	// Pipeline is the number of fetches in flight, not counting long polls. A longer
-	// pipeline keeps the link busy while peers are busy, but uses more memory.
-	// Default 12.
+	// Pipeline is the number of fetches that a host keeps in flight, not counting long
+	// polls (see LongPollTimeout). A longer pipeline keeps the link busy while peers are
+	// busy, but uses more memory. Default 12.
 	Pipeline int
-	// PerPeer is the number of fetches in flight from one peer. Default 2.
+	// PerPeer is the maximum number of fetches in flight from one peer. Default 2.
 	PerPeer int
-	// PerSource is the number of fetches in flight from the origin or the store. It is
-	// doubled for intent.SpreadTime. Default 1.
+	// PerSource is the maximum number of fetches in flight from each of the origin and the
+	// store. It is doubled for intent.SpreadTime. Default 1.
 	PerSource int
 	// LocalNeighbours and RemoteNeighbours are the numbers of neighbours in this and in
 	// other failure domains that report the chunks they hold to this host. With more
@@ -27,12 +27,12 @@
 	// Defaults 14 and 8.
 	LocalNeighbours, RemoteNeighbours int
 	// LongPollTimeout is how long a reader may delay its reply to a request for a chunk
-	// that it is about to receive. Default 10 s.
+	// that it is about to receive; such a request is a long poll. Default 10 s.
 	LongPollTimeout time.Duration
-	// MaxLongPolls bounds the number of such requests in flight. Default 32.
+	// MaxLongPolls bounds the number of long polls in flight. Default 32.
 	MaxLongPolls int
-	// PendingRetry is the mean delay before a chunk that was pending at its reader is
-	// requested again. Default 500 ms.
+	// PendingRetry is the mean delay before a chunk is requested again that its reader did
+	// not have yet. Default 500 ms.
 	PendingRetry time.Duration
 	// ReaderInterval is the minimum time between two direct requests to readers that are
 	// made because neighbours do not fill the pipeline. Default 200 ms.
@@ -45,11 +45,12 @@
 	// the duration of fetches. Default 10 s.
 	FetchTimeout time.Duration
 	// BanDuration is the first ban of a peer that sent a corrupt chunk or failed
-	// repeatedly, for example because it lacks chunks that it reported. It doubles with
-	// each further ban, up to a factor of 32. Default 30 s.
+	// repeatedly, for example because it lacks chunks that it reported. The ban doubles
+	// with each further one, up to a factor of 32. Default 30 s.
 	BanDuration time.Duration
-	// SourceBackoff is the mean back-off after the first failure of a source. It doubles
-	// with each further failure, up to a factor of 32. Default 500 ms.
+	// SourceBackoff is the mean back-off after the first failure of a source (the store or
+	// the origin). The back-off doubles with each further failure, up to a factor of 32.
+	// Default 500 ms.
 	SourceBackoff time.Duration
 }
 
--- a/spread/failure_test.go
+++ b/spread/failure_test.go
@@ -11,13 +11,14 @@
 const (
 	failHosts  = 15
 	failChunks = 128
-	// maxTimeCopies is the number of copies that the origin's link transfers in one window.
+	// maxTimeCopies is the number of copies of the version that the origin's link transfers in
+	// one window.
 	maxTimeCopies = 4
 )
 
 // TestSpreadThroughFailures causes one or two failures on the simulated links. Every live
 // host must complete the version, and the chunks read from the origin must not exceed the
-// given number of copies.
+// given number of copies of the version.
 func TestSpreadThroughFailures(t *testing.T) {
 	at := func(l *links, d time.Duration, f func()) { l.after(d, f) }
 	cases := map[string]struct {
@@ -50,7 +51,7 @@
 			l.partitioned = func(a, b *linkHost) bool {
 				return l.now > 10*time.Second && l.now < 70*time.Second && (a.node.Domain == "d1") != (b.node.Domain == "d1")
 			}
-		}, 2.2}, // meanwhile both sides read from the origin independently
+		}, 2.2}, // during the partition both sides read from the origin independently
 		"a host is paused for a minute": {func(l *links) {
 			at(l, 20*time.Second, func() { l.hosts[5].pausedUntil = l.now + time.Minute })
 		}, 1.3},
--- a/spread/links_test.go
+++ b/spread/links_test.go
@@ -28,8 +28,8 @@
 	lastDone                        time.Duration
 	listPending                     bool // a new host list is scheduled
 
-	originDown  func() bool               // reads from the origin fail
-	partitioned func(a, b *linkHost) bool // the two cannot reach each other
+	originDown  func() bool               // whether reads from the origin fail
+	partitioned func(a, b *linkHost) bool // whether the two hosts cannot reach each other
 }
 
 type linkHost struct {
@@ -39,7 +39,7 @@
 	upFreeAt, downFreeAt time.Duration // when each direction of the link is free
 	dead                 bool
 	pausedUntil          time.Duration
-	stalled              bool // its data never arrives, but its connections stay open
+	stalled              bool // the host's data never arrives, but its connections stay open
 	misreports           bool // reports that it holds all chunks
 	done                 time.Duration
 	unreported           []uint32 // fetched chunks that were not reported yet
@@ -82,9 +82,9 @@
 	connectTimeout = 2 * time.Second  // of a call to a dead host
 	hostListDelay  = 10 * time.Second // until the host list drops a dead host
 	tickInterval   = 250 * time.Millisecond
-	haveHeader     = 60              // bytes of a message with its frame
+	haveHeader     = 60              // bytes of a report of held chunks and its frame, without the list of chunks
 	requestBytes   = 90              // bytes of a request for a chunk and the header of its reply
-	window         = 5 * time.Minute // in which a host's link transfers two copies and the origin's link four
+	window         = 5 * time.Minute // time in which a host's link transfers two copies of the version and the origin's link four
 )
 
 func (l *links) after(d time.Duration, do func()) {
@@ -193,7 +193,8 @@
 	l.arrive(h, f, src.upFreeAt)
 }
 
-// delayReply delays the reply to a request until the reader has the chunk.
+// delayReply delays the reply of src, the chunk's reader, to a request of h until src has the
+// chunk.
 func (l *links) delayReply(h, src *linkHost, f Fetch) {
 	open := true
 	src.longPolls = append(src.longPolls, longPoll{f.Chunk, func() {
@@ -210,7 +211,7 @@
 	})
 }
 
-// release answers the long polls for a chunk.
+// release answers the long polls at src for a chunk.
 func (l *links) release(src *linkHost, chunk int) {
 	kept := src.longPolls[:0]
 	for _, w := range src.longPolls {
@@ -236,8 +237,8 @@
 	l.startFetches(h)
 }
 
-// arrive transfers a chunk that has left its source by sent over the host's link.
-// Transfer is cut-through: a free link adds only the latency.
+// arrive transfers a chunk over the link of the receiving host h; by the time sent, the chunk has
+// left its source completely. Transfer is cut-through: a free link adds only the latency.
 func (l *links) arrive(h *linkHost, f Fetch, sent time.Duration) {
 	l.after(sent-l.now, func() {
 		h.downFreeAt = max(l.now+linkLatency, h.downFreeAt+l.chunkTime)
@@ -357,7 +358,7 @@
 }
 
 // run lets all hosts fetch until every live one is complete, and returns the time when the
-// last one was, or false after limit.
+// last host was complete, or false if that takes longer than limit.
 func (l *links) run(limit time.Duration) (time.Duration, bool) {
 	for _, h := range l.hosts {
 		l.after(0, func() { l.tick(h) })
--- a/spread/manifest.go
+++ b/spread/manifest.go
@@ -1,5 +1,11 @@
-// Package spread decides which chunk of a version a host fetches next, and from which
-// source. It does no I/O; the time and the random source are passed in.
+// Package spread decides which chunk of a version of model weights a host fetches next, and
+// from which source: another host (a peer), the store or the origin. The origin and the store are
+// servers of the platform that have the weights; the store, where there is one, is tried first.
+// Each chunk has a reader, the host that fetches it from the store or the origin on behalf of the
+// others, and in each failure domain a host that imports it, that is, requests it from the reader
+// on behalf of the domain; for both there are substitutes. Each host also has neighbours, peers
+// that report to it which chunks they hold. The package does no I/O; the time and the random
+// source are passed in.
 package spread
 
 import (
@@ -12,7 +18,7 @@
 
 // Limits of a manifest.
 const (
-	// MaxChunk is the largest chunk in bytes; it must fit in one frame.
+	// MaxChunk is the largest chunk in bytes; it must fit in one frame (see peer.MaxFrame).
 	MaxChunk = 8 << 20
 	// MaxChunks bounds the number of chunks of a version and thus the size of bitmaps.
 	MaxChunks = 1 << 16
--- a/spread/peer.go
+++ b/spread/peer.go
@@ -7,19 +7,20 @@
 	"github.com/springgate/springgate/membership"
 )
 
-// rareSample is the number of wanted chunks that are compared to find a rare one.
+// rareSample is the maximum number of wanted chunks (not held and not being fetched) that are
+// compared to find a rare one, that is, one that few neighbours hold.
 const rareSample = 48
 
 // Constants of bans of peers.
 const (
 	failuresBeforeBan = 3 // consecutive failures
-	maxBanShift       = 5 // bounds the doubling of a ban
+	maxBanShift       = 5 // maximum number of times that the duration of a ban is doubled
 )
 
 type peer struct {
 	Node
 	crossDomain bool           // in another failure domain
-	held        *bitset.BitSet // chunks that it reported
+	held        *bitset.BitSet // chunks that the peer reported to hold
 	inflight    int
 	failures    int // consecutive
 	bans        int // since the last success
@@ -169,8 +170,8 @@
 	}
 }
 
-// fromPeer requests a rare chunk from a neighbour. Neighbours in this failure domain are
-// preferred; those in another are used only for chunks that this host has to import.
+// fromPeer requests a rare chunk from a neighbour. Neighbours in this host's failure domain are
+// preferred; those in another domain are used only for chunks that this host has to import.
 func (p *Planner) fromPeer(now time.Time) (Fetch, bool) {
 	if len(p.neighbours) == 0 {
 		return Fetch{}, false
@@ -199,8 +200,8 @@
 	return Fetch{}, false
 }
 
-// rarest returns the wanted chunk of q with the fewest copies among the neighbours in a
-// random sample, or -1.
+// rarest returns, of a random sample of the wanted chunks that q holds, the one that the fewest
+// neighbours hold, or -1 if there is none.
 func (p *Planner) rarest(now time.Time, q *peer) int {
 	best := -1
 	sampled := 0
--- a/spread/planner.go
+++ b/spread/planner.go
@@ -18,9 +18,9 @@
 	rng   *rand.Rand
 
 	have        *bitset.BitSet
-	busy        *bitset.BitSet // in flight
+	busy        *bitset.BitSet // chunks with a fetch in flight
 	inflight    []Fetch
-	longPolls   int // those of inflight with a LongPollTimeout
+	longPolls   int // number of fetches in flight that are long polls
 	timeouts    [FromOrigin + 1]adaptiveTimeout
 	lastChunkAt time.Time // when the last chunk was fetched
 	copies      []uint16  // number of neighbours that hold each chunk
@@ -31,8 +31,8 @@
 	readers           *Readers
 	assigned          []int                // chunks that this host is assigned to import
 	unavailableUntil  map[string]time.Time // readers that are skipped until then
-	retryAt           []time.Time          // for each chunk: no request to a reader before
-	nextReaderRequest time.Time            // no request by fromReader before
+	retryAt           []time.Time          // by chunk: no request to a reader before this time
+	nextReaderRequest time.Time            // no request by fromReader before this time
 }
 
 // selfNode is this host and its index among the readers' nodes.
@@ -41,8 +41,8 @@
 	index uint16
 }
 
-// NewPlanner returns a planner for the host self. readers are computed from the hosts that
-// want the version and are assumed to be live, including self. hasStore says whether a
+// NewPlanner returns a planner for the host self. readers must be computed from all hosts,
+// including self, that want the version and are assumed to be live. hasStore says whether a
 // store is used before the origin.
 func NewPlanner(cfg Config, self Node, readers *Readers, hasStore bool, rng *rand.Rand) *Planner {
 	n := readers.count
@@ -132,8 +132,8 @@
 	p.sources[f.Kind].succeeded()
 }
 
-// Failed reports that a fetch failed. wait is the time for which a source that limits the
-// rate asked to wait.
+// Failed reports that a fetch failed. wait is used only with FaultRateLimited: it is how long the
+// source asked to wait.
 func (p *Planner) Failed(now time.Time, f Fetch, fault Fault, wait time.Duration) {
 	if !p.finish(f) {
 		return
--- a/spread/planner_test.go
+++ b/spread/planner_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A reader that does not have the chunk yet is waited for; an unreachable one is replaced.
+// A host waits for a reader that does not have the chunk yet, and replaces an unreachable one.
 func TestReplacesOnlyUnavailableReaders(t *testing.T) {
 	all := nodes(3, 1)
 	p := planner(Config{Goal: intent.SpreadOriginBytes, PerSource: 100}, 0, all, 30, false)
--- a/spread/readers.go
+++ b/spread/readers.go
@@ -8,7 +8,9 @@
 	"github.com/springgate/springgate/membership"
 )
 
-// Lengths of the ranked lists of hosts for each chunk.
+// Lengths of the chains of each chunk. A chain is a list of hosts by rank; the first available
+// one does the work. The source chain lists the chunk's readers, and the import chain of each
+// failure domain the hosts that import the chunk into it.
 const (
 	sourceChainLength = 4
 	importChainLength = 3
@@ -96,7 +98,7 @@
 	return r.importChains[at : at+importChainLength]
 }
 
-// combine hashes a host's score with a chunk's number, so that each chunk ranks the hosts
+// combine hashes a host's score (its hash with the version's key) with a chunk's number, so that each chunk ranks the hosts
 // in a different order.
 func combine(host, chunk uint64) uint64 {
 	var b [16]byte
--- a/spread/routes.go
+++ b/spread/routes.go
@@ -54,8 +54,8 @@
 
 // routeFor follows the chains: the first available host of the domain's import chain
 // requests the chunk from the first available host of the source chain, which reads it
-// from a source. A host takes a role itself if it is the first available one, or if no
-// host is available.
+// from a source. This host takes either role itself if it is the first available host of that
+// chain, or if no host of the chain is available.
 func (p *Planner) routeFor(now time.Time, chunk int) route {
 	if i := p.firstAvailable(now, p.readers.importChain(chunk, p.self.Domain)); i != none && i != p.self.index {
 		return route{reader: i}
@@ -67,8 +67,8 @@
 	return route{reader: i, crossDomain: p.readers.nodes[i].Domain != p.self.Domain}
 }
 
-// Pending reports whether this host will receive a chunk that it lacks, so that a host
-// that requests the chunk should wait for it instead of obtaining it elsewhere.
+// Pending reports whether this host will receive a chunk that it lacks, so that another host
+// that requests the chunk here should wait for it instead of obtaining it elsewhere.
 func (p *Planner) Pending(now time.Time, chunk int) bool {
 	if p.busy.Test(uint(chunk)) {
 		return true
@@ -97,8 +97,8 @@
 	return found, ok
 }
 
-// fromReader requests a chunk directly from its reader when neighbours do not fill the
-// pipeline. Such requests are at least Config.ReaderInterval apart.
+// fromReader requests a chunk directly from its reader when fewer fetches than half of
+// Config.Pipeline are in flight. Such requests are at least Config.ReaderInterval apart.
 func (p *Planner) fromReader(now time.Time) (Fetch, bool) {
 	if now.Before(p.nextReaderRequest) || len(p.inflight) >= p.cfg.Pipeline/2 {
 		return Fetch{}, false
@@ -118,7 +118,7 @@
 	return Fetch{}, false
 }
 
-// readerSample is the number of wanted chunks that are tried for a request to a reader.
+// readerSample is the maximum number of wanted chunks that are tried for a request to a reader.
 const readerSample = 16
 
 // tryRoute returns the fetch for the route of a chunk, if it can start now. longPoll is how
@@ -136,7 +136,8 @@
 }
 
 // readerFailed records a failed request to a reader. The chunk is requested again after a
-// delay; a reader that cannot obtain it is skipped for a time.
+// delay. Unless the reader is only waiting for the chunk, it is skipped for
+// Config.UnavailableFor.
 func (p *Planner) readerFailed(now time.Time, f Fetch, fault Fault) {
 	jitter := time.Duration(p.rng.Int64N(int64(p.cfg.PendingRetry)))
 	p.retryAt[f.Chunk] = now.Add(p.cfg.PendingRetry/2 + jitter)
--- a/spread/source.go
+++ b/spread/source.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// maxBackoffShift bounds the doubling of a source's back-off.
+// maxBackoffShift is the maximum number of times that a source's back-off is doubled.
 const maxBackoffShift = 5
 
-// source is this host's state of the store or the origin.
+// source is what this host knows of the state of the store or the origin.
 type source struct {
-	hasVersion   bool // the version may be read from it
+	hasVersion   bool // the source is in use and has not answered that it lacks the version
 	inflight     int
 	failures     int
 	blockedUntil time.Time
--- a/spread/timeout.go
+++ b/spread/timeout.go
@@ -5,13 +5,13 @@
 // Constants of the timeout of a fetch.
 const (
 	averageWeight       = 0.1 // weight of a new sample in the average
-	timeoutFactor       = 4   // times the average duration
-	maxTimeoutFactor    = 16  // times the minimum timeout
-	sourceTimeoutFactor = 6   // times FetchTimeout: many hosts queue at a source
+	timeoutFactor       = 4   // factor of the average duration
+	maxTimeoutFactor    = 16  // factor of the minimum timeout; bounds the timeout
+	sourceTimeoutFactor = 6   // factor of FetchTimeout, for the minimum timeout at a source, where many hosts queue
 )
 
 // adaptiveTimeout is the timeout of fetches from one kind of source. It follows the
-// duration of fetches: on a slow or shared link a chunk may queue behind others for a long
+// duration of successful fetches: on a slow or shared link a chunk may queue behind others for a long
 // time without a fault.
 type adaptiveTimeout struct {
 	minimum time.Duration
