--- a/peer/conn.go
+++ b/peer/conn.go
@@ -20,7 +20,8 @@
 	// window is how many frames of one stream may be sent and not yet read. It
 	// bounds the receive buffer of a stream to window frames.
 	window = 32
-	// creditEvery is how many frames the receiver reads before it grants new credit.
+	// creditEvery is how many frames the receiver reads before it grants the sender credit
+	// for as many further frames.
 	creditEvery      = window / 2
 	writeQueue       = 256
 	bufferSize       = 16 << 10
@@ -39,7 +40,7 @@
 // Handler serves a stream that the peer opened. ctx is cancelled when the
 // stream ends; its cause is ErrReset if the peer closed the stream, and
 // ErrConnLost if the connection broke. The stream is reset if the handler
-// returns before its last message was sent.
+// returns before it has sent its last message with Stream.SendLast.
 type Handler func(ctx context.Context, s *Stream, first Message)
 
 // Conn is one connection that multiplexes many streams.
--- a/peer/crashes.go
+++ b/peer/crashes.go
@@ -17,13 +17,13 @@
 	Content   []byte // fingerprint
 	Target    string // instance ID
 	StartMs   int64  // start of that process, Unix milliseconds; 0 if unknown
-	AgeMs     int64  // since the connection broke
+	AgeMs     int64  // time since the connection to the target broke
 	Reporter  string // host of the entry that observed the crash
 	Retracted bool   // the same process responded again: it had not crashed
 }
 
 // SurvivalReport reports that a target completed a request content without a crash.
 type SurvivalReport struct {
-	Content []byte
-	AgeMs   int64
+	Content []byte // fingerprint
+	AgeMs   int64  // time since the request completed
 }
--- a/peer/frame.go
+++ b/peer/frame.go
@@ -1,6 +1,9 @@
-// Package peer implements the protocol between the processes of the system:
-// frames over TCP with msgpack payloads, a handshake, and multiplexed streams
-// with per-stream flow control.
+// Package peer implements the protocol between the processes of the system, the entries, which
+// accept callers' requests, and the agents, which run beside the targets: frames over TCP with
+// msgpack payloads, a handshake, and multiplexed streams with per-stream flow control.
+//
+// The messages in control.go and request.go, except Hello and Blob, are those of `springgate
+// serve`; the messages in the other files are those of `springgate gateway`.
 package peer
 
 import (
--- a/peer/meter.go
+++ b/peer/meter.go
@@ -28,13 +28,14 @@
 
 // Meter counts the bytes that a process exchanges with its peers: by connection class,
 // and for sent bytes also by message kind and locality. The links between failure domains
-// are shared by all traffic, so traffic there that grows with the fleet must be visible.
+// are shared by all traffic, so traffic there that grows with the size of the fleet must be
+// visible.
 type Meter struct {
 	in, out [Bulk + 1]atomic.Int64
 	byKind  [OtherDomain + 1][kindCount]sentTotals
 }
 
-// sentTotals counts the bytes and messages sent of one kind.
+// sentTotals counts the bytes and messages of one kind sent to peers of one locality.
 type sentTotals struct{ bytes, messages atomic.Int64 }
 
 // Bytes returns the number of bytes received and sent on connections of a class.
--- a/peer/mirror.go
+++ b/peer/mirror.go
@@ -1,9 +1,10 @@
 package peer
 
-// MirrorRead asks for a peer's copy of the store. The reply is a MirrorBatch.
+// MirrorRead asks for a peer's copy of the store, the platform's key-value store (see package
+// mirror). The reply is a MirrorBatch.
 type MirrorRead struct {
 	All    bool  // read all keys; otherwise the changes after revision After
-	After  int64 // revision of the store
+	After  int64 // store revision; used unless All is set
 	WaitMs int64 // longest wait for changes
 }
 
--- a/peer/notice.go
+++ b/peer/notice.go
@@ -10,14 +10,14 @@
 // announcements.
 type TargetNotice struct {
 	Instance      string
-	StartMs       int64
+	StartMs       int64   // start of the target's process, Unix milliseconds; 0 if unknown
 	LimitDeclared bool    // the target has announced a limit
 	PerS          float64 // the limit, in requests per second
-	LimitRevision uint64  // the notice with the highest revision is the newest
+	LimitRevision uint64  // of several notices, the limit with the highest LimitRevision is the newest
 	Leaving       bool
 }
 
-// EncodeNotice converts a report to its wire form.
+// EncodeNotice converts a report about a target to its wire form.
 func EncodeNotice(t notice.Report) TargetNotice {
 	return TargetNotice{Instance: t.Target, StartMs: t.StartMs, LimitDeclared: t.Limit.Declared, PerS: t.Limit.PerS, LimitRevision: t.LimitRevision, Leaving: t.Leaving}
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -43,7 +43,7 @@
 }
 
 func TestStreamsAreSeparateAndOrdered(t *testing.T) {
-	const n = 300 // more than the window
+	const n = 300 // frames, more than window
 	c, _ := pair(t, func(ctx context.Context, s *Stream, m Message) {
 		first := m.(*Data).Offset
 		for i := range int64(n) {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// A sender must block after window frames if the receiver does not read.
+// A sender must block after it has sent window frames if the receiver does not read.
 func TestBackPressure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		sent := 0
--- a/peer/pool.go
+++ b/peer/pool.go
@@ -26,7 +26,7 @@
 // dialTimeout bounds one connection attempt.
 const dialTimeout = 2 * time.Second
 
-// ErrDial is the cause of every failed connection attempt: nothing was sent.
+// ErrDial is the cause of every failed connection attempt: no request was sent.
 var ErrDial = errors.New("peer: dial failed")
 
 // errSlotRemoved means that the pool removed the slot while a caller waited for it.
@@ -37,7 +37,7 @@
 	class Class
 }
 
-// slot holds the connection for one key of a pool.
+// slot holds the connection for one address and class.
 type slot struct {
 	// removed is set when the pool removes the slot; no caller may dial on it afterwards.
 	removed atomic.Bool
@@ -177,8 +177,8 @@
 	}
 }
 
-// CloseIdle closes connections on which no stream is open and none was opened
-// for longer than limit, so that unused connections do not accumulate.
+// CloseIdle closes connections on which no stream is open and the last one was opened longer ago
+// than limit, so that unused connections do not accumulate.
 func (p *Pool) CloseIdle(now time.Time, limit time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/peer/presence.go
+++ b/peer/presence.go
@@ -1,7 +1,7 @@
 package peer
 
-// Presence is the state that a process reports about itself when it opens a link, and
-// periodically after that.
+// Presence is the state that a process reports about itself when it opens a link (a stream to an
+// entry; see package mesh), and periodically after that.
 type Presence struct {
 	Host        string
 	Role        string
@@ -9,20 +9,20 @@
 	Addr        string // address of the peer listener; empty if the process has none
 	Service     string // service of the engine beside an agent
 	EngineAddr  string // address of the engine beside an agent
-	PiecesAddr  string // address on which an agent serves staged pieces
+	PiecesAddr  string // address on which an agent serves the pieces of weights that it has staged for its engine
 	Incarnation uint64
-	Revision    int64 // store revision of the process's copy
+	Revision    int64 // revision of the process's copy of the store
 	Leaving     bool
 	// LinkMbps is the rate of the host's link; 0 if unknown.
 	LinkMbps float64
 	Store    StoreStatus
 }
 
-// StoreStatus is the state of an entry's own calls to the store.
+// StoreStatus is the state of an entry's own calls to the store, the platform's key-value store.
 type StoreStatus struct {
-	// Known is true if a call has succeeded. AgeMs is then an upper bound of the time
-	// between the last contact with the store and UptimeMs; at that contact the store had
-	// no changes after the Revision sent in the same message.
+	// Known is true if a call has succeeded. AgeMs is then an upper bound of the time from
+	// the last contact with the store until the message was created; at that contact the
+	// store had no changes after the Revision sent in the same message.
 	Known   bool
 	AgeMs   int64
 	Failing bool // the latest call failed or is overdue
@@ -69,14 +69,14 @@
 type Loads struct {
 	Full     bool  // lists all targets; otherwise only those that changed
 	Leaving  bool  // the entry is leaving
-	Revision int64 // store revision of the entry's copy
+	Revision int64 // revision of the entry's copy of the store
 	Store    StoreStatus
-	Digest   uint64 // digest of the entry's copy at Revision; 0 if not sent
+	Digest   uint64 // digest of the entry's copy of the store at Revision; 0 if not sent
 	Targets  []TargetLoad
 	// CrashDigest is the digest of the entry's crash records; 0 if not sent.
 	CrashDigest uint64
-	// Versions are those that the operators announced recently, with the time since an
-	// entry first observed the announcement. Sent if Full only.
+	// Versions are the model versions that the operators announced recently, with the
+	// time since an entry first observed the announcement. Sent if Full only.
 	Versions []ObservedVersion
 	// Notices are the targets' own announcements. Sent if Full only.
 	Notices []TargetNotice
@@ -98,7 +98,7 @@
 type TargetLoad struct {
 	Instance       string
 	Requests       int // sent and not completely answered
-	PendingPrefill int // prompt tokens of requests without a first event
+	PendingPrefill int // prompt tokens of those requests to which the target has not sent a first event
 	// Silent is true if the target has requests of the entry in flight and sends nothing;
 	// Responsive is true if it sent something recently.
 	Silent, Responsive bool
@@ -109,7 +109,7 @@
 	Addr    string // address on which the engine serves
 	Model   string
 	Version int    // version that the engine serves completely; 0 if none
-	Loading bool   // an order to load a version is in progress: new requests would wait
+	Loading bool   // the engine is carrying out an order to load a version: new requests would wait
 	Seq     uint64 // sequence number of the agent's reports; the highest one of an incarnation is in effect
 	StartMs int64  // start of the engine's process, Unix milliseconds; 0 if unknown
 	Forward bool   // the entry is to forward this report to all other entries
@@ -143,8 +143,8 @@
 	// AgeMs is the time since the version was announced, as known to the entry;
 	// TimeoutMs is the time after the announcement within which all engines must serve it.
 	AgeMs, TimeoutMs int64
-	// AgeEstimated is true if the entry started after the announcement. It then assumes
-	// that TimeoutMs has passed.
+	// AgeEstimated is true if the entry started after the announcement. The entry then
+	// assumes that TimeoutMs has passed.
 	AgeEstimated bool
 	// Turn is the engine's position in the rollout order, counted from 0; Turns is the
 	// number of engines in that order.
@@ -166,15 +166,15 @@
 // Kind implements Message.
 func (*Assignment) Kind() Kind { return kindAssignment }
 
-// Reserve asks the home entry of a target for admission of one more request to the
-// target.
+// Reserve asks the home entry of a target, which counts the requests that all entries send to the
+// target, for admission of one more request to the target.
 type Reserve struct {
 	From         string // address of the requesting entry
 	Instance     string
 	PromptTokens int
 	MaxWaitMs    int64 // longest wait at the target that the requester accepts
-	MaxGapMs     int64 // longest gap between events of other streams there; zero for no limit
-	MaxLoad      int   // most requests there before this one; zero for no limit
+	MaxGapMs     int64 // longest gap between events of the target's other streams that the requester accepts; zero for no limit
+	MaxLoad      int   // maximum number of requests at the target before this one; zero for no limit
 	// Notice is the requester's information about the target; empty if the target has sent
 	// no notice.
 	Notice TargetNotice
--- a/peer/request.go
+++ b/peer/request.go
@@ -14,11 +14,11 @@
 	Class       Class // of the connection; set by the side that dials
 }
 
-// Attempt identifies one dispatch of a submission. Every answer frame carries it,
-// so that late and misrouted frames are detected.
+// Attempt identifies one dispatch of a submission, which is one request of a caller. Every answer
+// frame carries the Attempt, so that late and misrouted frames are detected.
 type Attempt struct {
-	ID  [16]byte
-	Try uint16
+	ID  [16]byte // of the submission
+	Try uint16   // number of this dispatch among those of the submission
 }
 
 // HeaderField is one HTTP header field with one value.
@@ -28,17 +28,17 @@
 type Dispatch struct {
 	Attempt     Attempt
 	Incarnation uint64 // agent incarnation that the entry expects
-	Revision    uint64 // revision in force at the entry
+	Revision    uint64 // fleet file revision in force at the entry
 	Service     string
 	Team        string
 	Method      string
 	URI         string // path and query
 	Header      []HeaderField
-	Key         string // Idempotency-Key, empty if absent
-	Fingerprint [32]byte
-	Repeatable  bool
-	Urgency     uint8 // RFC 9218 urgency, 0 (highest) to 7
-	TimeoutMs   int64 // time left until the caller's deadline
+	Key         string   // Idempotency-Key, empty if absent
+	Fingerprint [32]byte // of the request's content, to detect reuse of Key for another request
+	Repeatable  bool     // the request may run more than once
+	Urgency     uint8    // RFC 9218 urgency, 0 (highest) to 7
+	TimeoutMs   int64    // time left until the caller's deadline
 	HasBody     bool
 	BodyLength  int64 // bytes; -1 if not known
 }
@@ -55,7 +55,7 @@
 	Attempt Attempt
 	Status  int
 	Header  []HeaderField
-	Version string // manifest digest that the engine reported with the answer
+	Version string // digest of the weight manifest that the engine reported with the answer
 	Replay  bool   // true if the answer is replayed from the record of a finished request
 }
 
@@ -80,10 +80,11 @@
 	RetryAfterMs int64
 }
 
-// Fence asks for the state of an attempt and prevents it from starting afterwards.
+// Fence asks an agent for the state of an attempt and prevents the attempt from starting there
+// afterwards.
 type Fence struct {
 	Attempt     Attempt
-	Incarnation uint64
+	Incarnation uint64 // agent incarnation to which the attempt was sent
 }
 
 // AttemptState is the state of an attempt as known to an agent.
@@ -105,8 +106,8 @@
 	Reason outcome.Reason
 }
 
-// Resume asks for the remainder of an answer from Offset. The head is sent again
-// if NeedHead is set.
+// Resume asks for the remainder of an answer from Offset, in bytes. The answer's Head message is
+// sent again if NeedHead is set.
 type Resume struct {
 	Attempt  Attempt
 	Offset   int64
@@ -125,11 +126,11 @@
 	Leaving     bool
 	Service     string
 	Ready       bool   // the target serves the version in force
-	Version     string // manifest digest reported by the engine
+	Version     string // digest of the weight manifest that the engine reported
 	Running     int
 	Queued      int
 	Slots       int
 	LatencyMs   int64 // smoothed service time
-	WeightsHave int
-	WeightsWant int
+	WeightsHave int   // number of weight chunks of the wanted versions that the host has
+	WeightsWant int   // number of weight chunks of those wanted versions whose manifest is known
 }
--- a/peer/weights.go
+++ b/peer/weights.go
@@ -1,7 +1,7 @@
 package peer
 
-// GetManifest asks an entry for the digests of a version's pieces. The reply is a
-// Manifest.
+// GetManifest asks an entry for the digests of a model version's pieces, the parts in which its
+// weights are transferred. The reply is a Manifest.
 type GetManifest struct {
 	Model   string
 	Version int
@@ -14,7 +14,7 @@
 func (*GetManifest) Kind() Kind { return kindGetManifest }
 
 // Manifest lists the SHA-256 digests of a version's pieces. It is empty if the entry
-// could not retrieve them.
+// could not retrieve the digests.
 type Manifest struct{ Digests [][]byte }
 
 // Kind implements Message.
