--- a/mesh/differ.go
+++ b/mesh/differ.go
@@ -67,8 +67,9 @@
 	}
 }
 
-// repairInterval is the minimum time between two full reads of the store because the own
-// copy differs from another one. Up to repairJitter times repairInterval is added at random, so that entries that detect a difference together do not read together.
+// repairInterval is the minimum time between two full reads of the store because the own copy
+// differs from another one. Up to repairJitter times repairInterval is added at random, so that
+// entries that detect a difference together do not read together.
 const (
 	repairInterval = 4 * time.Second
 	repairJitter   = 0.5
--- a/mesh/follow.go
+++ b/mesh/follow.go
@@ -21,12 +21,12 @@
 // follows a reader on behalf of its failure domain.
 const domainRelayKey = "store of a failure domain"
 
-// Entries whose copies are old read the store in three groups, so that the reads of the
-// first group confirm the copies of the others. Entries are ranked by rendezvous hashing of
-// readerKey. Ranks below firstGroupRanks, the readers and as many again, read at once; those
-// below secondGroupRanks read after groupReadDelay,
-// in case the first group is cut off from the store; the rest after twice that time. An
-// answer of the store and the load report about it take some 10 ms.
+// Entries whose copies are old read the store in three groups, so that the reads of the first
+// group confirm the copies of the others. Entries are ranked by rendezvous hashing of readerKey.
+// Ranks below firstGroupRanks, the readers and as many again, read at once; those below
+// secondGroupRanks read after groupReadDelay, in case the first group is cut off from the store;
+// the rest after twice that time. An answer of the store and the load report about it take some
+// 10 ms.
 const (
 	firstGroupRanks  = 2 * readerCount
 	secondGroupRanks = 8 * readerCount
@@ -132,10 +132,10 @@
 	return addr
 }
 
-// chooseRole returns the role of self, the first of candidates. Readers are chosen among
-// the entries that reach the store: a reader that does not reach it would still answer its
-// followers, and so keep them from the changes that other readers receive. Entries with the same view of
-// the candidates make the same choice.
+// chooseRole returns the role of self, the first of candidates. Readers are chosen among the
+// entries that reach the store: a reader that does not reach it would still answer its followers,
+// and so keep them from the changes that other readers receive. Entries with the same view of the
+// candidates make the same choice.
 func chooseRole(self peer.Presence, candidates []readerCandidate) role {
 	all := readerCandidateAddrs(candidates, func(readerCandidate) bool { return true })
 	reaching := readerCandidateAddrs(candidates, func(c readerCandidate) bool { return !c.failing })
--- a/mesh/linkchoice.go
+++ b/mesh/linkchoice.go
@@ -5,8 +5,8 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// Limits on the links of one agent. If agents linked to all entries, the number of links
-// would grow with the product of agents and entries, and all would be opened in the second in which a
+// Limits on the links of one agent. If agents linked to all entries, the number of links would
+// grow with the product of agents and entries, and all would be opened in the second in which a
 // fleet starts.
 const (
 	// nearLinks is how many entries of its own failure domain an agent links to. They serve
@@ -14,8 +14,8 @@
 	// domain.
 	nearLinks = 8
 	// farLinks is how many entries of other failure domains an agent links to, as a
-	// fallback for those of its own domain. One of them may be lost in the same incident
-	// and another one restarting.
+	// fallback for those of its own domain. One of these entries may be lost in the same
+	// incident as the agent's own domain, and another may be restarting.
 	farLinks = 3
 )
 
--- a/mesh/loadreporter.go
+++ b/mesh/loadreporter.go
@@ -6,8 +6,8 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// loadReporter decides which loads of this process (requests in flight at a target) to send: all of them at each
-// heartbeat, and only the changes in between. A full report makes up for reports
+// loadReporter decides which loads of this process (requests in flight at a target) to send: all
+// of them at each heartbeat, and only the changes in between. A full report makes up for reports
 // that were lost. It performs no I/O and reads no clock.
 type loadReporter struct {
 	heartbeat time.Duration
--- a/mesh/members.go
+++ b/mesh/members.go
@@ -1,9 +1,9 @@
 // Package mesh connects the processes of `springgate gateway`, called entries, and the agents,
 // each of which runs beside an engine (a model server). Entries discover each other from a few
-// configured addresses, the seeds, exchange how many requests they have in flight at each
-// target, and receive the state of each engine from the agent beside it. Each entry keeps a copy
-// of the store, the key-value store of the configuration and the targets, which it reads from
-// the store itself or from another entry. There is no leader and no shared state; what a process
+// configured addresses, the seeds, exchange how many requests they have in flight at each target,
+// and receive the state of each engine from the agent beside it. Each entry keeps a copy of the
+// store, the key-value store of the configuration and the targets, which it reads from the store
+// itself or from another entry (a peer). There is no leader and no shared state; what a process
 // has reported is discarded once that process is no longer reachable.
 package mesh
 
@@ -18,8 +18,8 @@
 // Config holds the intervals and timeouts of a Mesh.
 type Config struct {
 	// Interval is the time between two rounds of load reports; one is sent only if the
-	// load changed. At 12 requests/s an engine gets 0.6 requests in 50 ms, and what other
-	// entries send to it between two reports is not seen. Default 15 ms.
+	// load changed. Between two reports an entry does not see what other entries send
+	// to an engine: at 12 requests/s the engine gets 0.6 requests in 50 ms. Default 15 ms.
 	Interval time.Duration
 	// IntervalPerEntry, times the number of live entries, is a lower bound of the
 	// interval, so that an entry does not send more messages in larger fleets. The reports
--- a/mesh/reports.go
+++ b/mesh/reports.go
@@ -49,8 +49,9 @@
 	return !known || rep.newerThan(old)
 }
 
-// remove deletes a stream's report of an engine. It returns the report now in effect, and
-// whether that changed. If no report of the engine is left, it returns the removed one and known is false.
+// remove deletes a stream's report of an engine. It returns the report now in effect, and whether
+// that changed. If no report of the engine is left, it returns the removed one and known is
+// false.
 func (e engineReports) remove(from streamID, engine string) (rep engineReport, known, changed bool) {
 	old, existed := e.newest(engine)
 	delete(e[engine], from)
--- a/mesh/reserve.go
+++ b/mesh/reserve.go
@@ -23,7 +23,7 @@
 	timeout time.Duration
 	off     bool // homes are not called
 
-	granted, denied, unanswered metrics.Counter // results of calls to other homes
+	granted, denied, unanswered metrics.Counter // number of calls to homes other than this entry, by result
 }
 
 // reserveTimeout is four times the longest round trip.
@@ -106,7 +106,7 @@
 	_ = s.SendLast(ctx, &peer.ReserveReply{Granted: p.Granted, Known: p.Known, WaitMs: milliseconds(p.Wait), Notice: peer.EncodeNotice(p.Report)})
 }
 
-// home returns the home entry of a target, which decides which entries may send requests to it.
+// home returns the home entry of a target, which grants or denies the places at it.
 func (m *Mesh) home(target, domain string) string {
 	var near, all []string
 	for _, p := range append([]peer.Presence{m.self}, m.Entries()...) {
--- a/mesh/source.go
+++ b/mesh/source.go
@@ -83,8 +83,8 @@
 }
 
 // answer returns the message for a batch, in reply to a request that arrived at begun. This
-// process counts as waiting until it measured the age of its copy; later delays are not part of WaitedMs,
-// so that the reader adds them to the age.
+// process counts as waiting until it measured the age of its copy; later delays are not part of
+// WaitedMs, so that the reader adds them to the age.
 func answer(begun time.Time, b mirror.Batch) *peer.MirrorBatch {
 	out := &peer.MirrorBatch{Revision: b.Revision, MaxRevision: b.MaxRevision, AgeMs: milliseconds(b.Age), WaitedMs: b.AgeMeasuredAt.Sub(begun).Milliseconds()}
 	for _, e := range b.Events {
--- a/mesh/updates.go
+++ b/mesh/updates.go
@@ -91,8 +91,8 @@
 }
 
 // sendMembers sends the members and, on a stream of an agent, assignments and crash records.
-// The agent must know this entry before its first assignment arrives, because it then
-// requests pieces from the entry.
+// The agent must know this entry before its first assignment arrives, because the
+// agent then requests pieces (parts of model weights) from the entry.
 func (m *Mesh) sendMembers(ctx context.Context, s *peer.Stream, to peer.Presence) {
 	u := newMemberUpdates(to, m.isSeed)
 	changed, ok := m.sendUpdate(ctx, s, u)
