--- a/mirror/follower.go
+++ b/mirror/follower.go
@@ -14,9 +14,9 @@
 
 // Config holds the timing parameters of a Follower.
 type Config struct {
-	// Wait is how long one watch waits for changes. A longer wait needs fewer calls, of
-	// which each at the store is billed, but a watch whose connection was dropped silently
-	// is detected only after Wait. Default 1 s, because a configuration must take effect within 2 s.
+	// Wait is how long one watch waits for changes. A longer wait needs fewer calls, of which
+	// each at the store is billed, but a watch whose connection was dropped silently is detected
+	// only after Wait. Default 1 s, because a configuration must take effect within 2 s.
 	Wait time.Duration
 	// MinWatchInterval is the minimum time between the starts of two watches at a source
 	// whose calls are billed: each change ends a watch, and changes come in bursts.
@@ -30,9 +30,9 @@
 	// seven entries need 2.1 s at 27 Mbit/s. An entry that times out sooner starts
 	// over, and its traffic delays the reads of the others. Default 4 s.
 	RangeTimeout time.Duration
-	// Backoff is the delay after a failure when there is no other source; it doubles
-	// with each further failure, up to MaxBackoff. In an outage of the store all processes retry at this rate,
-	// and the first that succeeds notifies the others. Defaults 50 ms and 2 s.
+	// Backoff is the delay after a failure when there is no other source; it doubles with each
+	// further failure, up to MaxBackoff. In an outage of the store all processes retry at this
+	// rate, and the first that succeeds notifies the others. Defaults 50 ms and 2 s.
 	Backoff, MaxBackoff time.Duration
 	// StaleAfter is the age of the copy at which the store is read independently of
 	// the current source. Watches at the store confirm the copy once per Wait, at the
