--- a/spread/readers.go
+++ b/spread/readers.go
@@ -98,8 +98,8 @@
 	return r.importChains[at : at+importChainLength]
 }
 
-// combine hashes a host's score (its hash with the version's key) with a chunk's number, so that each chunk ranks the hosts
-// in a different order.
+// combine hashes a host's score (its hash with the version's key) with a chunk's number, so that
+// each chunk ranks the hosts in a different order.
 func combine(host, chunk uint64) uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], host)
--- a/spread/timeout.go
+++ b/spread/timeout.go
@@ -10,9 +10,9 @@
 	sourceTimeoutFactor = 6   // factor of FetchTimeout, for the minimum timeout at a source, where many hosts queue
 )
 
-// adaptiveTimeout is the timeout of fetches from one kind of source. It follows the
-// duration of successful fetches: on a slow or shared link a chunk may queue behind others for a long
-// time without a fault.
+// adaptiveTimeout is the timeout of fetches from one kind of source. It follows the duration of
+// successful fetches: on a slow or shared link a chunk may queue behind others for a long time
+// without a fault.
 type adaptiveTimeout struct {
 	minimum time.Duration
 	average time.Duration
