--- a/peer/conn.go
+++ b/peer/conn.go
@@ -37,10 +37,9 @@
 	ErrFlowControl = errors.New("peer: flow control violated")
 )
 
-// Handler serves a stream that the peer opened. ctx is cancelled when the
-// stream ends; its cause is ErrReset if the peer closed the stream, and
-// ErrConnLost if the connection broke. The stream is reset if the handler
-// returns before it has sent its last message with Stream.SendLast.
+// Handler serves a stream that the peer opened. ctx is cancelled when the stream ends; its cause
+// is ErrReset if the peer closed the stream, and ErrConnLost if the connection broke. The stream
+// is reset if the handler returns before it has sent its last message with Stream.SendLast.
 type Handler func(ctx context.Context, s *Stream, first Message)
 
 // Conn is one connection that multiplexes many streams.
