--- a/intent/decode.go
+++ b/intent/decode.go
@@ -96,6 +96,7 @@
 func (o *object) has(field string) bool { return o.fields[field] != nil }
 
 // scalar returns the text of a scalar field that has one of the given YAML tags.
+// want describes the expected value in the error for any other field.
 func (o *object) scalar(field, want string, tags ...string) (string, bool) {
 	n := o.fields[field]
 	if n == nil {
@@ -119,7 +120,7 @@
 	return ""
 }
 
-// nameField reads a name: 1 to 63 letters, digits, '-', '_' or '.'.
+// nameField reads a required name: 1 to 63 letters, digits, '-', '_' or '.'.
 func (o *object) nameField(field string) string {
 	v := o.str(field, true)
 	if v != "" && !validName(v) {
--- a/intent/fleet.go
+++ b/intent/fleet.go
@@ -1,6 +1,10 @@
-// Package intent defines the operators' fleet file: its types, its strict
-// parser, and the rules by which a process accepts published revisions. It
-// does no I/O and starts no goroutines. Validation depends only on the
+// Package intent defines the fleet file, in which operators list the teams,
+// services and weight sources of a fleet: its types, its strict parser, and the
+// rules by which a process accepts published revisions of the file. The
+// platform publishes a revision as a head, which describes it, and the parts
+// that the file is split into. The accepted revision is the one in force.
+//
+// The package does no I/O and starts no goroutines. Validation depends only on the
 // published bytes, so all processes accept or reject the same revisions.
 package intent
 
@@ -15,7 +19,8 @@
 // incremented only when one release could accept a file that another rejects.
 const Format = 1
 
-// Kind is the kind of targets that a service runs on.
+// Kind is the kind of targets, the HTTP servers that requests are forwarded to, of a
+// service.
 type Kind string
 
 // Kinds of service.
@@ -39,11 +44,11 @@
 
 // Goals of a weight transfer.
 const (
-	// SpreadTime minimizes the transfer time: it reads from the origin until the
-	// host's link is saturated.
+	// SpreadTime minimizes the transfer time: hosts read from the origin
+	// until their links are saturated.
 	SpreadTime Spread = "time"
 	// SpreadOriginBytes minimizes the bytes read from the origin: each chunk is
-	// read from it about once.
+	// read from the origin about once by the whole fleet.
 	SpreadOriginBytes Spread = "origin-bytes"
 )
 
@@ -52,8 +57,8 @@
 
 // Kinds of weight source.
 const (
-	Store  SourceKind = "store"  // rate-limited, tried first
-	Origin SourceKind = "origin" // has every version
+	Store  SourceKind = "store"  // rate-limited, read before the origin
+	Origin SourceKind = "origin" // has every version of the weights
 )
 
 // Fleet is a validated fleet file.
@@ -105,8 +110,8 @@
 	// AffinityBytes is the length of the request body prefix that identifies a
 	// conversation, whose requests are routed to one engine; 0 disables affinity.
 	AffinityBytes int
-	// Fenced is true if the engines reject orders that carry an outdated fencing
-	// token.
+	// Fenced is true if the engines reject load orders, the commands to load
+	// weights, that carry an outdated fencing token.
 	Fenced bool
 	Limits Limits
 }
@@ -117,7 +122,8 @@
 	Domain string
 }
 
-// Version identifies a version of a model or adapter by its manifest.
+// Version identifies a version of a model or adapter by the digest of its manifest,
+// the list of its weight chunks.
 type Version struct {
 	Name     string
 	Manifest digest.Digest
@@ -140,7 +146,7 @@
 // Team returns the named team, or nil.
 func (f *Fleet) Team(name string) *Team { return f.byTeam[name] }
 
-// ServiceOf returns the service of the named host, or nil.
+// ServiceOf returns the service that lists the named host, or nil.
 func (f *Fleet) ServiceOf(host string) *Service { return f.byHost[host] }
 
 // Versions returns the versions that an engine of the service must have loaded,
--- a/intent/oracle_test.go
+++ b/intent/oracle_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// published is a published head, its parts, and whether the oracle expects it to
-// be accepted.
+// published is a published head, its parts, and whether the oracle, the simple
+// model that the trackers are compared with, expects the head to be accepted.
 type published struct {
 	head  Head
 	parts [][]byte
--- a/intent/pack.go
+++ b/intent/pack.go
@@ -9,7 +9,7 @@
 	"github.com/springgate/springgate/digest"
 )
 
-// Part sizes. Parts end at line breaks chosen by the content of the line
+// Part sizes. The file is split at line breaks chosen by a hash of the line
 // (content-defined chunking), so that a small change to a large file changes
 // few parts.
 const (
@@ -20,7 +20,7 @@
 	// lines of 40 bytes.
 	minPart = 8 << 10
 	cutMask = 1<<8 - 1
-	// maxParts limits the size of a head.
+	// maxParts is the maximum number of parts in a head.
 	maxParts = 4096
 )
 
@@ -39,8 +39,9 @@
 	Parts    []PartRef     `json:"parts"`
 }
 
-// Ref identifies a revision. Revisions are ordered by number and, if two heads
-// have the same number, by digest, so that all processes agree on the highest.
+// Ref identifies a revision by its number and the digest of its file. Revisions
+// are ordered by number and, if two heads have the same number, by digest, so
+// that all processes agree on the highest.
 type Ref struct {
 	Revision uint64
 	Digest   digest.Digest
--- a/intent/replay_test.go
+++ b/intent/replay_test.go
@@ -14,9 +14,10 @@
 // reads, with the revisions that are expected to be in force or rejected.
 type traceEvent struct {
 	// Do is the event:
-	//   publish   the platform publishes revision rev (invalid, no-parts, corrupt)
+	//   publish   the platform publishes revision rev; its file may be invalid,
+	//             its parts may not be served (no-parts) or be corrupt
 	//   republish the platform publishes another file with number rev
-	//   read      process p reads the head of rev and the parts that are served
+	//   read      process p reads the head of rev and the parts that the platform serves
 	//   read-head process p reads the head of rev only
 	//   parts     process p reads the parts of rev
 	//   hear      process p reads the revision in force at process from
@@ -95,8 +96,8 @@
 	}
 }
 
-// TestReplayTraces replays every recorded trace and checks the revisions that it
-// expects.
+// TestReplayTraces replays every recorded trace and checks which revisions are in
+// force and rejected.
 func TestReplayTraces(t *testing.T) {
 	trace.Replay(t, "testdata/replay/*.jsonl", 6, func(t *testing.T) func(traceEvent) {
 		p := &tracePlayer{t: t, pubs: map[uint64]published{}, parts: map[uint64][][]byte{}, trackers: map[string]*Tracker{}}
--- a/intent/tracker.go
+++ b/intent/tracker.go
@@ -33,9 +33,9 @@
 
 // Verdicts on a head.
 const (
-	HeadStale    HeadVerdict = iota + 1 // not above the accepted revision
+	HeadStale    HeadVerdict = iota + 1 // below the accepted revision
 	HeadCurrent                         // the accepted revision itself
-	HeadPending                         // parts are missing
+	HeadPending                         // parts of the file are missing
 	HeadAccepted                        // now the revision in force
 	HeadRejected                        // malformed, or complete but invalid
 )
@@ -44,12 +44,12 @@
 	head Head
 }
 
-// Tracker decides which published revision is in force. It only moves to a
-// higher Ref, and only once every part is present, the digests match and the
-// file is valid. It is not safe for concurrent use.
+// Tracker decides which published revision is in force. It replaces that
+// revision only by one with a higher Ref, and only once every part of the new
+// one is present, the digests match and the file is valid. It is not safe for concurrent use.
 type Tracker struct {
 	accepted   *Accepted
-	candidates []candidate // ascending by Ref, all above accepted
+	candidates []candidate // heads with missing parts, ascending by Ref, all above accepted
 	rejected   []Rejection // oldest first
 	parts      map[digest.Digest][]byte
 	history    []Accepted // accepted earlier and since replaced, oldest first
@@ -73,7 +73,7 @@
 	return t.accepted.Head.Ref()
 }
 
-// Pending returns the highest head with missing parts, or nil.
+// Pending returns the highest candidate, a head with missing parts, or nil.
 func (t *Tracker) Pending() *Head {
 	if len(t.candidates) == 0 {
 		return nil
@@ -81,8 +81,8 @@
 	return &t.candidates[len(t.candidates)-1].head
 }
 
-// LastRejection returns the highest rejected revision above the one in force,
-// or nil.
+// LastRejection returns the rejection with the highest Ref above the revision in
+// force, or nil.
 func (t *Tracker) LastRejection() *Rejection {
 	var top *Rejection
 	for i := range t.rejected {
@@ -165,9 +165,9 @@
 	}
 }
 
-// evictLowest removes the lowest candidate other than the one just added, whose
-// parts are about to be offered: heads that never become complete must not
-// block a valid one.
+// evictLowest removes the lowest candidate other than added, whose parts are
+// about to be offered: if heads that never become complete fill the list, a
+// valid lower head must still get in.
 func (t *Tracker) evictLowest(added Ref) {
 	at := 0
 	if t.candidates[0].head.Ref() == added {
@@ -177,8 +177,8 @@
 	t.prune()
 }
 
-// evaluate accepts the highest complete and valid candidate, rejects invalid
-// ones above it, and returns the verdict on ref.
+// evaluate accepts the highest complete and valid candidate, rejects complete but
+// invalid ones above that candidate, and returns the verdict on ref.
 func (t *Tracker) evaluate(now time.Time, ref Ref) (HeadVerdict, error) {
 	for i := len(t.candidates) - 1; i >= 0; i-- {
 		h := t.candidates[i].head
@@ -217,7 +217,7 @@
 	return b, true
 }
 
-// Errors of a complete file.
+// Errors of a file whose parts are all present.
 var (
 	ErrDigest       = errors.New("intent: file does not match the digest of its head")
 	ErrFormatDiffer = errors.New("intent: format of file and head differ")
@@ -277,7 +277,8 @@
 }
 
 // RejectedBetween reports whether every revision number strictly between lo and
-// hi was rejected here, which means that none of them was in force at any process.
+// hi was rejected by this tracker. As all processes reject the same revisions,
+// none of these was then in force at any process.
 func (t *Tracker) RejectedBetween(lo, hi uint64) bool {
 	if hi-lo > maxRejected {
 		return false
@@ -290,7 +291,7 @@
 	return true
 }
 
-// prune deletes parts that neither the accepted head nor a pending one
+// prune deletes parts that neither the accepted head nor a candidate
 // references.
 func (t *Tracker) prune() {
 	referenced := map[digest.Digest]bool{}
