--- a/control/capacity_test.go
+++ b/control/capacity_test.go
@@ -33,9 +33,9 @@
 	memory   *memoryNet // used instead of sockets if not nil
 }
 
-// startFleet starts the given number of nodes. The host list has listed entries:
-// those beyond the number of nodes are additional names of the same nodes, so that
-// each node holds the state of a fleet of that size.
+// startFleet starts the given number of nodes. listed is the number of entries in
+// the host list: those beyond the number of nodes are additional names of the same
+// nodes, so that each node holds the state of a fleet of listed hosts.
 func startFleet(t testing.TB, nodes, listed, domains int) *simFleet {
 	p, err := standin.NewPlatform("127.0.0.1:0")
 	assert.NilError(t, err)
@@ -126,8 +126,8 @@
 	f.platform.Close()
 }
 
-// fleetFile returns a fleet file with the given number of hosts, distinguished
-// from others by n.
+// fleetFile returns a fleet file with the given number of hosts. n distinguishes
+// the file from others with the same hosts.
 func fleetFile(hosts, n int) []byte {
 	var b strings.Builder
 	fmt.Fprintf(&b, "format: 1\nfleet: f\nteams: [{name: t%d}]\nservices:\n  - name: s\n    kind: plain\n    hosts:\n      - domain: d0\n        names:\n", n)
@@ -138,7 +138,7 @@
 }
 
 // publish publishes a revision, waits until it is in force on all nodes, and
-// returns how long each took, in ascending order.
+// returns the time that this took for each node, in ascending order.
 func (f *simFleet) publish(t testing.TB, hosts, n int) []time.Duration {
 	at := make([]time.Time, len(f.nodes))
 	began := time.Now()
@@ -189,14 +189,14 @@
 }
 
 // Duration of the warm-up and of a measurement, and the number of revisions
-// published in one.
+// published in a measurement.
 const (
 	warmUpTime  = 4 * time.Second
 	measureTime = 4 * time.Second
 	revisions   = 5
 )
 
-// BenchmarkCapacity measures the CPU time, memory and traffic that control takes
+// BenchmarkCapacity measures the CPU time, memory and traffic of this package
 // per node, by the number of nodes and the size of the host list.
 func BenchmarkCapacity(b *testing.B) {
 	for _, c := range []struct{ nodes, listed int }{{3, 3}, {12, 12}, {48, 48}, {150, 150}, {48, 500}, {48, 1500}, {48, 4790}, {150, 4790}} {
--- a/control/config.go
+++ b/control/config.go
@@ -1,6 +1,11 @@
-// Package control maintains a process's view of the fleet: the fleet file in
-// force, the hosts, and whether the process is a reader, that is, watches the
-// platform on behalf of others. It is used by `springgate serve` and its agents;
+// Package control maintains a process's view of the fleet: the revision of the
+// fleet file in force, the hosts, and whether the process is a reader, that is,
+// watches the platform on behalf of others. The platform consists of the
+// configuration service, which publishes the revisions of the fleet file, and
+// the host list. The head is the description of the newest published revision.
+// Processes exchange heartbeats to pass on what they have received.
+//
+// The package is used by `springgate serve` and its agents;
 // package gateway has a Control of its own. One goroutine owns the state and
 // publishes immutable snapshots, which request goroutines read. Decisions are
 // made by the pure packages intent and membership.
@@ -29,13 +34,14 @@
 	// LocalFanout and RemoteFanout are the number of hosts of this and of other
 	// failure domains that are sent a heartbeat in each round. Defaults 2 and 1.
 	LocalFanout, RemoteFanout int
-	// PauseThreshold is the time between two ticks above which the process
-	// assumes that it was paused. Its state may then be stale, so it does not
-	// act on it until the head, which names the latest published revision, is
-	// confirmed again. Default 2 s.
+	// PauseThreshold is the time between two ticks (see Node.tick) above which
+	// the process assumes that it was paused. Its state may then be stale, so
+	// the process does not act on its state until the head, which names the
+	// latest published revision, is confirmed again. Default 2 s.
 	PauseThreshold time.Duration
-	// WatchTimeout is how long a reader's watch blocks at the platform. It
-	// bounds the age of the last confirmation of the head. Default 2 s.
+	// WatchTimeout is how long a reader's watch of the head blocks at the
+	// platform if nothing changes. It bounds the age of the reader's last
+	// confirmation of the head. Default 2 s.
 	WatchTimeout time.Duration
 	// HostListInterval is the time between two reads of the host list by a
 	// reader. Default 1 s.
@@ -43,11 +49,13 @@
 	// HistoryRetention is how long replaced revisions are retained. Default
 	// 10 min.
 	HistoryRetention time.Duration
-	// FleetSize is how many processes may start at the same time. The first
-	// read is delayed at random so that together they stay under StartRate.
+	// FleetSize is how many processes may start at the same time. Each delays
+	// its first read of the platform at random, so that all together stay under
+	// StartRate.
 	// Default 50.
 	FleetSize int
-	// StartRate limits the first reads per second of the whole fleet. Default
+	// StartRate limits the first reads of the platform by all processes of the
+	// fleet together, per second. Default
 	// 1000.
 	StartRate float64
 
@@ -75,7 +83,7 @@
 	Accepted *intent.Accepted
 	// PastHosts lists the hosts that services had under replaced revisions.
 	PastHosts []PastHosts
-	// KnownSince is the time from which PastHosts is complete.
+	// KnownSince is the time since which PastHosts lists every replaced revision.
 	KnownSince time.Time
 	// ConfirmedAt is when the platform last confirmed that the revision in force
 	// is the published one.
--- a/control/gossip.go
+++ b/control/gossip.go
@@ -12,7 +12,8 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// maxNotices is the maximum number of leaving notices in one heartbeat.
+// maxNotices is the maximum number of leaving notices, which announce that a host
+// is leaving the fleet, in one heartbeat.
 const maxNotices = 16
 
 // pullTimeout limits a fetch from a peer: a fleet file, a host list or a history.
@@ -37,7 +38,7 @@
 // regularly: a process has few open connections at a time, yet exchanges
 // heartbeats with all others over time.
 const (
-	gossipPeersFactor = 3 // peers in the set for each heartbeat of a round
+	gossipPeersFactor = 3 // size of the set divided by the heartbeats sent in a round
 	gossipPeersTTL    = 10 * time.Second
 )
 
@@ -90,13 +91,14 @@
 	if n.ctx.Err() == nil {
 		n.loop.Post(func() {
 			n.view.RecordFailure(clock.Now(), host)
-			n.gossipPeers = nil // select others
+			n.gossipPeers = nil // select other peers in the next round
 		})
 	}
 }
 
-// applyHeartbeat applies a heartbeat received over c, and fetches from its sender
-// what is newer there. It runs on the loop.
+// applyHeartbeat applies a heartbeat received over c, and fetches the head, host
+// list or history from the sender if the sender's is newer or not known here. It
+// runs on the loop.
 func (n *Node) applyHeartbeat(c *peer.Conn, h *peer.Heartbeat) {
 	now := clock.Now()
 	n.count.heartbeatsIn.Inc(1)
@@ -162,7 +164,7 @@
 	return nil
 }
 
-// blob sends a request that is answered with a byte string.
+// blob sends a request that is answered with a byte string, and returns that string.
 func blob(ctx context.Context, c *peer.Conn, request peer.Message) ([]byte, error) {
 	m, err := c.Call(ctx, request)
 	if err != nil {
@@ -175,8 +177,8 @@
 	return b.Data, nil
 }
 
-// Handle serves a stream if its first message concerns the control state, and
-// reports whether it does.
+// Handle serves a stream if its first message m concerns the control state, and
+// reports whether m does.
 func (n *Node) Handle(ctx context.Context, s *peer.Stream, m peer.Message) bool {
 	switch m := m.(type) {
 	case *peer.Heartbeat:
--- a/control/history.go
+++ b/control/history.go
@@ -13,7 +13,9 @@
 const historyPeers = 3
 
 // pullHistory fetches the hosts that the services had before this process
-// started, from which the earlier homes of idempotency keys follow.
+// started. They determine the earlier homes of idempotency keys: the home of a
+// key is the host that keeps its record, chosen by hashing among the hosts of
+// the service.
 func (n *Node) pullHistory(ctx context.Context, c *peer.Conn) error {
 	m, err := c.Call(ctx, &peer.GetHistory{})
 	if err != nil {
@@ -37,8 +39,8 @@
 
 // extendHistory records that revision after has replaced revision before. If a
 // revision in between may have been in force elsewhere and was not received
-// here, its hosts are unknown: the known history then starts now, until a peer
-// supplies the missing part.
+// here, the hosts of that revision are unknown: the history is then known only from
+// now on, until a peer supplies the missing part.
 func (n *Node) extendHistory(now time.Time, before, after uint64) {
 	if after <= n.knownUpTo {
 		return
@@ -66,8 +68,8 @@
 	Replaced time.Time // when the revision was replaced
 }
 
-// pastHosts returns the host lists of services that were replaced within the
-// retention period, received from peers or known to this process. It runs on the
+// pastHosts returns those host lists of services that were replaced by others
+// within the retention period, received from peers or known to this process. It runs on the
 // loop.
 func (n *Node) pastHosts(now time.Time) []PastHosts {
 	out := n.peerPastHosts[:0:0]
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -74,7 +74,8 @@
 	return configservice.NewWithClient(h, "http://platform"), hostlist.NewWithClient(h, "http://platform")
 }
 
-// RoundTrip implements http.RoundTripper. The call runs on the caller's goroutine.
+// RoundTrip implements http.RoundTripper. The platform's handler runs on the
+// goroutine of the caller.
 func (m *memoryNet) RoundTrip(r *http.Request) (*http.Response, error) {
 	w := httptest.NewRecorder()
 	m.platform.ServeHTTP(w, r)
--- a/control/node.go
+++ b/control/node.go
@@ -22,10 +22,10 @@
 // tickInterval is the time between two calls of tick.
 const tickInterval = 250 * time.Millisecond
 
-// callTimeout limits a call to another process.
+// callTimeout limits the heartbeat exchange with one host.
 const callTimeout = time.Second
 
-// directBurst is the burst size of directLimiter.
+// directBurst is the number of calls that directLimiter allows in a burst.
 const directBurst = 4
 
 // counters are the metrics of a Node.
@@ -62,20 +62,20 @@
 	loop          *loop.Loop
 	snapshot      atomic.Pointer[Snapshot]
 	leaving       atomic.Bool
-	directLimiter *rate.Limiter // of direct calls to the platform
+	directLimiter *rate.Limiter // limits reads of file parts by fallback
 
 	mu        sync.Mutex
 	listeners []func(*Snapshot)
 
 	ctx context.Context // of Run; set before the loop starts
 
-	// The fields below are owned by the loop.
+	// The fields below are accessed only on the goroutine of loop.
 	tracker          *intent.Tracker
 	view             *membership.View
 	rng              *rand.Rand
 	hostsRaw         []byte
-	knownSince       time.Time // the past hosts are complete from this time
-	knownUpTo        uint64    // up to this revision
+	knownSince       time.Time // time since which the past hosts of all services are known
+	knownUpTo        uint64    // number of the revision up to which they are known
 	confirmedAt      time.Time // when the platform last confirmed the head
 	lastTick         time.Time
 	lastGossip       time.Time
@@ -113,14 +113,14 @@
 }
 
 // Awake reports whether the process may act on its snapshot: it is not recovering
-// from a pause, and the last tick is recent enough to rule out a new one.
+// from a pause, and the last tick is recent enough to rule out a new pause.
 func (n *Node) Awake(now time.Time) bool {
 	s := n.snapshot.Load()
 	return s.Awake && now.Sub(s.CheckedAt) <= n.cfg.PauseThreshold
 }
 
-// Leave makes all further heartbeats announce that the process is leaving, and
-// sends a round of them at once.
+// Leave makes all further heartbeats announce that the process is leaving the
+// fleet, and sends a round of heartbeats at once.
 func (n *Node) Leave() {
 	n.leaving.Store(true)
 	n.loop.Post(func() { n.gossip(clock.Now()) })
@@ -136,8 +136,9 @@
 	n.loop.Run(ctx)
 }
 
-// start reads the host list after a random delay, so that a fleet whose processes
-// start at the same time stays under the platform's rate limit.
+// start reads the host list from the platform after a random delay, so that a
+// fleet whose processes start at the same time stays under the platform's rate
+// limit.
 func (n *Node) start() {
 	var delay time.Duration
 	if n.loop.Call(func() {
--- a/control/node_test.go
+++ b/control/node_test.go
@@ -23,7 +23,8 @@
 // Only the readers watch the platform and the other processes receive revisions
 // from peers, so the number of platform calls per revision is bounded. The test
 // runs in virtual time, because a process that was paused for longer than
-// PauseThreshold reads the platform by design, and on a busy machine many are.
+// PauseThreshold reads the platform by design, and on a busy machine many
+// processes are paused for that long.
 func TestPlatformCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleetInMemory(t, 40, 40, 2)
@@ -49,8 +50,8 @@
 	return n
 }
 
-// Revisions come into force while the platform rejects most calls, and after it
-// was down for a while.
+// Revisions must come into force while the platform rejects most calls, and after
+// the platform was down for a while.
 func TestRevisionsWhilePlatformFails(t *testing.T) {
 	f := startFleet(t, 12, 12, 3)
 	defer f.close()
--- a/control/platform.go
+++ b/control/platform.go
@@ -38,8 +38,8 @@
 	go n.watchHosts(ctx)
 }
 
-// updateDirectLimit sets the limit on direct calls to this process's share of the
-// fleet's fallback rate.
+// updateDirectLimit sets the limit of directLimiter to this process's share of
+// Readers.FallbackRate, given the number of processes in the fleet.
 func (n *Node) updateDirectLimit(fleet int) {
 	share := n.cfg.Readers.FallbackRate / float64(max(1, fleet))
 	limit := rate.Limit(max(1, share))
@@ -83,7 +83,9 @@
 		return err
 	}
 	if v := n.verdict(h); v != intent.HeadAccepted && v != intent.HeadCurrent {
-		loop.Sleep(ctx, watchRetryDelay) // the platform answers a watch at once while its head is a rejected or an older one
+		// The platform answers a watch at once while its head is a rejected one
+		// or older than the one in force here.
+		loop.Sleep(ctx, watchRetryDelay)
 	}
 	return nil
 }
@@ -104,8 +106,8 @@
 }
 
 // applyHead offers a head to the tracker, fetches its missing parts and then
-// records it as confirmed at the time requested, at which it was requested from
-// the platform.
+// records the head as confirmed. requested is the time of the request to the
+// platform that returned the head.
 func (n *Node) applyHead(ctx context.Context, h intent.Head, requested time.Time, get partReader) error {
 	var missing []intent.PartRef
 	if err := n.loop.Call(func() {
@@ -171,8 +173,8 @@
 	}
 }
 
-// onAccepted publishes and gossips the revision in force if it is no longer
-// before. It runs on the loop.
+// onAccepted publishes a snapshot and gossips the revision in force, if that
+// revision is another than the one given as before. It runs on the loop.
 func (n *Node) onAccepted(before intent.Ref) {
 	if n.tracker.Ref() == before {
 		return
@@ -187,8 +189,8 @@
 
 // confirmHead records that the platform returned ref as its head at time at. A
 // head below the revision in force comes from a stale replica and confirms
-// nothing. A rejected head above it confirms the revision in force, since no
-// newer valid one is published.
+// nothing. A rejected head above the revision in force confirms that revision,
+// since no newer valid one is published.
 func (n *Node) confirmHead(at time.Time, ref intent.Ref) {
 	if ref.Less(n.tracker.Ref()) {
 		return
@@ -220,7 +222,7 @@
 	first := n.nextFallback.IsZero()
 	n.nextFallback = now.Add(n.cfg.Readers.FallbackDelay(n.view.Len(), n.rng))
 	if first && n.awake {
-		return // a peer may confirm the head before the delay ends
+		return // a peer may confirm the head before the fallback delay ends
 	}
 	go func() {
 		_ = n.readHead(n.ctx, 0, true)
@@ -269,7 +271,7 @@
 	})
 }
 
-// closeUnlisted closes connections to processes that are no longer listed.
+// closeUnlisted closes connections to processes that are no longer in the host list.
 func (n *Node) closeUnlisted() {
 	listed := map[string]bool{}
 	for _, m := range n.snapshot.Load().Members {
