--- a/intake/intake.go
+++ b/intake/intake.go
@@ -3,6 +3,10 @@
 // combines the records of package idempotency with the queue of package
 // admission. It does no I/O and reads no clock: times and the state of the host
 // are passed in.
+//
+// The home of an idempotency key is the host that keeps the key's record. To
+// fence an attempt or a key at an agent is to find out whether it has run there
+// and, if not, to bar it from running there.
 package intake
 
 import (
@@ -22,12 +26,12 @@
 	Incarnation uint64
 	Awake       bool   // not recovering from a pause of the process
 	HasIntent   bool   // a fleet file is in force
-	Service     string // of the target, "" if none
+	Service     string // service of the host's target, "" if none
 	Ready       bool   // the target accepts requests
 	HomeHistory idempotency.HomeHistory
 }
 
-// Attempt is one dispatch received by the agent.
+// Attempt is one dispatch of a request by an entry, received by the agent.
 type Attempt struct {
 	ID          idempotency.AttemptID
 	Incarnation uint64 // the agent incarnation that the entry addressed
@@ -48,12 +52,12 @@
 
 // Actions on an attempt.
 const (
-	Ignore     Action = iota // duplicate frame: the first one is handled already
+	Ignore     Action = iota // duplicate frame: the first frame is handled already
 	Run                      // run it now
-	Wait                     // it is queued
+	Wait                     // the attempt has been queued
 	Refuse                   // refuse it with Reason
-	Replay                   // send the retained answer of attempt Source
-	FenceHomes               // fence the key at Homes, then call Arrive again, or FencingFailed
+	Replay                   // send the retained answer of the attempt with ID Source
+	FenceHomes               // fence the key at Homes; then call Arrive again or, on failure, FencingFailed
 )
 
 // Decision is an action with its details.
@@ -65,7 +69,7 @@
 	Homes      []string
 }
 
-// Refusal is a refused attempt that was queued.
+// Refusal is an attempt that was queued and then refused.
 type Refusal struct {
 	ID         idempotency.AttemptID
 	Reason     outcome.Reason
@@ -78,7 +82,8 @@
 	Refused []Refusal
 }
 
-// Intake holds the attempts and keys of one agent incarnation. It is not safe for
+// Intake holds the attempts and keys of one agent incarnation, that is, of one
+// process start. It is not safe for
 // concurrent use.
 type Intake struct {
 	table       *idempotency.Table
@@ -112,7 +117,7 @@
 	}
 	if reason := precheck(h, a); reason != "" {
 		if a.Key != "" {
-			reason = outcome.HomeUnreachable // the key may have run here or at an earlier home
+			reason = outcome.HomeUnreachable // its outcome is unknown: the key may have run here or at an earlier home
 		}
 		return k.refuse(now, a, reason, MinRetryAfter), Effects{}
 	}
@@ -157,9 +162,9 @@
 	d := k.table.BeginKey(now, a.keyID(), a.Fingerprint, h.HomeHistory)
 	switch {
 	case d.Verdict == idempotency.KeyReplay:
-		// This attempt does not run. It is recorded as refused, so that the
-		// caller receives KeyRunning if the connection breaks and may send the
-		// key again.
+		// This attempt does not run. It is recorded as refused, so that a fence
+		// of it after a broken connection returns KeyRunning, upon which the
+		// caller may send the key again.
 		k.table.Refuse(now, a.ID, outcome.KeyRunning)
 		return Decision{Action: Replay, Source: d.Replay}
 	case d.Verdict == idempotency.KeyRefuse:
@@ -190,7 +195,7 @@
 	return Decision{Action: Wait}, effects
 }
 
-// apply records the queue's decisions on queued attempts and returns them.
+// apply records the queue's decisions on queued attempts and returns them by attempt ID.
 func (k *Intake) apply(now time.Time, e admission.Effects) Effects {
 	var out Effects
 	for _, n := range e.Started {
@@ -219,7 +224,7 @@
 	return k.refuse(now, a, outcome.KeyHomeMoved, MinRetryAfter)
 }
 
-// Cancel refuses an attempt if it is still queued, and reports whether it was.
+// Cancel refuses an attempt if it is still queued, and reports whether it was queued.
 func (k *Intake) Cancel(now time.Time, id idempotency.AttemptID) bool {
 	if !k.queue.Cancel(k.queueIDs[id]) {
 		return false
@@ -261,7 +266,8 @@
 // key may have run here; if not, the key can no longer start here.
 func (k *Intake) FenceKey(now time.Time, id idempotency.KeyID) bool { return k.table.FenceKey(now, id) }
 
-// Leave refuses all queued attempts and, from now on, all that would have to run.
+// Leave refuses all queued attempts and, from now on, all new ones that would have
+// to run. Retained answers are still replayed.
 func (k *Intake) Leave(now time.Time) Effects {
 	k.leaving = true
 	return k.apply(now, k.queue.RefuseAll(outcome.Leaving))
@@ -277,7 +283,7 @@
 // Load is the load of the target as reported in status messages.
 type Load struct {
 	Running, Queued int
-	Service         time.Duration // smoothed service time
+	Service         time.Duration // smoothed time that a request runs
 }
 
 // Load returns the load of the target.
