--- a/idempotency/attempt.go
+++ b/idempotency/attempt.go
@@ -2,6 +2,11 @@
 // attempt, so that the outcome can be determined after a connection broke, and by
 // idempotency key, so that a request runs at most once. It does no I/O and reads
 // no clock: times are passed in.
+//
+// The home of a key is the host that keeps the key's record. It can change with
+// the fleet file; the previous ones are the earlier homes. To fence an attempt or
+// a key at an agent is to find out whether it has run there and, if not, to bar it
+// from running there.
 package idempotency
 
 import (
@@ -11,7 +16,8 @@
 	"github.com/springgate/springgate/outcome"
 )
 
-// AttemptID identifies one dispatch of a submission.
+// AttemptID identifies one dispatch of a submission, a request that an entry received
+// from a caller.
 type AttemptID struct {
 	ID  [16]byte
 	Try uint16
@@ -23,7 +29,7 @@
 // States of an attempt.
 const (
 	Unseen   State = iota // not received
-	Fenced                // refused before it was received
+	Fenced                // barred before it was received; refused if it arrives
 	Refused               // refused; it never ran
 	Accepted              // queued or running
 	Finished              // ran, and its complete answer is retained
@@ -32,12 +38,13 @@
 
 // Config holds the time limits of the records.
 type Config struct {
-	// AttemptTTL is how long an attempt is kept on record after it ended. It
-	// must exceed the longest delay of a frame. Default 5 min.
+	// AttemptTTL is how long an attempt is kept on record after it ended. This
+	// must exceed the longest time that a dispatch can be in transit. Default 5 min.
 	AttemptTTL time.Duration
-	// KeyWindow is how long a key is kept on record, and how far back a home
-	// must know the earlier homes. A longer window detects resubmissions that
-	// come later, but makes a new process refuse keys for longer. Default
+	// KeyWindow is how long a key is kept on record, and how far back from the
+	// issue of a key its home must know the earlier homes. A longer window
+	// detects resubmissions that come later, but makes a new process refuse
+	// keys for longer. Default
 	// 10 min.
 	KeyWindow time.Duration
 	// ClockSkew is the largest difference between the clocks of two hosts that
@@ -46,7 +53,7 @@
 	// MaxKeys is the maximum number of key records. Default 100,000.
 	MaxKeys int
 	// FromWallTime converts a wall-clock time, such as the timestamp of a key, to
-	// a time of the agent's clock, which all other times are readings of. By
+	// a time of the agent's clock, from which all other times are read. By
 	// default the two clocks are the same.
 	FromWallTime func(date time.Time) time.Time
 }
@@ -63,8 +70,8 @@
 	return c
 }
 
-// History returns how long replaced revisions must be retained so that every home
-// that may have run a key within its window is known.
+// History returns how long replaced revisions of the fleet file must be retained so
+// that every home that may have run a key within KeyWindow is known.
 func (c Config) History() time.Duration {
 	c = c.ApplyDefaults()
 	return 2 * (c.KeyWindow + c.ClockSkew)
@@ -77,8 +84,8 @@
 	ended  time.Time      // zero while Accepted
 }
 
-// Table holds the records of one agent incarnation. It is not safe for concurrent
-// use.
+// Table holds the records of one agent incarnation, that is, of one process start.
+// It is not safe for concurrent use.
 type Table struct {
 	cfg           Config
 	start         time.Time
@@ -99,8 +106,8 @@
 		attempts: map[AttemptID]*attempt{}, keys: map[KeyID]*keyRecord{}}
 }
 
-// Begin records an attempt that arrived. It returns Unseen if the attempt is new,
-// which makes it Accepted, and its recorded state otherwise.
+// Begin records an attempt that arrived. If the attempt is new, Begin records it as
+// Accepted and returns Unseen. Otherwise it returns the recorded state.
 func (t *Table) Begin(id AttemptID) State {
 	if a := t.attempts[id]; a != nil {
 		return a.state
@@ -110,7 +117,7 @@
 }
 
 // Forget removes an accepted attempt as if it had not arrived, so that Begin can
-// be called again once its key has been fenced at the earlier homes.
+// be called again for it once its key has been fenced at the earlier homes.
 func (t *Table) Forget(id AttemptID) {
 	if a := t.attempts[id]; a != nil && a.state == Accepted {
 		delete(t.attempts, id)
--- a/idempotency/key.go
+++ b/idempotency/key.go
@@ -23,7 +23,7 @@
 type keyRecord struct {
 	fingerprint Fingerprint
 	attempt     AttemptID
-	state       State // Accepted, Finished, Failed, or Fenced
+	state       State // Accepted, Finished or Failed as its attempt; Fenced if it cannot run here
 	at          time.Time
 }
 
@@ -52,7 +52,7 @@
 const (
 	KeyRun        KeyVerdict = iota + 1 // the key is new: run the request
 	KeyFenceHomes                       // fence the key at its earlier homes first
-	KeyReplay                           // send the retained answer of the attempt
+	KeyReplay                           // send the retained answer of the attempt with ID Replay
 	KeyRefuse                           // refuse the request with Reason
 )
 
@@ -73,7 +73,7 @@
 	// were in force, either itself or from peers.
 	KnownSince time.Time
 	// HeadAge is the age of the last confirmation that the revision in force is
-	// the published one.
+	// the newest published one.
 	HeadAge time.Duration
 	// CurrentHosts are the service's hosts under the revision in force here.
 	CurrentHosts []string
@@ -134,9 +134,10 @@
 // recordsCover reports whether this process can determine if the key has run
 // before. The process must have started before the key was generated, and the key
 // must not be older than the window for which keys are kept on record. The process
-// must also know all homes that the key can have had: an earlier home may have run
-// it while its last confirmation of the revision was up to a window old, so the
-// revisions must be known from a window before the key was generated.
+// must also know all homes that the key can have had: a host may have run the key
+// under an already replaced revision, if it had confirmed that revision at most
+// a window before. The revisions must therefore be known from a window before the
+// key was generated.
 func (t *Table) recordsCover(now, issued time.Time, history HomeHistory) bool {
 	issued = issued.Add(-t.cfg.ClockSkew)
 	return !issued.Before(t.start) && !issued.Before(now.Add(-t.cfg.KeyWindow)) &&
@@ -173,8 +174,8 @@
 	t.keyOrder = append(t.keyOrder, k)
 }
 
-// endKey updates the key's record when its attempt ends. An attempt that was
-// refused never ran, so the key may be used again.
+// endKey updates the key's record when its attempt ends in state s. An attempt that
+// was refused never ran, so its key may be used again.
 func (t *Table) endKey(id AttemptID, k KeyID, s State) {
 	r := t.keys[k]
 	if r == nil || r.attempt != id {
@@ -188,14 +189,14 @@
 }
 
 // FenceKey is called on behalf of a later home of the key. It reports whether the
-// key may have run here or is running; if not, it can no longer start here.
+// key may have run here or is running; if not, the key can no longer start here.
 func (t *Table) FenceKey(now time.Time, k KeyID) (known bool) {
 	if r := t.keys[k]; r != nil {
 		return r.state != Fenced
 	}
 	issued, ok := t.issued(k)
 	if !ok || issued.Add(-t.cfg.ClockSkew).Before(t.start) {
-		return true // an earlier incarnation may have run it
+		return true // an earlier incarnation may have run the key
 	}
 	t.addKey(k, &keyRecord{state: Fenced, at: now})
 	return false
--- a/idempotency/key_test.go
+++ b/idempotency/key_test.go
@@ -20,8 +20,8 @@
 }
 
 // The timestamp of a key must be converted to the clock of the table, which may
-// differ from the wall clock. Otherwise a key from a time for which the homes are
-// unknown is accepted, although it may have run elsewhere.
+// differ from the wall clock. Otherwise a key from a time for which its homes are
+// unknown is accepted, although the key may have run at one of them.
 func TestKeyTimestampsAreConvertedToTableClock(t *testing.T) {
 	const offset = time.Minute // the table's clock is ahead of the wall clock
 	date := time.Date(2020, 1, 2, 3, 4, 5, 0, time.UTC)
