--- a/intake/intake.go
+++ b/intake/intake.go
@@ -83,8 +83,7 @@
 }
 
 // Intake holds the attempts and keys of one agent incarnation, that is, of one
-// process start. It is not safe for
-// concurrent use.
+// process start. It is not safe for concurrent use.
 type Intake struct {
 	table       *idempotency.Table
 	queue       *admission.Queue
