--- a/submission/oracle_test.go
+++ b/submission/oracle_test.go
@@ -177,7 +177,7 @@
 		v := view{revision: p.view.revision, headConfirmed: p.view.headConfirmed, knownSince: p.view.knownSince}
 		v.past = append(v.past, p.view.past...)
 		if v.revision < newest {
-			// The process reads the newest revision itself and adopts it over the peer's.
+			// The process reads the newest revision itself, which replaces the peer's.
 			w.adopt(&v, newest)
 		}
 		return v
--- a/submission/replay_test.go
+++ b/submission/replay_test.go
@@ -20,7 +20,8 @@
 type traceEvent struct {
 	// Do is the event:
 	//   start     a request arrives at the entry (repeatable, key)
-	//   home      agent a joins, if it has not yet; past adds an earlier home that it knows
+	//   home      agent a joins, if it has not yet; past adds an earlier home of keys to
+	//             those that agent a knows
 	//   chosen    the entry chooses agent a and sends the dispatch
 	//   no-host   the entry finds no host
 	//   not-sent  the connection to the agent cannot be established
@@ -34,10 +35,10 @@
 	//   finish    the target of agent a finishes the request
 	//   restart   agent a restarts as a new incarnation
 	//   leave     agent a refuses new requests from now on
-	//   current   agent a has a revision in force whose only host is current
-	//   cut-off   agent a last confirmed its revision as the newest ms ago
-	//   young     agent a knows only the revisions of the last ms
-	//   sleep     ms pass
+	//   current   agent a has a revision in force whose only host is the one in field current
+	//   cut-off   agent a last confirmed ms milliseconds ago that its revision is the newest
+	//   young     agent a knows only the revisions of the last ms milliseconds
+	//   sleep     ms milliseconds pass
 	//   outcome   expected outcome at the caller (want, reason, runs, abort)
 	Do         string
 	R          string
@@ -172,7 +173,7 @@
 }
 
 // arrive delivers a dispatch to an agent. If the agent needs to fence the key at earlier
-// homes, this is done at once. The attempt is refused if a home does not exist or has a
+// homes, the fences are answered at once. The attempt is refused if a home does not exist or has a
 // record of the key.
 func (p *replayer) arrive(r *traceRequest, a *traceAgent, fenced bool) intake.Decision {
 	att := intake.Attempt{ID: r.attempt(), Incarnation: r.incarnation, Service: service, Team: simTeam, Key: r.key,
--- a/submission/submission.go
+++ b/submission/submission.go
@@ -1,7 +1,9 @@
-// Package submission implements the state machine of one request at an entry of `springgate
-// serve`, from its arrival to its single final outcome. The machine is pure: it takes events,
-// returns actions, and uses neither sockets nor clocks. The code that drives it, the driver,
-// carries out the actions and reports the events.
+// Package submission implements the state machine of one request at an entry, the process
+// of `springgate serve` that receives requests from callers, from the arrival of the request
+// to its single final outcome. The machine is pure: it takes events, returns actions, and
+// uses neither sockets nor clocks. The code that drives it, the driver, carries out the
+// actions and reports the events. Each dispatch of the request to the agent of a host is an
+// attempt, also called a try.
 package submission
 
 import (
@@ -15,8 +17,8 @@
 type Request struct {
 	// Repeatable is true if the request may run more than once.
 	Repeatable bool
-	// Keyed is true if the request has an idempotency key. It may then run only
-	// at one host, the home of the key.
+	// Keyed is true if the request has an idempotency key. The request may then
+	// run only at one host, the home of the key, which keeps the key's record.
 	Keyed bool
 	// MaxTries is the maximum number of dispatches. Default 4.
 	MaxTries int
@@ -33,8 +35,8 @@
 
 const (
 	choosing   phase = iota + 1 // waiting for a host
-	running                     // dispatched
-	fencing                     // waiting for the agent's answer to a fence
+	running                     // dispatched; the result is awaited
+	fencing                     // waiting for the agent's answer to a fence (see Fence)
 	resuming                    // waiting for the remaining part of the answer
 	backingOff                  // waiting before the next attempt
 	done
@@ -53,14 +55,16 @@
 	// Dispatch means send the request to the chosen host as attempt Try.
 	Dispatch
 	// Fence means query the state of attempt Try at the same agent incarnation,
-	// which then bars the attempt from running if it has not arrived.
+	// that is, the same process start of the agent. If the attempt has not
+	// arrived there, the agent bars it from running.
 	Fence
-	// Resume means request the answer from Offset on from the same agent
-	// incarnation.
+	// Resume means request the part of the answer that starts at byte Offset
+	// from the same agent incarnation.
 	Resume
 	// Backoff means back off, then report BackoffElapsed.
 	Backoff
-	// Forward means pass the head or the data of the event to the caller.
+	// Forward means pass to the caller the head (status line and header) or the
+	// data that the last event reported.
 	Forward
 	// Finish means that the outcome is final. If Abort is set, a part of the
 	// answer was forwarded and the caller's connection must be aborted.
@@ -86,8 +90,8 @@
 	fences        int
 	resumes       int
 	mayHaveRun    bool  // an earlier attempt ran or may have run
-	headForwarded bool  // the head was forwarded
-	offset        int64 // bytes forwarded
+	headForwarded bool  // status line and header of the answer were forwarded
+	offset        int64 // bytes of the answer's body forwarded
 	sum           *xxhash.Digest
 	lastReason    outcome.Reason // why the last attempt was refused or failed
 	retryAfter    time.Duration
@@ -187,8 +191,8 @@
 	return Action{Kind: Forward}
 }
 
-// Data reports a part of the answer that starts at offset. Only the next part
-// in order is forwarded.
+// Data reports a part of the answer that starts at offset. Only the part that
+// follows the bytes already forwarded is passed on.
 func (m *Machine) Data(try uint16, offset int64, b []byte) Action {
 	if !m.isCurrent(try) || !m.headForwarded || offset != m.offset {
 		m.dropped++
@@ -236,7 +240,7 @@
 	return Action{Kind: Fence, Try: m.try}
 }
 
-// FenceFailed reports that a fence was not answered.
+// FenceFailed reports that a fence call was not answered.
 func (m *Machine) FenceFailed() Action {
 	if m.phase != fencing {
 		return Action{}
@@ -249,7 +253,7 @@
 
 // Answers to a fence.
 const (
-	FenceNotRun  FenceState = iota + 1 // has not run and cannot run any more
+	FenceNotRun  FenceState = iota + 1 // the attempt has not run and cannot run any more
 	FenceRunning                       // queued or running, or has finished and its answer is retained
 	FenceFailed                        // ran; the answer is not available
 	FenceGone                          // the agent has restarted and has no record of the attempt
@@ -341,14 +345,14 @@
 }
 
 // maxCapacityTries is the number of attempts after which a refusal for lack of capacity is
-// final. The fleet is then assumed to be at capacity, and the caller gets a time to retry
-// after.
+// final. The fleet is then assumed to be at capacity, and the caller receives the time after
+// which to retry.
 const maxCapacityTries = 2
 
 func atCapacity(r outcome.Reason) bool { return r == outcome.QueueFull || r == outcome.TeamLimit }
 
 // finishNotRun ends a submission whose last attempt did not run. If an earlier
-// attempt may have run, the submission as a whole is unknown.
+// attempt may have run, the outcome of the submission is unknown.
 func (m *Machine) finishNotRun(reason outcome.Reason, retryAfter time.Duration) Action {
 	o := outcome.NotRun
 	if m.mayHaveRun {
--- a/submission/world_test.go
+++ b/submission/world_test.go
@@ -17,7 +17,8 @@
 // The oracle test simulates entries and agents, with their real decision code, over a
 // network that drops, delays, duplicates, reorders and misroutes frames. Processes are
 // killed, restarted and paused, and the homes of keys change. The oracle records what the
-// targets actually ran and what the callers actually received.
+// targets actually ran and what the callers actually received, and the test compares the
+// reported outcomes with this record.
 
 const (
 	simHosts  = 4
@@ -36,7 +37,7 @@
 	index            int
 	id               [16]byte
 	repeatable       bool
-	key              string // "" if none
+	key              string // idempotency key, "" if none
 	entry            int
 	m                *submission.Machine
 	host             string
@@ -120,8 +121,8 @@
 	entries         []view
 	submissions     []*sub
 	inTransit       []*packet
-	runs            map[int]int    // by submission
-	keyRuns         map[string]int // by key
+	runs            map[int]int    // how often each submission has run
+	keyRuns         map[string]int // how often each key has run
 	keys            []string
 	steps           int
 }
@@ -178,7 +179,8 @@
 	}
 }
 
-// cancel sends the stream reset of a finished submission, which cancels queued attempts.
+// cancel sends the stream reset of a finished submission, which cancels its attempt if
+// that is still queued.
 func (w *world) cancel(s *sub) {
 	c := s.conn
 	w.send(s, c, true, func() {
@@ -291,7 +293,7 @@
 	})
 }
 
-var stepT *rapid.T // of the current step, for draws in act
+var stepT *rapid.T // the rapid.T of the current step, for random draws in act
 
 func (w *world) toEntry(s *sub, f func() submission.Action) { w.act(stepT, s, f()) }
 
@@ -416,7 +418,7 @@
 
 func (w *world) adopt(v *view, revision int) {
 	if revision > v.revision+1 {
-		v.knownSince = w.now // revisions in between are not known
+		v.knownSince = w.now // the revisions that the process skipped are not known
 	}
 	if revision > v.revision {
 		v.past = append(v.past, pastSim{v.revision, w.now})
