--- a/agent/agent.go
+++ b/agent/agent.go
@@ -142,7 +142,7 @@
 	a.Leave()
 	ctx, cancel := clock.WithTimeout(ctx, a.cfg.DrainTimeout)
 	defer cancel()
-	_ = a.requests.loop.Call(func() {}) // runs after the posted leave, so no request starts any more
+	_ = a.requests.loop.Call(func() {}) // runs after the function posted by Leave, so no request starts any more
 	done := make(chan struct{})
 	go func() {
 		a.active.Wait()
@@ -222,8 +222,8 @@
 	}
 }
 
-// minStatusInterval is the minimum time between two status messages. Changes within it
-// are sent together.
+// minStatusInterval is the minimum time between two status messages. Changes within
+// that time are sent together.
 const minStatusInterval = 20 * time.Millisecond
 
 func (a *Agent) status() *peer.Status {
--- a/agent/answer.go
+++ b/agent/answer.go
@@ -14,19 +14,20 @@
 const (
 	// dataFrameSize is the maximum payload of a data frame, in bytes.
 	dataFrameSize = 16 << 10
-	// retainedBytes is how much of the answer is kept after it was sent, so that
-	// it can be resumed. It covers all frames that can be in transit.
+	// retainedBytes is how many bytes of the answer are kept after they were
+	// sent, so that the answer can be resumed. They cover all frames that can be
+	// in transit.
 	retainedBytes = 512 << 10
-	// maxAheadBytes is how far the target may be ahead of the reader before the
-	// writer blocks.
+	// maxAheadBytes is how many bytes may be buffered that no reader has received
+	// before the writer, which reads from the target, blocks.
 	maxAheadBytes = 256 << 10
 )
 
 // errNotHeld is returned if the requested part of an answer is no longer buffered.
 var errNotHeld = errors.New("agent: part of the answer is no longer held")
 
-// answer buffers the target's answer to one attempt. It supports one writer and one
-// reader at a time.
+// answer buffers the target's answer to one attempt. It supports one writer, which copies
+// the answer from the target, and one reader at a time, which sends it to an entry.
 type answer struct {
 	mu      sync.Mutex
 	changed chan struct{} // closed and replaced at each change
@@ -109,7 +110,7 @@
 	}
 }
 
-// fromStart reports whether the answer is still buffered from its first byte.
+// fromStart reports whether all bytes of the answer from the first are still buffered.
 func (a *answer) fromStart() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/agent/attach.go
+++ b/agent/attach.go
@@ -9,7 +9,8 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// attachment tracks whether a stream to an entry is attached to a running request.
+// attachment tracks whether a stream to an entry, which receives the answer, is attached
+// to a running request.
 type attachment struct {
 	mu         sync.Mutex
 	readers    int
@@ -68,7 +69,7 @@
 }
 
 // reattached returns a channel that is closed when a stream is attached again. It is
-// called while none is.
+// called while no stream is attached.
 func (t *attachment) reattached() <-chan struct{} {
 	_, _, changed := t.state()
 	return changed
--- a/agent/chunks.go
+++ b/agent/chunks.go
@@ -57,13 +57,14 @@
 	}
 }
 
-// holding lists the chunks of one version that this host holds, for notifying neighbours.
+// holding lists the chunks of one version that this host has stored, for notifying its
+// neighbours, the hosts that it exchanges chunks with.
 type holding struct {
 	mu      sync.Mutex
 	count   int
 	added   []uint32 // in the order of arrival
 	changed chan struct{}
-	awaited map[int]chan struct{} // closed when a chunk that a peer has requested arrives
+	awaited map[int]chan struct{} // by index of a chunk that a peer has requested; closed when it arrives
 }
 
 func newHolding(count int) *holding {
@@ -95,7 +96,7 @@
 }
 
 // since returns the chunks added after the first n, and a channel that is closed when
-// more are added.
+// further chunks are added.
 func (h *holding) since(n int) ([]uint32, <-chan struct{}) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/agent/config.go
+++ b/agent/config.go
@@ -2,6 +2,13 @@
 // in which all requests to the target pass through it. (Package sidecar implements the agent of
 // `springgate gateway` mode.) The agent runs requests, sends load orders to the engine, stores
 // and exchanges weight chunks, and drains the target.
+//
+// An engine is a target that loads model weights, and its loadout is the model, adapters and
+// role that it has or should have. A load order is the command to load a loadout. Before it
+// sends one, the agent stages the weights, that is, sends their chunks to the engine, and
+// acquires a permit to take the engine out of service. Each version of a model or adapter is
+// described by a manifest, the list of its chunks. To fence an attempt or an idempotency key
+// is to find out whether it has run and, if not, to bar it from running.
 package agent
 
 import (
@@ -28,15 +35,15 @@
 	// DrainTimeout bounds the wait of a leaving agent for running requests.
 	// Default 10 min.
 	DrainTimeout time.Duration
-	// ResumeGrace is how long a running request continues while no entry is
-	// attached to it. Default 15 s.
+	// ResumeGrace is how long a running request continues while no entry has a
+	// stream open to receive its answer. Default 15 s.
 	ResumeGrace time.Duration
 	// AnswerMemory bounds the memory for answers of finished requests, in bytes.
 	// Default 32 MiB.
 	AnswerMemory int64
 
 	// LoadTimeout is how long an engine may take to report the ordered versions
-	// as loaded before the order is repeated. Default 5 min.
+	// as loaded before the load order is repeated. Default 5 min.
 	LoadTimeout time.Duration
 
 	// WeightMemory bounds the memory for weight chunks, in bytes. Default 1 GiB.
@@ -44,8 +51,8 @@
 	// LinkRate limits weight transfer in each direction, in bytes per second.
 	// Zero means no limit.
 	LinkRate float64
-	// HaveInterval is the minimum time between two messages to a neighbour about
-	// newly held chunks. Default 200 ms.
+	// HaveInterval is the minimum time between two messages to a neighbour, a
+	// host that exchanges chunks with this one, about chunks newly stored here. Default 200 ms.
 	HaveInterval time.Duration
 
 	Idempotency idempotency.Config
--- a/agent/fetch.go
+++ b/agent/fetch.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// schedule starts all fetches that the planner allows now.
+// schedule cancels the fetches that have timed out and starts all that the planner allows
+// now.
 func (w *weights) schedule(t *transfer) {
 	if t.planner == nil || t.failed != nil {
 		return
@@ -53,7 +54,7 @@
 		err = w.down.wait(ctx, len(b))
 	}
 	if ctx.Err() != nil {
-		return // cancelled by the loop, which updates the planner itself
+		return // the loop has cancelled this fetch and updates the planner itself
 	}
 	w.loop.Post(func() { w.handleFetched(t, f, want, b, err) })
 }
@@ -96,7 +97,7 @@
 	return nil, weightstore.ErrNotFound
 }
 
-// errPending is returned if the peer itself is still waiting for the chunk.
+// errPending is returned if the peer has not received the chunk yet either.
 var errPending = errors.New("agent: peer is still waiting for the chunk")
 
 // handleFetched processes the result of a fetch. It runs on the loop.
--- a/agent/holdings.go
+++ b/agent/holdings.go
@@ -10,11 +10,11 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// wordBits is the number of chunks in one word of a bitmap.
+// wordBits is the number of chunks, one per bit, in one word of a bitmap.
 const wordBits = 64
 
-// subscribe keeps a stream open to each neighbour, on which the neighbour sends the
-// chunks that it holds. It runs on the loop.
+// subscribe keeps a stream open to each neighbour, on which the neighbour reports which
+// chunks it holds. It runs on the loop.
 func (w *weights) subscribe(t *transfer) {
 	want := map[string]bool{}
 	for _, h := range t.planner.Neighbours() {
@@ -33,7 +33,7 @@
 	}
 }
 
-// followNeighbour receives the chunks that one neighbour holds until ctx ends, and
+// followNeighbour receives reports of which chunks one neighbour holds until ctx ends, and
 // reconnects after errors.
 func (w *weights) followNeighbour(ctx context.Context, t *transfer, host string) {
 	for ctx.Err() == nil {
@@ -78,7 +78,7 @@
 	w.schedule(t)
 }
 
-// handleHave sends a neighbour the chunks of a version that this host holds: first all
+// handleHave reports to a neighbour which chunks of a version this host holds: first all
 // of them, then those that are added.
 func (w *weights) handleHave(ctx context.Context, s *peer.Stream, m *peer.Have) {
 	h := w.awaitHolding(ctx, m.Manifest)
@@ -105,8 +105,9 @@
 	}
 }
 
-// haveMessage returns a message with a bitmap if it is the first one, and with a list
-// of the added chunks otherwise. It returns nil if there is nothing to send.
+// haveMessage returns a message that reports the chunks in more. It has a bitmap if it is
+// the first message, that is, if sent is 0, and a list of the added chunks otherwise.
+// haveMessage returns nil if there is nothing to send.
 func haveMessage(id digest.Digest, count, sent int, more []uint32) *peer.Have {
 	if len(more) == 0 {
 		return nil
@@ -138,7 +139,7 @@
 	}
 }
 
-// handleGetChunk serves a chunk or manifest at the rate of the link. If this host is
+// handleGetChunk sends a chunk or manifest to a peer, within Config.LinkRate. If this host is
 // still fetching the chunk, it waits for the chunk for at most the time that the peer
 // allows.
 func (w *weights) handleGetChunk(ctx context.Context, s *peer.Stream, m *peer.GetChunk) {
@@ -150,8 +151,8 @@
 	_ = s.SendLast(ctx, &peer.Blob{Found: b != nil, Pending: pending, Data: b})
 }
 
-// recheckInterval is how often a waiting request checks whether the chunk is still
-// pending.
+// recheckInterval is how often a peer's request that waits for a chunk checks whether the
+// chunk is still expected to arrive.
 const recheckInterval = time.Second
 
 func (w *weights) awaitChunk(ctx context.Context, m *peer.GetChunk) (b []byte, pending bool) {
@@ -180,8 +181,8 @@
 	}
 }
 
-// arrival returns a channel that is closed when the chunk arrives or, if the version is
-// not known here yet, when one becomes known.
+// arrival returns a channel that is closed when the chunk arrives or, if its version is
+// not known here yet, when any further version becomes known.
 func (w *weights) arrival(m *peer.GetChunk) <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/agent/link.go
+++ b/agent/link.go
@@ -7,8 +7,9 @@
 	"golang.org/x/time/rate"
 )
 
-// linkPacer limits the rate of weight transfer in one direction. Live traffic is never
-// delayed, but its bytes count against the rate, so that weight transfer yields to it.
+// linkPacer limits the rate of weight transfer in one direction. Live traffic, the bytes of
+// requests and answers, is never delayed, but counts against the rate, so that weight
+// transfer yields to it.
 type linkPacer struct{ limiter *rate.Limiter }
 
 // linkBurst is the burst size of the limiter, in bytes.
--- a/agent/manifest.go
+++ b/agent/manifest.go
@@ -15,9 +15,10 @@
 	"github.com/springgate/springgate/weightstore"
 )
 
-// fetchManifest fetches a manifest and retries until it succeeds. All hosts derive the
-// same few readers of a manifest. Only these read it from a source first, and the other
-// hosts fetch it from them, so that sources receive few reads.
+// fetchManifest fetches a manifest and retries until it succeeds. All hosts compute
+// the same few hosts as the readers of a manifest. Only the readers read the manifest from a
+// source first, and the other hosts fetch it from the readers, so that sources receive few
+// reads.
 func (w *weights) fetchManifest(t *transfer, goal intent.Spread) {
 	for t.ctx.Err() == nil {
 		m, b, err := w.readManifest(t)
--- a/agent/permits.go
+++ b/agent/permits.go
@@ -12,11 +12,13 @@
 	"github.com/springgate/springgate/rollout"
 )
 
-// permitTimeout bounds a call to the issuer.
+// permitTimeout bounds a call to the issuer, the host that grants the permits of a
+// service.
 const permitTimeout = time.Second
 
-// permits acquires the permits to switch versions for this host's engine. On the host
-// that is the issuer of the service it also issues them.
+// permits acquires the permits to take this host's engine out of service for a version
+// switch. A permit is a lease. On the host that is the issuer of the service, permits also
+// issues them to the other hosts.
 type permits struct {
 	cfg  Config
 	node *control.Node
@@ -24,7 +26,7 @@
 
 	mu         sync.Mutex
 	issuers    map[string]*rollout.Issuer
-	downSince  map[string]time.Time // by host: since when it is not live
+	downSince  map[string]time.Time // by host: since when the host is not live
 	registered bool                 // the issuer has a permit or an unavailability report of this host
 	renewedAt  time.Time
 	granted    bool
@@ -51,11 +53,11 @@
 	return membership.First("permit/"+service, live)
 }
 
-// renewalsPerLease is the number of renewals within one lease.
+// renewalsPerLease is the number of renewals of a permit within the duration of its lease.
 const renewalsPerLease = 4
 
 // acquire requests or renews a permit and reports whether it is granted. A granted
-// permit is assumed valid until the next renewal is due.
+// permit is assumed valid, without a call to the issuer, until the next renewal is due.
 func (p *permits) acquire(ctx context.Context, service string) bool {
 	p.mu.Lock()
 	fresh := p.fresh(p.granted)
@@ -98,11 +100,11 @@
 	}
 }
 
-// recordRenewal records the time of a renewal, whether or not the issuer has answered.
+// recordRenewal records the time of a renewal attempt, whether or not the issuer has answered.
 func (p *permits) recordRenewal() { p.renewedAt = clock.Now() }
 
-// fresh reports whether a permit or report that the issuer has, as given by known, is
-// not due for renewal yet.
+// fresh reports whether a permit or unavailability report is not due for renewal yet.
+// known states whether the issuer has one of this host at all.
 func (p *permits) fresh(known bool) bool {
 	return known && clock.Since(p.renewedAt) < p.lease()/renewalsPerLease
 }
@@ -162,8 +164,8 @@
 	return &peer.PermitReply{Granted: d.Granted, LeaseMs: d.Lease.Milliseconds(), RetryMs: d.Retry.Milliseconds()}
 }
 
-// issuer returns the issuer of a service after updating whether it is active. The caller
-// must hold the lock.
+// issuer returns the state of the issuer of a service, after updating whether this host is
+// the active issuer. The caller must hold p.mu.
 func (p *permits) issuer(now time.Time, s *control.Snapshot, service string) *rollout.Issuer {
 	is := p.issuers[service]
 	if is == nil {
@@ -175,7 +177,8 @@
 }
 
 // refresh updates whether this host is the active issuer of its service, so that the
-// initial wait of a new issuer starts when it becomes one and not at the first request.
+// wait of a new issuer for the end of earlier leases starts when the host becomes the issuer
+// and not at the first request.
 func (p *permits) refresh(s *control.Snapshot) {
 	if s.Fleet() == nil {
 		return
--- a/agent/requests.go
+++ b/agent/requests.go
@@ -16,7 +16,7 @@
 	"github.com/springgate/springgate/peer"
 )
 
-// expireInterval is how often expired records are removed.
+// expireInterval is how often expired records of attempts and keys are removed.
 const expireInterval = time.Second
 
 // attempt is one accepted attempt of a request.
@@ -27,10 +27,10 @@
 	dispatch        *peer.Dispatch
 	deadline        time.Time
 	answer          *answer
-	admissionResult chan intake.Refusal // receives one value: run if Reason is empty
+	admissionResult chan intake.Refusal // receives one value: the attempt may run if Reason is empty
 	started         time.Time
 	ended           time.Time
-	heldBytes       int64 // bytes of the held answer
+	heldBytes       int64 // size of the answer while it is retained after the end, in bytes
 }
 
 // requests tracks the attempts of this agent. Its state is owned by the loop's
@@ -53,7 +53,7 @@
 // readiness is the target's state as determined by the supervisor.
 type readiness struct {
 	ready   bool
-	loadout string // loadout that answers must name; empty for plain services
+	loadout string // ID of the loadout that the target's answers must name; empty for plain services
 }
 
 func newRequests(cfg Config, node *control.Node, targetReadiness func() readiness, active *sync.WaitGroup) *requests {
@@ -171,8 +171,8 @@
 		Key: d.Key, Fingerprint: d.Fingerprint, Urgency: int(d.Urgency), Deadline: deadline}
 }
 
-// heldAnswer returns the answer of a finished attempt. If it is no longer held, it turns
-// the decision into a refusal.
+// heldAnswer returns the retained answer of a finished attempt. If the answer has been
+// discarded, heldAnswer changes the decision in b to a refusal and returns nil.
 func (r *requests) heldAnswer(b *beginResult, id idempotency.AttemptID) *answer {
 	if att := r.attempts[id]; att != nil {
 		return att.answer
@@ -181,8 +181,8 @@
 	return nil
 }
 
-// cancelQueued cancels a queued request whose stream has ended. It reports false if the
-// request is no longer queued.
+// cancelQueued cancels a queued request whose stream has ended, and reports whether the
+// request was still queued.
 func (r *requests) cancelQueued(att *attempt) bool {
 	if !r.intake.Cancel(clock.Now(), att.id) {
 		return false
--- a/agent/run.go
+++ b/agent/run.go
@@ -18,7 +18,8 @@
 // readSize is the size of the buffer for reads from a target, in bytes.
 const readSize = 16 << 10
 
-// keyFenceTimeout bounds the calls to all earlier homes of a key.
+// keyFenceTimeout bounds the calls to all earlier homes of an idempotency key together. The
+// home of a key is the host that keeps its record.
 const keyFenceTimeout = 2 * time.Second
 
 // handleDispatch serves one attempt from its arrival to its end.
@@ -137,8 +138,8 @@
 	a.send(ctx, s, att.dispatch.Attempt, att.answer, 0, true, false)
 }
 
-// awaitDelivery delays the end of a drain until the answer has been delivered, at most
-// until the resume grace after the request's deadline.
+// awaitDelivery delays the end of a drain until the answer has been delivered to an entry,
+// but for at most Config.ResumeGrace after the request's deadline.
 func (a *Agent) awaitDelivery(att *attempt) {
 	defer a.active.Done()
 	limit := clock.Until(att.deadline) + a.cfg.ResumeGrace
@@ -150,8 +151,8 @@
 	}
 }
 
-// execute runs the request on the target and fills its answer. Without an attached
-// stream it continues until the resume grace has passed.
+// execute runs the request on the target and fills its answer. While no stream to an entry
+// is attached, the request continues for at most Config.ResumeGrace.
 func (a *Agent) execute(s *peer.Stream, att *attempt) {
 	ctx, cancel := clock.WithDeadline(a.ctx, att.deadline)
 	defer cancel()
@@ -167,8 +168,8 @@
 }
 
 // finish ends a request that ran. failure is the reason why its answer is incomplete, or
-// "". The record is written before the answer ends, because a caller that has received the
-// end may repeat its key immediately.
+// "". The attempt's record is written before the end of the answer, because a caller that
+// has received the end may repeat its key immediately.
 func (a *Agent) finish(att *attempt, failure outcome.Reason) {
 	_ = a.requests.loop.Call(func() { a.requests.recordFinished(att, failure == "") })
 	if failure != "" {
@@ -210,7 +211,7 @@
 	return req
 }
 
-// relay copies the target's answer into the buffer. It returns the reason why the answer
+// relay copies the target's answer into the buffer of the attempt. It returns the reason why the answer
 // is incomplete, or "".
 func (a *Agent) relay(ctx context.Context, att *attempt, resp *http.Response) outcome.Reason {
 	head := &peer.Head{Attempt: att.dispatch.Attempt, Status: resp.StatusCode, Version: resp.Header.Get(target.LoadoutHeader)}
--- a/agent/supervisor.go
+++ b/agent/supervisor.go
@@ -20,11 +20,11 @@
 // Intervals and time-outs of the supervisor.
 const (
 	superviseInterval = 100 * time.Millisecond
-	// orderGrace is how long a new process waits before it sends an order to an
-	// engine that does not check fencing tokens. By then an order of the previous
-	// process has arrived or timed out.
+	// orderGrace is how long a new agent process waits before it sends a load
+	// order to an engine that does not check fencing tokens. By then an order of
+	// the previous agent process has arrived or timed out.
 	orderGrace = 6 * time.Second
-	// orderRetry is the back-off after an order has failed or timed out.
+	// orderRetry is the back-off after a load order has failed or timed out.
 	orderRetry = 2 * time.Second
 	// drainLimit bounds the wait for running requests before a version switch.
 	drainLimit = 2 * time.Minute
@@ -62,7 +62,7 @@
 
 	boot         string // identifies the engine's process start for which chunks were staged
 	stagedChunks map[stagedChunk]bool
-	orderedAt    time.Time // time of the outstanding order; zero if none
+	orderedAt    time.Time // time of the outstanding load order; zero if none
 	drainSince   time.Time
 	notBefore    time.Time
 }
@@ -77,8 +77,8 @@
 	return s
 }
 
-// readiness returns whether the target accepts requests, and the loadout that its answers
-// must name.
+// readiness returns whether the target accepts requests, and the ID of the loadout that
+// the target's answers must name.
 func (s *supervisor) readiness() readiness {
 	r := *s.state.Load()
 	r.ready = r.ready && !s.draining.Load()
@@ -136,7 +136,7 @@
 	}
 }
 
-// step takes the next step towards the wanted loadout.
+// step reads the engine's status and takes the next step towards the wanted loadout.
 func (s *supervisor) step(ctx context.Context) {
 	service, kind, want := s.wanted()
 	switch kind {
@@ -219,7 +219,7 @@
 		return false
 	}
 	if now.Sub(s.orderedAt) < s.cfg.LoadTimeout {
-		s.permits.acquire(ctx, service) // renew
+		s.permits.acquire(ctx, service) // renew the permit
 		return true
 	}
 	s.log.Warn("Engine did not load the ordered versions in time.")
@@ -227,7 +227,7 @@
 	return true
 }
 
-// abandon aborts a version switch until the next retry. The engine keeps its current
+// abandon aborts a version switch, which is retried after orderRetry. The engine keeps its current
 // versions.
 func (s *supervisor) abandon(ctx context.Context, service string) {
 	s.orderedAt = time.Time{}
@@ -236,9 +236,9 @@
 	s.permits.release(ctx, service)
 }
 
-// mayOrder reports whether a load order may be sent now. It may not after a pause of the
-// process, until its state is up to date again. If the engine does not check fencing
-// tokens, it may not while an order of the previous process may still be in transit.
+// mayOrder reports whether a load order may be sent now. None may be sent after a
+// pause of this process until its state is up to date again, nor, if the engine does not
+// check fencing tokens, while an order of the previous process may still be in transit.
 func (s *supervisor) mayOrder(now time.Time) bool {
 	if !s.node.Awake(now) {
 		return false
--- a/agent/suspension_test.go
+++ b/agent/suspension_test.go
@@ -32,8 +32,8 @@
 }
 
 // Guards against deadlines that do not include the time of a suspension of the machine. A
-// queued request would then start after its deadline and occupy the slot of one with time
-// left, and a running request would continue past its deadline.
+// queued request would then start after its deadline and occupy the slot of a request with
+// time left, and a running request would continue past its deadline.
 func TestDeadlineIncludesSuspension(t *testing.T) {
 	const timeout = 2 * time.Second
 	for _, d := range []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second} {
--- a/agent/weights.go
+++ b/agent/weights.go
@@ -59,11 +59,11 @@
 	holdings     map[digest.Digest]*holding
 	holdingAdded chan struct{} // closed and replaced when a holding is added
 
-	// The fields below are owned by the loop.
+	// The fields below are accessed only on the goroutine of loop.
 	ctx       context.Context
 	wanted    target.Loadout
 	nodes     []spread.Node
-	nodesKey  string // identifies the nodes for which the readers were computed
+	nodesKey  string // identifies the nodes for which the readers (see readers) were computed
 	sources   map[intent.SourceKind]*weightstore.Client
 	transfers map[digest.Digest]*transfer
 }
@@ -133,7 +133,7 @@
 	seen := map[intent.SourceKind]bool{}
 	for _, src := range f.Sources {
 		if seen[src.Kind] {
-			continue // the first one of each kind is used
+			continue // the first source of each kind is used
 		}
 		seen[src.Kind] = true
 		if c := w.sources[src.Kind]; c == nil || c.Base() != src.URL {
@@ -147,7 +147,8 @@
 	}
 }
 
-// participants returns the hosts of the service that are in the host list and not gone.
+// participants returns the hosts of the service that are known members and not in state
+// membership.Gone, that is, unlisted and without recent contact.
 func participants(s *control.Snapshot, svc *intent.Service) []spread.Node {
 	var out []spread.Node
 	for _, h := range svc.Hosts {
@@ -179,7 +180,7 @@
 	for id, t := range w.transfers {
 		keep[id] = true
 		if t.manifest == nil {
-			return // it may share chunks with those held
+			return // this version, whose chunks are not known yet, may share chunks with those held
 		}
 		for _, d := range t.manifest.Chunks {
 			keep[d] = true
@@ -248,8 +249,9 @@
 	}
 }
 
-// progress returns how many chunks of the wanted versions are held and how many there
-// are in the versions with a known manifest. complete is true if all versions are held.
+// progress returns how many chunks of the wanted versions are held here and how many
+// chunks the wanted versions with a known manifest have in total. complete is true if all
+// chunks of all wanted versions are held.
 func (w *weights) progress() (have, want int, complete bool) {
 	_ = w.loop.Call(func() {
 		complete = len(w.transfers) > 0
