--- a/entry/body.go
+++ b/entry/body.go
@@ -62,8 +62,8 @@
 func (b *requestBody) present() bool  { return len(b.buffered) > 0 }
 func (b *requestBody) streamed() bool { return b.rest != nil }
 
-// fingerprint returns a hash of method, URI and buffered body. It detects an
-// idempotency key that is reused for a different request.
+// fingerprint returns a hash of method, URI and buffered body, by which an agent
+// detects an idempotency key that is reused for a different request.
 func (b *requestBody) fingerprint(r *http.Request, uri string) [32]byte {
 	h := sha256.New()
 	_, _ = io.WriteString(h, r.Method+" "+uri+"\n")
--- a/entry/capacity_test.go
+++ b/entry/capacity_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// BenchmarkCapacityTargets measures the idle cost per process of a fleet with
+// BenchmarkCapacityTargets measures the cost per process of an idle fleet with
 // one entry and a number of agents: status messages, heartbeats and the memory
 // of the connections.
 func BenchmarkCapacityTargets(b *testing.B) {
--- a/entry/config.go
+++ b/entry/config.go
@@ -17,15 +17,16 @@
 	Control control.Config
 	// Listen is the address on which requests from callers are accepted.
 	Listen string
-	// Subset is the number of targets per service that the entry keeps
-	// connections to. A larger subset balances the load more evenly but
+	// Subset is the number of targets per service to whose agents the entry
+	// keeps connections. A larger subset balances the load more evenly but
 	// costs more connections and status messages. Default 64.
 	Subset int
 	// ShutdownDelay is how long an entry that shuts down keeps accepting
 	// requests after /readyz has started to fail, so that the load balancer
 	// can take it out of rotation first. Default 5 s.
 	ShutdownDelay time.Duration
-	// DrainTimeout bounds the subsequent wait for requests in flight.
+	// DrainTimeout bounds the wait for requests in flight that follows
+	// ShutdownDelay.
 	// Default 10 min.
 	DrainTimeout time.Duration
 	// MaxBody is the maximum size of a request body in bytes. Default 64 MiB.
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -31,7 +31,7 @@
 )
 
 // Parameters of the exponentially decaying samples behind the histograms, as
-// recommended by go-metrics.
+// recommended by go-metrics: the number of values in a sample and the decay factor.
 const (
 	sampleSize  = 1028
 	sampleAlpha = 0.015
--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -24,7 +24,8 @@
 	// agent to report the result, since only the agent can prove that a
 	// request did not run.
 	resultGrace = 250 * time.Millisecond
-	// fenceTimeout bounds one fence call.
+	// fenceTimeout bounds one fence call, which queries an agent for the state
+	// of an attempt.
 	fenceTimeout = time.Second
 	// fenceBackoff is the back-off before the second fence call; it doubles for
 	// each further one.
@@ -47,8 +48,8 @@
 
 	machine     *submission.Machine
 	host        membership.Member   // of the current attempt
-	endpoint    *routing.Endpoint   // nil for the home host of an idempotency key
-	incarnation uint64              // incarnation of that host's agent
+	endpoint    *routing.Endpoint   // counters of that host; nil if it was chosen as the home of an idempotency key
+	incarnation uint64              // process start of that host's agent
 	tried       []string            // hosts selected so far, excluded from further selection
 	stream      *peer.Stream        // of the current attempt
 	bodyErr     chan outcome.Reason // failure to read the request body
@@ -203,7 +204,7 @@
 	return submission.Action{}
 }
 
-// tryOf returns the try number of a frame. For a frame of another submission
+// tryOf returns the try number, the number of the attempt, of a frame. For a frame of another submission
 // it returns 0, which is not a valid try number.
 func (x *exchange) tryOf(a peer.Attempt) uint16 {
 	if a.ID != x.id {
@@ -212,9 +213,9 @@
 	return a.Try
 }
 
-// streamFailed handles an error of the stream. It distinguishes a failure to
-// read the request body, a disconnected caller and an expired deadline from a
-// lost connection.
+// streamFailed handles an error of the stream. It distinguishes a lost
+// connection from a failure to read the request body, a disconnected caller and
+// an expired deadline, which also end the stream.
 func (x *exchange) streamFailed(ctx context.Context) submission.Action {
 	select {
 	case reason := <-x.bodyErr:
@@ -239,8 +240,8 @@
 	return submission.Action{}, false
 }
 
-// fence queries the state of the current attempt at its agent, which bars the
-// attempt from running if it has not arrived there yet.
+// fence queries the state of the current attempt at its agent. If the attempt has
+// not arrived there yet, the agent bars it from running.
 func (x *exchange) fence(ctx context.Context) submission.Action {
 	x.release(false)
 	if x.fences > 0 {
@@ -317,8 +318,8 @@
 	return x.machine.BackoffElapsed(true)
 }
 
-// forward writes the last message, the head or data of the response, to the
-// caller.
+// forward writes the last message received, the head or data of the response, to
+// the caller.
 func (x *exchange) forward() error {
 	switch m := x.lastMessage.(type) {
 	case *peer.Head:
@@ -375,8 +376,8 @@
 // rng returns a random number generator for use by a single goroutine.
 func (e *Entry) rng() *rand.Rand { return rand.New(globalSource{}) }
 
-// globalSource draws from the runtime's generator, which is safe for
-// concurrent use.
+// globalSource draws from the runtime's random number generator, which is safe
+// for concurrent use.
 type globalSource struct{}
 
 // Uint64 implements rand.Source.
--- a/entry/fleet_test.go
+++ b/entry/fleet_test.go
@@ -259,7 +259,7 @@
 	f.publish(0)
 	f.waitReady("plain")
 	var key string
-	f.waitFor("an idempotency key is accepted", func() bool { // once the agents know its home hosts for a full key window
+	f.waitFor("an idempotency key is accepted", func() bool { // once the agents know the service's past hosts for a full key window
 		key = newKey()
 		return f.call("plain", key, caller.HeaderIdempotencyKey, key, caller.HeaderRepeatable, "no").status == http.StatusOK
 	})
--- a/entry/overload_test.go
+++ b/entry/overload_test.go
@@ -18,7 +18,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Parameters of the overload benchmark.
+// Parameters of the overload benchmark. overloadSlots is the number of requests that a
+// target runs at once, and overloadLatency the time that a request takes there.
 const (
 	overloadTeams    = 10
 	overloadHosts    = 2
@@ -28,8 +29,8 @@
 )
 
 // BenchmarkOverload offers a load of one and two times the capacity of the
-// targets. Team t0 sends half of the requests, and nine small teams share the
-// rest.
+// targets. Team t0 sends half of the requests, and nine small teams send the
+// other half together.
 func BenchmarkOverload(b *testing.B) {
 	for _, factor := range []int{1, 2} {
 		b.Run(fmt.Sprintf("offered=%dx", factor), func(b *testing.B) {
--- a/entry/server.go
+++ b/entry/server.go
@@ -13,8 +13,8 @@
 	"github.com/zeromicro/go-zero/rest"
 )
 
-// Timeouts of the HTTP server. Responses have none, because a stream may take
-// arbitrarily long.
+// Timeouts of the HTTP server. Responses have no timeout, because a streamed
+// response may take arbitrarily long.
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
@@ -22,7 +22,7 @@
 
 // newServer returns the HTTP server. Routing uses go-zero's rest package with
 // its timeout, body limit, load shedding, circuit breaker and connection limit
-// disabled, because requests that they reject are missing from the entry's
+// disabled, because requests that these reject would be missing from the entry's
 // metrics. The entry provides its own listener, because rest closes its
 // listener as soon as SIGTERM arrives.
 func (e *Entry) newServer() (*http.Server, error) {
--- a/entry/server_test.go
+++ b/entry/server_test.go
@@ -14,8 +14,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// By default go-zero ends its process 5.5 s after SIGTERM. A stream that takes
-// longer than that must still complete.
+// By default go-zero ends the process in which it runs 5.5 s after SIGTERM. A
+// stream that takes longer than that must still complete.
 func TestStreamSurvivesLibrarySignalHandler(t *testing.T) {
 	f := newFleet(t, 1, 0)
 	f.publish(0)
@@ -43,7 +43,8 @@
 	}
 }
 
-// By default go-zero limits request bodies to 1 MB and responses to 3 s.
+// By default go-zero limits request bodies to 1 MB and the duration of responses
+// to 3 s. Neither limit may apply to the entry.
 func TestLibraryLimitsAreDisabled(t *testing.T) {
 	f := newFleet(t, 0, 1)
 	f.publish(0)
--- a/entry/targets.go
+++ b/entry/targets.go
@@ -30,9 +30,9 @@
 	status   peer.Status
 }
 
-// targets maintains the connections to agents and publishes a routing table
-// for each service. The event loop owns its state; request handling only reads
-// the published tables.
+// targets maintains the connections to agents and publishes a routing table, the
+// set of hosts that may receive requests, for each service. The event loop owns
+// the state of targets; request handling only reads the published tables.
 type targets struct {
 	cfg  Config
 	node *control.Node
@@ -42,7 +42,7 @@
 
 	tables atomic.Pointer[map[string]*routing.Table]
 
-	// The loop owns the following fields.
+	// The following fields are accessed only on the goroutine of loop.
 	ctx      context.Context
 	hosts    map[string]*watchedHost
 	ejectors map[string]*routing.Ejector
@@ -106,8 +106,8 @@
 	return out
 }
 
-// listedHosts returns the hosts of a service that are in the host list and not
-// gone.
+// listedHosts returns the hosts of a service that are known members and not in
+// state membership.Gone, that is, unlisted and without recent contact.
 func listedHosts(s *control.Snapshot, svc *intent.Service) []routing.Node {
 	var out []routing.Node
 	for _, h := range svc.Hosts {
@@ -146,7 +146,7 @@
 		m, err := receiveMessage(ctx, s)
 		if err != nil {
 			if ctx.Err() == nil {
-				c.Close() // it may be stalled; the next attempt dials a new one
+				c.Close() // the connection may be stalled; the next attempt dials a new one
 			}
 			return
 		}
@@ -232,6 +232,7 @@
 	return kept
 }
 
-// scheduleRebuild schedules an immediate rebuild after repeated failures of a
-// host, so that the host can be ejected.
+// scheduleRebuild schedules an immediate rebuild of the routing tables after
+// repeated failures of a host, so that the host can be ejected, that is,
+// temporarily excluded.
 func (t *targets) scheduleRebuild() { t.loop.Post(t.rebuild) }
