--- a/intent/fleet.go
+++ b/intent/fleet.go
@@ -81,10 +81,11 @@
 	URL  string
 }
 
-// Team is a customer with a share of the fleet.
+// Team is a customer with a share of the fleet's capacity.
 type Team struct {
 	Name string
-	// Weight is the team's share relative to the other teams.
+	// Weight is the team's share of the capacity of a target, relative to the
+	// weights of the other teams.
 	Weight int
 	// Concurrency limits the team's running requests on one target; 0 is no limit.
 	Concurrency int
