--- a/control/node_test.go
+++ b/control/node_test.go
@@ -34,7 +34,8 @@
 		before, _ := f.platform.Calls()
 		f.publish(t, 40, 1)
 		after, peak := f.platform.Calls()
-		// Each reader may read the head, watch again and read the one part.
+		// Each of the 6 readers, 3 in each of 2 failure domains, may read the head,
+		// watch the head again and read the one part.
 		assert.Assert(t, after-before <= 6*4, "%d calls for one revision", after-before)
 		assert.Assert(t, peak <= 400, "peak of %d calls in one second", peak)
 	})
