--- a/intake/intake.go
+++ b/intake/intake.go
@@ -105,7 +105,7 @@
 }
 
 // Arrive decides on an attempt. fenced is true once all earlier homes of its key
-// have fenced it.
+// have fenced the key.
 func (k *Intake) Arrive(now time.Time, h HostState, a Attempt, fenced bool) (Decision, Effects) {
 	switch k.table.Begin(a.ID) {
 	case idempotency.Unseen:
