--- a/submission/replay_test.go
+++ b/submission/replay_test.go
@@ -173,8 +173,8 @@
 }
 
 // arrive delivers a dispatch to an agent. If the agent needs to fence the key at earlier
-// homes, the fences are answered at once. The attempt is refused if a home does not exist or has a
-// record of the key.
+// homes, the fences are answered at once. The attempt is refused if a home does not exist
+// or has a record of the key.
 func (p *replayer) arrive(r *traceRequest, a *traceAgent, fenced bool) intake.Decision {
 	att := intake.Attempt{ID: r.attempt(), Incarnation: r.incarnation, Service: service, Team: simTeam, Key: r.key,
 		Urgency: 3, Deadline: p.now.Add(time.Hour)}
