--- a/agent/answer.go
+++ b/agent/answer.go
@@ -131,7 +131,8 @@
 	failure outcome.Reason
 }
 
-// next returns the part of the answer at offset and waits until it is available.
+// next waits for the next part of the answer and returns it: the head if needHead is set,
+// otherwise data from offset on or the end; or the failure, if the answer is incomplete.
 func (a *answer) next(ctx context.Context, offset int64, needHead bool) (answerPart, error) {
 	for {
 		a.mu.Lock()
--- a/agent/config.go
+++ b/agent/config.go
@@ -52,7 +52,8 @@
 	// Zero means no limit.
 	LinkRate float64
 	// HaveInterval is the minimum time between two messages to a neighbour, a
-	// host that exchanges chunks with this one, about chunks newly stored here. Default 200 ms.
+	// host that exchanges chunks with this one, about chunks newly stored here.
+	// Default 200 ms.
 	HaveInterval time.Duration
 
 	Idempotency idempotency.Config
--- a/agent/finish_test.go
+++ b/agent/finish_test.go
@@ -82,7 +82,8 @@
 
 // A caller that has received the end of an answer and repeats the request must get that
 // answer again or the reason why it is not available. If the record of the attempt were
-// written after the answer's end, the repeat could be refused because the request seems to be running still.
+// written after the answer's end, the repeat could be refused because the request seems to
+// be running still.
 func TestRecordIsWrittenBeforeAnswerEnds(t *testing.T) {
 	const recordDelay = 100 * time.Millisecond // how long the loop, which writes the record, is blocked
 	for name, c := range map[string]struct {
--- a/agent/requests.go
+++ b/agent/requests.go
@@ -247,7 +247,8 @@
 	}
 }
 
-// fence returns the state of an attempt, and fences the attempt if it has not arrived yet.
+// fence returns the state of an attempt, and bars the attempt from running if it has not
+// arrived yet.
 func (r *requests) fence(f *peer.Fence) *peer.FenceReply {
 	if f.Incarnation != r.cfg.Control.Incarnation {
 		return &peer.FenceReply{State: peer.AttemptUnknown}
--- a/agent/run.go
+++ b/agent/run.go
@@ -211,8 +211,8 @@
 	return req
 }
 
-// relay copies the target's answer into the buffer of the attempt. It returns the reason why the answer
-// is incomplete, or "".
+// relay copies the target's answer into the buffer of the attempt. It returns the reason
+// why the answer is incomplete, or "".
 func (a *Agent) relay(ctx context.Context, att *attempt, resp *http.Response) outcome.Reason {
 	head := &peer.Head{Attempt: att.dispatch.Attempt, Status: resp.StatusCode, Version: resp.Header.Get(target.LoadoutHeader)}
 	if want := a.supervisor.readiness().loadout; want != "" && head.Version != "" && head.Version != want {
@@ -265,7 +265,8 @@
 	}
 }
 
-// send sends an answer, starting at offset, on a stream until the answer ends.
+// send sends an answer, starting at offset, on a stream until the answer ends. If needHead
+// is set, the head is sent first. replay marks the head as that of an earlier run.
 func (a *Agent) send(ctx context.Context, s *peer.Stream, id peer.Attempt, ans *answer, offset int64, needHead, replay bool) {
 	for {
 		p, err := ans.next(ctx, offset, needHead)
--- a/agent/supervisor.go
+++ b/agent/supervisor.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// step reads the engine's status and takes the next step towards the wanted loadout.
+// step takes the next step towards the loadout that the engine must load.
 func (s *supervisor) step(ctx context.Context) {
 	service, kind, want := s.wanted()
 	switch kind {
@@ -227,8 +227,8 @@
 	return true
 }
 
-// abandon aborts a version switch, which is retried after orderRetry. The engine keeps its current
-// versions.
+// abandon aborts a version switch, which is retried after orderRetry. The engine keeps its
+// current versions.
 func (s *supervisor) abandon(ctx context.Context, service string) {
 	s.orderedAt = time.Time{}
 	s.notBefore = clock.Now().Add(orderRetry)
