--- a/entry/exchange.go
+++ b/entry/exchange.go
@@ -204,8 +204,8 @@
 	return submission.Action{}
 }
 
-// tryOf returns the try number, the number of the attempt, of a frame. For a frame of another submission
-// it returns 0, which is not a valid try number.
+// tryOf returns the try number, the number of the attempt, of a frame. For a frame of
+// another submission it returns 0, which is not a valid try number.
 func (x *exchange) tryOf(a peer.Attempt) uint16 {
 	if a.ID != x.id {
 		return 0
