--- a/control/node_test.go
+++ b/control/node_test.go
@@ -23,7 +23,8 @@
 // Only the readers watch the platform and the other processes receive revisions
 // from peers, so the number of platform calls per revision is bounded. The test
 // runs in virtual time, because a process that was paused for longer than
-// PauseThreshold reads the platform by design, and on a busy machine many are.
+// PauseThreshold reads the platform by design, and on a busy machine many
+// processes are paused for that long.
 func TestPlatformCallsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := startFleetInMemory(t, 40, 40, 2)
@@ -33,7 +34,8 @@
 		before, _ := f.platform.Calls()
 		f.publish(t, 40, 1)
 		after, peak := f.platform.Calls()
-		// Each reader may read the head, watch again and read the one part.
+		// Each of the 6 readers, 3 in each of 2 failure domains, may read the head,
+		// watch the head again and read the one part.
 		assert.Assert(t, after-before <= 6*4, "%d calls for one revision", after-before)
 		assert.Assert(t, peak <= 400, "peak of %d calls in one second", peak)
 	})
@@ -49,8 +51,8 @@
 	return n
 }
 
-// Revisions come into force while the platform rejects most calls, and after it
-// was down for a while.
+// Revisions must come into force while the platform rejects most calls, and after
+// the platform was down for a while.
 func TestRevisionsWhilePlatformFails(t *testing.T) {
 	f := startFleet(t, 12, 12, 3)
 	defer f.close()
