--- a/soak/backoff.go
+++ b/soak/backoff.go
@@ -9,7 +9,7 @@
 
 // Parameters of targets that refuse requests and request back-off.
 const (
-	backoffOneIn = 3 // one target in this many does
+	backoffOneIn = 3 // one target in this many refuses requests
 	// backoffMin and backoffMax bound how long such a target refuses requests.
 	backoffMin = 3 * time.Second
 	backoffMax = 6 * time.Second
@@ -17,7 +17,7 @@
 
 // Bounds of InvariantBackoff, as the platform documents them.
 const (
-	backoffGrace        = 500 * time.Millisecond // after the response; arrivals within it are not counted
+	backoffGrace        = 500 * time.Millisecond // requests that arrive within this time after the response that requests back-off are not counted
 	backoffAllowedSends = 2                      // requests of one entry during one back-off
 )
 
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -20,10 +20,10 @@
 const (
 	callersPerEntry = 4
 	callDeadline    = 3 * time.Second
-	clientTimeout   = 10 * time.Second // of a caller that gets no response
-	thinkTime       = 25 * time.Millisecond
+	clientTimeout   = 10 * time.Second      // after which a caller without a response gives up
+	thinkTime       = 25 * time.Millisecond // mean pause of a caller between two requests
 	permanentKey    = "key-lasting"
-	recentKeys      = 4 // number of latest rotating keys that callers use
+	recentKeys      = 4 // callers use the rotating keys of this many latest configurations
 )
 
 // kind is one kind of request.
--- a/soak/connectivity.go
+++ b/soak/connectivity.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// storeReachableWindow is how long an entry must have had no fault between it and the
-// store to count as able to reach the store: propagationBound plus the longest pause
-// between retries.
+// storeReachableWindow is how long there must have been no fault between an entry and the
+// store for the entry to count as able to reach the store: propagationBound plus the
+// longest pause between an entry's retries of a store call.
 const storeReachableWindow = 3 * time.Second
 
 // reachability tracks the faults that separate one process, or all of them, from the
@@ -33,7 +33,8 @@
 	r.lastEnded = time.Now()
 }
 
-// reachable reports whether there has been no fault for storeReachableWindow.
+// reachable reports whether no recorded fault was in progress during the last
+// storeReachableWindow.
 func (r *reachability) reachable() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/soak/crash.go
+++ b/soak/crash.go
@@ -16,22 +16,22 @@
 	waveDuration     = 3 * time.Second
 	waveMeanInterval = 120 * time.Millisecond // mean time between two attempts
 	// wavePause is the time until entries that were restarted after the first wave count
-	// as able to reach the store. The second wave lasts longer than wavePause, and than
-	// settleTime after a restart, so that sentAfterQuarantine also judges requests through
-	// restarted entries.
+	// as able to reach the store. The second wave outlasts settleTime, after which their
+	// restart no longer counts as a fault, so that sentAfterQuarantine also judges requests
+	// through restarted entries.
 	wavePause        = storeReachableWindow
 	lastWaveDuration = settleTime + 3*time.Second
 )
 
 // Bounds of InvariantCrashLimit.
 const (
-	crashesToQuarantine  = 3 // targets that it must have crashed
-	sendsAfterQuarantine = 3 // times that it may reach a target after that
+	crashesToQuarantine  = 3 // targets that a request must have crashed before entries must quarantine (refuse) it
+	sendsAfterQuarantine = 3 // times that the request may reach a target after that
 )
 
 // sendCrashingRequests repeatedly sends a request that crashes each target that runs it,
-// to random entries. Between the two waves all entries are killed one after the other,
-// killed at the same time, or left running.
+// to random entries. Between the two waves all entries are restarted by SIGKILL one
+// after the other, restarted so at the same time, or left running.
 func sendCrashingRequests(f *Fleet, rng *rand.Rand, _ time.Duration) {
 	body := fmt.Sprintf("%s%d", fake.CrashPrefix, rng.Uint64())
 	k := pick(rng, kinds)
--- a/soak/evacuation_test.go
+++ b/soak/evacuation_test.go
@@ -8,8 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// evacuationBound is the time after the store's response to the evacuation from which no
-// request may reach a target of that failure domain, as the platform documents it.
+// evacuationBound is how long after the store's response to the write that evacuates a
+// failure domain requests may still reach the domain's targets, as the platform documents
+// it.
 const evacuationBound = 5 * time.Second
 
 // Guards against entries that ignore the evacuation of a failure domain and keep sending
--- a/soak/facts.go
+++ b/soak/facts.go
@@ -21,7 +21,7 @@
 	Limits          []LimitSpan
 	// Arrivals are the requests that reached each target incarnation, in order.
 	Arrivals map[string][]Arrival
-	Backoffs map[string][]Backoff // requested by each target incarnation
+	Backoffs map[string][]Backoff // by the target incarnation that requested them
 }
 
 // Arrival is when a request reached a target.
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -29,8 +29,8 @@
 	inject func(f *Fleet, rng *rand.Rand, d time.Duration)
 }
 
-// faults are the kinds of fault that last for the duration given to inject, or have no
-// duration.
+// faults are the kinds of fault that last for the duration given to inject, or that happen
+// at once, such as a restart of a target.
 var faults = []fault{
 	{"entry killed", func(f *Fleet, rng *rand.Rand, d time.Duration) { f.restart(pick(rng, f.entries), d, true) }},
 	{"entry stopped", func(f *Fleet, rng *rand.Rand, d time.Duration) { f.restart(pick(rng, f.entries), d, false) }},
@@ -92,7 +92,7 @@
 }
 
 // onceFaults are injected once in a run, each at a random time, in addition to the faults
-// that are drawn. They have random number generators of their own, so that adding one does
+// that injectFaults draws at random. They have random number generators of their own, so that adding one does
 // not change the faults that are drawn for a seed.
 var onceFaults = []fault{{"request crashes targets", sendCrashingRequests}, {"targets name limits", announceLimits},
 	{"targets say that they leave", announceLeaving}, {"targets ask for rest", requestBackoff}}
@@ -188,7 +188,8 @@
 	return count
 }
 
-// restart stops a process, gracefully or by SIGKILL, and starts it again d/4 later.
+// restart stops a process, by SIGKILL if kill is set and gracefully otherwise, and starts
+// it again d/4 later.
 func (f *Fleet) restart(p *Process, d time.Duration, kill bool) {
 	p.restarting.Lock()
 	defer p.restarting.Unlock()
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -1,6 +1,11 @@
 // Package soak runs the real programs as separate processes on loopback against a fake
 // platform, injects faults from outside and checks the system's invariants against what
 // callers and targets observe.
+//
+// An incarnation of a process or target is its run from one start to the next. A target that
+// is leaving still serves but is about to be removed; entries must send it no new requests. A
+// plain target is one that is not an engine. Each configuration accepts the permanent API key
+// and one rotating key, whose number is that of the configuration.
 package soak
 
 import (
@@ -300,12 +305,12 @@
 type Result struct {
 	Violations      []Violation
 	Mixed           []fake.MixedLoad // engine loads that started without all pieces of their version
-	Unserved        []string         // what was not served, or not loaded, after the faults
+	Unserved        []string         // what entries did not serve and engines had not loaded within recoveryTimeout after the faults
 	Attempts        int
 	Served          int            // attempts with a complete response of status 200
 	Faults          map[string]int // number of faults drawn, by name
 	UnexpectedExits int            // process exits that the run did not cause; the processes were restarted
-	DifferingCopies int            // log lines in which entries report that copies of the store differ
+	DifferingCopies int            // log lines in which entries report copiesDifferMessage
 }
 
 // Run runs a fleet under load and faults and checks the invariants.
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -11,8 +11,8 @@
 type Attempt struct {
 	ID               string
 	Kind             string // of the route
-	Repeatable       bool   // may run more than once
-	Incarnation      string // of the entry that it was sent to
+	Repeatable       bool   // the request may run more than once
+	Incarnation      string // of the entry that the request was sent to
 	Key              int    // number of the rotating key sent; 0 for the permanent key, -1 if the entry restarted meanwhile
 	Began, End       int64  // sequence numbers of events at the callers, not times
 	Status           int    // 0 if there was no response
@@ -20,7 +20,7 @@
 	Truncated        bool   // the response ended early, detectably for the caller
 	FaultFree        bool   // its entry and targets had no fault, except for a graceful stop of the entry
 	StoreReachable   bool   // its entry had been able to reach the store for storeReachableWindow when it was sent
-	EntryFaultFree   bool   // its entry had no fault while it ran, nor in the settleTime before
+	EntryFaultFree   bool   // its entry had no fault during the attempt, nor in the settleTime before
 	Body             string // set if the same body is sent again with other IDs
 	AnnouncedLeaving string // target incarnation that announced in the response that it is leaving
 	// Sent and Answered are relative to the start of the run.
--- a/soak/limit.go
+++ b/soak/limit.go
@@ -15,14 +15,16 @@
 	// limitMin and limitMax bound how long a target announces each limit.
 	limitMin   = storeReachableWindow + limitWindow + time.Second
 	limitMax   = limitMin + 2*time.Second
-	limitSteps = 2 // limits that a target announces one after the other
+	limitSteps = 2 // number of limits that a target announces one after the other
 )
 
-// Bounds of InvariantRateLimit, as the platform documents them.
+// Bounds of InvariantRateLimit, as the platform documents them: within any limitWindow a
+// target may receive limitOverage times the requests that its limit allows, plus
+// limitOverhead.
 const (
 	limitWindow   = 4 * time.Second
-	limitOverage  = 1.5 // times the limit
-	limitOverhead = 5   // requests in addition, in each limitWindow
+	limitOverage  = 1.5 // factor
+	limitOverhead = 5   // requests
 )
 
 // LimitSpan is a period in which a target incarnation announced one limit.
--- a/soak/limit_test.go
+++ b/soak/limit_test.go
@@ -27,7 +27,7 @@
 		return id
 	}
 	for i := range 30 {
-		arrive(time.Duration(i)*100*ms, true) // before the entries must apply the limit
+		arrive(time.Duration(i)*100*ms, true) // not counted: the entries need not apply the limit yet
 	}
 	for range 11 {
 		arrive(5*second, true)
--- a/soak/longfaults.go
+++ b/soak/longfaults.go
@@ -13,10 +13,12 @@
 // Parameters of the long faults, which combine several events.
 const (
 	// cutMin and cutMax bound how long the entries' links to the store are broken: longer
-	// than an entry keeps following another entry whose copy is not confirmed by the store.
+	// than an entry keeps following (copying the store's content from) another entry whose
+	// copy is not confirmed by the store.
 	cutMin = 2 * time.Second
 	cutMax = 6 * time.Second
-	// configInterval is the mean time between configurations meanwhile. It is long enough
+	// configInterval is the mean time between configurations that are published while these
+	// links are broken. It is long enough
 	// for propagationBound to pass for a configuration before recentKeys newer ones are
 	// written.
 	configInterval = 1200 * time.Millisecond
@@ -28,14 +30,14 @@
 	// 0.5 s.
 	lateOrderMin = 1 * time.Second
 	lateOrderMax = 4 * time.Second
-	// versionInterval is the mean time between the lateVersions that are published while
-	// orders are delayed. Engines change to a version one after another, the first at once
-	// and the last after a few seconds.
+	// versionInterval is the mean time between two versions that are published while orders
+	// are delayed; lateVersions is their number. Engines change to a version one after
+	// another, the first at once and the last after a few seconds.
 	versionInterval = 2 * time.Second
 	lateVersions    = 3
 	// reorderDuration is how long responses of the store are reordered; one target in
-	// reorderLeaveOneIn leaves meanwhile. serveAfterLeaving is how long these keep serving
-	// after that: until all entries have been able to reach the store again for some time.
+	// reorderLeaveOneIn leaves meanwhile. serveAfterLeaving is how long targets keep serving
+	// after the responses are in order again, or after they leave: until all entries have been able to reach the store again for some time.
 	reorderDuration   = 4 * time.Second
 	reorderLeaveOneIn = 3
 	serveAfterLeaving = storeReachableWindow + 4*time.Second
@@ -44,7 +46,7 @@
 	silentCutDuration = 6 * time.Second
 	silentCutOneIn    = 3
 	configsMissed     = 3
-	// unannouncedOneIn: one target in this many is removed without being marked as leaving.
+	// unannouncedOneIn: one leaving target in this many is removed from the store without being marked as leaving.
 	unannouncedOneIn = 3
 )
 
@@ -57,7 +59,7 @@
 	return from + time.Duration(rng.Int64N(int64(to-from)))
 }
 
-// randomFaultMode returns a random mode other than LinkWorks.
+// randomFaultMode returns a random mode other than LinkHealthy.
 func randomFaultMode(rng *rand.Rand) LinkMode { return LinkMode(1 + rng.IntN(linkModes-1)) }
 
 // randomCutMode returns a random mode in which no round trip succeeds, not even on
@@ -74,7 +76,8 @@
 }
 
 // awaitStoreReachable waits until all entries can reach the store, at most for
-// storeReachableWindow. Few invariants apply to entries that cannot reach it.
+// storeReachableWindow. Few invariants apply to entries that cannot reach the
+// store.
 func (f *Fleet) awaitStoreReachable() {
 	unreachable := func(p *Process) bool { return !f.storeReachable(p) }
 	for end := time.Now().Add(storeReachableWindow); slices.ContainsFunc(f.entries, unreachable) && time.Now().Before(end); {
@@ -138,7 +141,7 @@
 
 // reorderStoreResponses reorders responses of the store while engines change to a new
 // version, an entry restarts, the store discards its history and targets leave, some
-// without being marked as leaving. The targets keep serving until the entries can reach
+// without being marked as leaving. These targets keep serving until the entries can reach
 // the store again.
 func reorderStoreResponses(f *Fleet, rng *rand.Rand, _ time.Duration) {
 	targets := append(slices.Clone(f.engines), f.plainTargets[1:]...) // one plain target stays
--- a/soak/process.go
+++ b/soak/process.go
@@ -19,8 +19,8 @@
 	dir  string
 	args []string
 
-	restarting   sync.Mutex   // held while it is stopped and started again
-	reachability reachability // of the store
+	restarting   sync.Mutex   // held while the process is stopped and started again
+	reachability reachability // of the store, for this process
 
 	mu              sync.Mutex
 	cmd             *exec.Cmd
@@ -63,7 +63,7 @@
 	go func() {
 		_ = cmd.Wait() // a failure shows in the attempts of its callers
 		unexpected := p.recordExit()
-		close(exited) // waiters may start it again from here on
+		close(exited) // from here on those who wait for the exit may start the process again
 		if unexpected {
 			p.restartAfterExit()
 		}
@@ -116,7 +116,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.stopping = p.stopping || s == syscall.SIGTERM || s == syscall.SIGKILL
-	_ = p.cmd.Process.Signal(s) // it may have exited
+	_ = p.cmd.Process.Signal(s) // an error means that the process has exited already
 }
 
 // Reload rewrites the settings with the seeds rotated and sends SIGHUP to the process.
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -103,7 +103,7 @@
 	}
 }
 
-// Break sets the link's mode for d and then restores LinkWorks. Concurrent calls run one
+// Break sets the link's mode for d and then restores LinkHealthy. Concurrent calls run one
 // after another.
 func (l *Link) Break(m LinkMode, d time.Duration) {
 	l.breaking.Lock()
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -31,17 +31,17 @@
 // failedScenarios are seeds that exposed a fault with settings of their own, each with its
 // cause.
 var failedScenarios = []Config{
-	// Two of 14 entries sent requests to a target that had left: its removal came between
-	// two pages of a full read, and followers of the entry that read them did not receive
-	// it.
+	// Two of 14 entries sent requests to a target that had left: its removal was written
+	// between the reads of two pages by an entry, and the entries that copy the store's
+	// content from that entry did not receive the removal.
 	{Seed: 5012, Only: regexp.MustCompile("news overtaken"), Duration: 9 * time.Second, Entries: 14, Engines: 40},
 }
 
 // Guards against a request that crashes each target that runs it and is sent again with a
 // new ID to any entry. Each entry sent each attempt to two targets, and crashes were
 // remembered neither between attempts nor between entries. 40 targets crashed, breaking
-// their other streams, and three times a tenth to three fifths of one service's requests
-// were refused for ten seconds.
+// their other streams, and in three incidents between a tenth and three fifths of one
+// service's requests were refused for ten seconds.
 //
 // On each crashed target one request was lost before its first event; within an incident,
 // all of these came from one team on one route. The other streams on the target broke
