--- a/command/gateway.go
+++ b/command/gateway.go
@@ -110,7 +110,8 @@
 	return e
 }
 
-// mirrorState returns a function that reports the state of this entry's mirror of the store.
+// mirrorState returns a function that reports the state of this entry's mirror, its local
+// copy of the store.
 func mirrorState(t *mirror.Table) func() gateway.MirrorState {
 	return func() gateway.MirrorState {
 		return gateway.MirrorState{Revision: t.Revision(), Age: clock.Since(t.ConfirmedAt())}
@@ -165,8 +166,8 @@
 	}
 }
 
-// The methods below implement mesh.Listener. They forward to the control, which is created
-// after the mesh and so cannot be passed to it.
+// The methods below implement mesh.Listener. They forward to e.control, which is created
+// after the mesh, the connections to the other processes, and so cannot be passed to it.
 
 // Loads implements mesh.Listener.
 func (e *entryProcess) Loads(from string, l *peer.Loads) { e.control.Loads(from, l) }
--- a/command/platform.go
+++ b/command/platform.go
@@ -35,14 +35,15 @@
 	gcPercent = 30
 	// logFlushTimeout bounds the wait at exit for the last log lines to be written.
 	logFlushTimeout = 500 * time.Millisecond
-	// rosterHold is how long a target that disappeared from the list is retained. It must
+	// rosterHold is how long a target that disappeared from the store's list is retained. It must
 	// be less than the 2 s during which a target that left may still get requests.
 	rosterHold = 1300 * time.Millisecond
 	// rosterCatchUp is how long after an outage of the store running targets may be missing
-	// from its list: they register again within about 2 s.
+	// from the store's list: they register again within about 2 s.
 	rosterCatchUp = 2500 * time.Millisecond
-	// budgetShare is the fraction of the retry budget that the entries use. Each entry spends
-	// its part without coordination with the others; the rest covers the resulting error.
+	// budgetShare is the fraction of the retry budget, the retries allowed to all entries
+	// together, that the entries use. Each entry spends its part without coordination with
+	// the others; the rest covers the resulting error.
 	budgetShare = 0.8
 	// sweepInterval is the time between two sweeps of idle connections.
 	sweepInterval = time.Second
--- a/command/sidecar.go
+++ b/command/sidecar.go
@@ -51,8 +51,8 @@
 // maxSources is the maximum number of entries tried in turn.
 const maxSources = 2
 
-// fetchTimeout bounds a request to one entry. The origin sends a complete version in 2 s,
-// and the link of the host takes as long.
+// fetchTimeout bounds a request to one entry. The origin takes 2 s to send a complete
+// version, and the host's link takes 2 s to receive one.
 const fetchTimeout = 3 * time.Second
 
 // fetch requests key from the nearest entries in turn until one provides it.
--- a/command/springgate.go
+++ b/command/springgate.go
@@ -1,4 +1,6 @@
-// Package command implements the command lines of springgate and springgate-agent.
+// Package command implements the command lines of springgate and springgate-agent. An entry
+// forwards callers' requests to targets (engines and plain services); an agent runs beside a
+// target on its host.
 package command
 
 import (
