--- a/soak/crash.go
+++ b/soak/crash.go
@@ -30,8 +30,8 @@
 )
 
 // sendCrashingRequests repeatedly sends a request that crashes each target that runs it,
-// to random entries. Between the two waves all entries are restarted by SIGKILL one
-// after the other, restarted so at the same time, or left running.
+// to random entries. Between the two waves all entries are killed and restarted one
+// after the other, killed and restarted at the same time, or left running.
 func sendCrashingRequests(f *Fleet, rng *rand.Rand, _ time.Duration) {
 	body := fmt.Sprintf("%s%d", fake.CrashPrefix, rng.Uint64())
 	k := pick(rng, kinds)
