--- a/demo/demo.go
+++ b/demo/demo.go
@@ -1,6 +1,7 @@
 // Package demo demonstrates the system in one process on loopback, with embedded stand-ins for
 // the platform and the targets: it rolls out a new version to all hosts while live requests are
-// being served, and measures both.
+// being served, and measures both. A loadout is what an engine serves: a model version with its
+// adapters. A replica is an engine that serves a given loadout.
 package demo
 
 import (
@@ -43,9 +44,9 @@
 // Parameters of the demonstration.
 const (
 	chunksPerVersion = 256
-	// linkWindowShare is the fraction of Config.Duration, the link window, in which the
-	// origin's link can carry originCopies copies of a version and each host's link
-	// hostCopies copies.
+	// linkWindowShare is the length of the link window as a fraction of Config.Duration. In
+	// one link window the origin's link can carry originCopies copies of a version and each
+	// host's link hostCopies copies.
 	linkWindowShare = 0.4
 	originCopies    = 4
 	hostCopies      = 2
@@ -77,9 +78,10 @@
 	runs     *standin.Runs
 	hosts    []*host
 	entries  []*entry.Entry
-	names    []string // of the entries
+	names    []string // host names of the entries
 	versions map[digest.Digest]*spread.Manifest
-	// linkWindow is the time in which the links can carry originCopies and hostCopies.
+	// linkWindow is the time in which the origin's link can carry originCopies copies of a
+	// version and each host's link hostCopies copies.
 	linkWindow time.Duration
 	layout     layout
 }
@@ -88,7 +90,7 @@
 func (f *fleet) hostRate() float64 { return hostCopies * float64(f.cfg.Size) / f.linkWindow.Seconds() }
 
 // lowerBound returns the minimum time in which the rate-limited links can distribute a version
-// to n hosts: no host receives faster than its link allows, the origin sends at least one copy,
+// to the n hosts: no host receives faster than its link allows, the origin sends at least one copy,
 // and all links together carry n copies.
 func (f *fleet) lowerBound() time.Duration {
 	size, n := float64(f.cfg.Size), float64(f.cfg.Hosts)
@@ -300,8 +302,8 @@
 	return id, err
 }
 
-// replicas returns the number of engines that serve a loadout. It asks the stand-in engines,
-// not the system.
+// replicas returns the number of engines that serve a loadout. It asks the stand-in engines
+// directly, not the system under demonstration.
 func (f *fleet) replicas(loadout string) int {
 	n := 0
 	for _, h := range f.hosts[:f.cfg.Hosts] {
--- a/demo/layout.go
+++ b/demo/layout.go
@@ -33,10 +33,10 @@
 type layout struct {
 	fleet   *intent.Fleet
 	engine  string     // engine service that gets requests and new versions
-	plain   string     // plain service that gets the other requests, "" if none
-	team    string     // team of all requests
-	engines int        // number of hosts of that engine service
-	hosts   []hostSpec // those of that engine service first
+	plain   string     // plain service that gets the requests not sent to engine, "" if none
+	team    string     // team in whose name all requests are sent
+	engines int        // number of hosts of the engine service
+	hosts   []hostSpec // those of the engine service first
 }
 
 // newLayout returns the layout of cfg.Fleet, or of the default fleet if that is nil.
--- a/demo/load.go
+++ b/demo/load.go
@@ -22,9 +22,9 @@
 
 // Parameters of the load.
 const (
-	callsPerHost = 4 // per second
+	callsPerHost = 4 // calls per second and host
 	callTimeout  = 20 * time.Second
-	tokens       = 12 // per streamed answer
+	tokens       = 12 // number of tokens in a streamed answer
 
 	histogramMax    = int64(time.Minute / time.Microsecond)
 	histogramDigits = 3 // significant figures
@@ -34,8 +34,8 @@
 type phase int32
 
 const (
-	before phase = iota // before the second version is published
-	during              // while it is rolled out
+	before phase = iota // from the start until the second version is published
+	during              // from the publication of the second version on
 	phases
 )
 
--- a/demo/report.go
+++ b/demo/report.go
@@ -19,22 +19,22 @@
 	Entries           int     `json:"entries"`
 	Replicas          int     `json:"replicas"`
 	VersionBytes      int64   `json:"version_bytes"`
-	TimeToN           float64 `json:"time_to_n_s"` // until all replicas served the second version
-	Bound             float64 `json:"bound_s"`     // lower bound of TimeToN for the links used
-	OriginCopies      float64 `json:"origin_copies"`
-	CrossDomainCopies float64 `json:"cross_domain_copies"` // of both versions
+	TimeToN           float64 `json:"time_to_n_s"`         // seconds from publishing the second version until all engines served it
+	Bound             float64 `json:"bound_s"`             // lower bound of TimeToN for the links used
+	OriginCopies      float64 `json:"origin_copies"`       // copies of the second version that the origin sent
+	CrossDomainCopies float64 `json:"cross_domain_copies"` // copies of either version received from another failure domain
 	Requests          int     `json:"requests"`
 	Completed         int64   `json:"completed"`
 	NotRun            int64   `json:"not_run"`
 	Unknown           int64   `json:"unknown"`
-	Lost              int     `json:"lost"`            // no answer, a partial one, or one without a run on a target
-	Doubled           int     `json:"doubled"`         // not repeatable, but ran more than once
-	FalselyNotRun     int     `json:"falsely_not_run"` // ran, but reported to the caller as not run
-	Crossed           int     `json:"crossed"`         // answered with content of another call
-	Mixed             int     `json:"mixed"`           // answers with tokens of several versions, and incomplete or mixed loads
+	Lost              int     `json:"lost"`            // requests with no answer, a partial one, or one although no target ran the request
+	Doubled           int     `json:"doubled"`         // requests that must not be repeated, but ran more than once
+	FalselyNotRun     int     `json:"falsely_not_run"` // requests that ran, but were reported to the caller as not run
+	Crossed           int     `json:"crossed"`         // requests answered with content of another request
+	Mixed             int     `json:"mixed"`           // answers with tokens of several versions, plus the Mixed count of each engine
 	TTFTBefore        float64 `json:"ttft_p99_before_ms"`
 	TTFTDuring        float64 `json:"ttft_p99_during_ms"`
-	ConfigInForce     float64 `json:"config_in_force_s"` // until the revision was in force in every process
+	ConfigInForce     float64 `json:"config_in_force_s"` // seconds from publishing until every process used the revision
 }
 
 func (f *fleet) newResult(took time.Duration, originBytes int64) *Result {
@@ -75,7 +75,7 @@
 	}
 }
 
-// line prints the state. On a terminal it replaces the previous line, elsewhere it is a new one.
+// line prints the numbers of replicas, origin copies and answers. On a terminal it replaces the previous line, elsewhere it is a new one.
 func (p *progress) line(replicas int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -93,7 +93,7 @@
 	fmt.Fprintln(p.out, text)
 }
 
-// wait prints the state every progressInterval until d has passed.
+// wait calls line every progressInterval until d has passed.
 func (p *progress) wait(ctx context.Context, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end) && loop.Sleep(ctx, progressInterval); {
 		p.line(p.fleet.cfg.Hosts)
--- a/demo/watch.go
+++ b/demo/watch.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// awaitRevision waits until the revision is in force in every process and returns the time since
-// start.
+// awaitRevision waits until the revision is in force in every process, that is, until every
+// process uses it, and returns the time since start.
 func (f *fleet) awaitRevision(ctx context.Context, revision uint64, start time.Time) time.Duration {
 	for ctx.Err() == nil && !f.revisionInForce(int64(revision)) {
 		loop.Sleep(ctx, pollInterval)
