--- a/standin/engine.go
+++ b/standin/engine.go
@@ -23,11 +23,13 @@
 	FirstToken, NextToken time.Duration
 	// Tokens is the number of tokens of an answer unless the request sets it.
 	Tokens int
-	// Slots is how many requests run concurrently at full speed; with more, all slow down.
+	// Slots is how many requests run concurrently at full speed; with more requests, all of
+	// them slow down.
 	Slots int
 	// LoadTime is how long a load takes.
 	LoadTime time.Duration
-	// Fenced makes the engine reject load orders with an outdated fence.
+	// Fenced makes the engine reject load orders whose fencing token is lower than the
+	// highest one that it has accepted.
 	Fenced bool
 }
 
@@ -39,7 +41,8 @@
 	Down       atomic.Bool // abort connections
 }
 
-// Engine is a fake model engine. It also detects faults of the system under test: it records
+// Engine is a fake model engine. Chunks of a version's weights are staged, that is, uploaded to
+// it, before a load order makes it serve the version's loadout. It also detects faults of the system under test: it records
 // which requests ran, and load orders for versions whose staged chunks were missing or wrong.
 type Engine struct {
 	*server
@@ -104,7 +107,8 @@
 // Running returns the number of running requests.
 func (e *Engine) Running() int64 { return e.running.Load() }
 
-// Restart simulates a restart of the engine process: staged chunks, loadout and fence are lost.
+// Restart simulates a restart of the engine process: staged chunks, loadout and the highest
+// accepted fencing token are lost.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -12,10 +12,11 @@
 	"github.com/springgate/springgate/intent"
 )
 
-// maxWatch is the maximum duration of a watch.
+// maxWatch is the maximum duration of a watch, a call that waits for a change.
 const maxWatch = 30 * time.Second
 
-// Platform is a fake configuration service and host list.
+// Platform is a fake configuration service and host list. The service publishes each revision of
+// the fleet file as parts and a head that lists them.
 type Platform struct {
 	*server
 
@@ -27,12 +28,12 @@
 	changed chan struct{} // closed when the head changes
 
 	down        atomic.Bool
-	rateLimited atomic.Int64 // number of calls out of ten that are rejected with 429
+	rateLimited atomic.Int64 // number of calls out of ten that fail with 429
 	stale       atomic.Bool
 	calls       atomic.Int64 // calls of the configuration service; a watch counts as one
 	peak        atomic.Int64 // maximum number of calls in one second
 	second      atomic.Int64 // second of the last call, Unix time
-	inSecond    atomic.Int64 // calls in that second
+	inSecond    atomic.Int64 // calls in the second of the last call
 }
 
 // NewPlatform starts a platform on addr.
@@ -138,7 +139,7 @@
 	}
 }
 
-// current returns the head to answer with and a channel that is closed when it changes.
+// current returns the head to answer with and a channel that is closed when the head changes.
 func (p *Platform) current() (intent.Head, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/source.go
+++ b/standin/source.go
@@ -61,7 +61,7 @@
 	return s, err
 }
 
-// Add adds a version to the source and returns its manifest and the digest of that.
+// Add adds a version to the source and returns the digest of its manifest and the manifest.
 func (s *Source) Add(name string, chunkSize int, content []byte) (digest.Digest, *spread.Manifest, error) {
 	m, raw, err := spread.NewManifest(name, chunkSize, content)
 	if err != nil {
