--- a/targetconn/exchange.go
+++ b/targetconn/exchange.go
@@ -12,8 +12,8 @@
 	"github.com/pkg/errors"
 )
 
-// Errors of an exchange. After any of them the target may have executed the
-// request.
+// Errors of an exchange, that is, of sending one request and receiving its
+// response. After any of them the target may have executed the request.
 var (
 	ErrSend            = errors.New("targetconn: request not sent completely")
 	ErrNoReply         = errors.New("targetconn: no response")
@@ -36,7 +36,7 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	ID     string // expected in the response
+	ID     string // request ID that the response is expected to carry
 }
 
 // Response is the response of a target. Close must be called on it.
--- a/targetconn/pool.go
+++ b/targetconn/pool.go
@@ -30,7 +30,7 @@
 	IdleTimeout time.Duration
 	// IdleMargin is how long before the idle timeout announced by the target
 	// a connection is closed, so that no request is sent while the target
-	// closes it. Default 500 ms.
+	// closes the connection. Default 500 ms.
 	IdleMargin time.Duration
 	// MaxIdle is the maximum number of idle connections per target. Default 16.
 	MaxIdle int
@@ -55,8 +55,8 @@
 	nc      net.Conn
 	br      *bufio.Reader
 	addr    string
-	idleAt  time.Time     // when it was returned to the pool
-	idleFor time.Duration // how long it may be reused after idleAt
+	idleAt  time.Time     // when the connection was returned to the pool
+	idleFor time.Duration // how long after idleAt the connection may be reused
 	reused  bool
 }
 
@@ -148,7 +148,7 @@
 }
 
 // usable reports whether an idle connection is open and has no bytes to read.
-// Such bytes would not belong to the next response.
+// Bytes received while it was idle would not belong to the next response.
 func (c *Conn) usable() bool {
 	if c.br.Buffered() > 0 {
 		return false
