--- a/target/engine.go
+++ b/target/engine.go
@@ -1,5 +1,6 @@
 // Package target implements the clients for targets: model engines, which can
-// be ordered to load weights, and plain services. The interface of the targets
+// be ordered to load weights that were staged (uploaded to them in chunks), and
+// plain services. The interface of the targets
 // is described in docs/PLATFORM.md.
 package target
 
@@ -69,7 +70,7 @@
 type EngineStatus struct {
 	Loadout string `json:"loadout"` // ID of the loadout being served, or ""
 	Loading bool   `json:"loading"`
-	Fence   uint64 `json:"fence"` // highest fencing token accepted; 0 if the engine does not check them
+	Fence   uint64 `json:"fence"` // highest fencing token accepted; 0 if the engine does not check tokens
 	Running int    `json:"running"`
 	Boot    string `json:"boot"` // changes when the engine restarts
 }
--- a/target/fence.go
+++ b/target/fence.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Layout of a fencing token: the revision in the upper bits, the incarnation in
-// the lower ones.
+// Layout of a fencing token: the revision of the fleet file that the order follows
+// in the upper bits, the incarnation (process start) of the agent that sends the
+// order in the lower ones.
 const (
 	incarnationBits = 38
 	// incarnationUnit is the resolution of the start time in an incarnation.
 	incarnationUnit = 10 * time.Millisecond
 )
 
-// fenceEpoch is the time of incarnation 0. 38 bits at a resolution of 10 ms
-// last for 87 years.
+// fenceEpoch is the start time that has incarnation number 0. 38 bits at a
+// resolution of 10 ms last for 87 years.
 var fenceEpoch = time.Date(2025, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // Incarnation returns the incarnation number of a process started at t. A later
--- a/target/trace.go
+++ b/target/trace.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// withConnTrace returns a context that makes the transport call onConn when it
-// has a connection for the request. Until then, no byte of the request has been
+// withConnTrace returns a context that makes the transport call onConn when the
+// transport has a connection for the request. Until then, no byte of the request has been
 // sent to the target.
 func withConnTrace(ctx context.Context, onConn func()) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
