--- a/caller/request.go
+++ b/caller/request.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// Request headers. Those with the prefix Springgate have no standard equivalent.
+// Request headers. Those whose names begin with Springgate have no standard equivalent.
 const (
 	HeaderService        = "Springgate-Service"
 	HeaderTeam           = "Springgate-Team"
@@ -55,8 +55,8 @@
 // ErrHeader is wrapped by all errors of Parse.
 var ErrHeader = errors.New("caller: invalid header")
 
-// Parse parses a request. The service is taken from its header or, if that is
-// missing, from the first path segment, which is then removed from the URI.
+// Parse parses a request. The service is taken from its header or, if the
+// header is missing, from the first path segment, which is then removed from the URI.
 func Parse(r *http.Request) (Request, error) {
 	req := Request{URI: r.URL.RequestURI(), Repeatable: true, Urgency: defaultUrgency}
 	p := headerParser{h: r.Header}
