--- a/httpclient/dialer.go
+++ b/httpclient/dialer.go
@@ -9,7 +9,7 @@
 )
 
 // TCP timeouts after which a connection to an unresponsive peer is closed. If the link is
-// down, no reset arrives, so without these a write or read would hang for minutes.
+// down, no reset arrives, so without these timeouts a write or read would hang for minutes.
 const (
 	// userTimeout is how long sent data may remain unacknowledged (TCP_USER_TIMEOUT). It is
 	// longer than two retransmissions take on a lossy link.
--- a/httpclient/httpclient.go
+++ b/httpclient/httpclient.go
@@ -1,5 +1,5 @@
 // Package httpclient provides the HTTP clients for external services and engines, based on
-// go-zero's httpc. The library's circuit breaker is disabled because it rejects calls
+// go-zero's httpc. Its circuit breaker is disabled because it rejects calls
 // without recording them in this project's counters.
 package httpclient
 
@@ -21,8 +21,8 @@
 	// shortIdleTimeout is how long a client made by NewShortIdle keeps an idle connection:
 	// long enough for the next of several consecutive calls.
 	shortIdleTimeout = 300 * time.Millisecond
-	// shortIdleDialTimeout is the dial timeout of such a client; the longest round trip is
-	// 6 ms.
+	// shortIdleDialTimeout is the dial timeout of a client made by NewShortIdle; the longest
+	// round trip to its server is 6 ms.
 	shortIdleDialTimeout = 500 * time.Millisecond
 )
 
@@ -41,8 +41,8 @@
 
 // NewShortIdle is like New, for a server that limits the total number of connections from
 // all clients: idle connections are closed early so that they do not exclude other clients.
-// This also limits how many are left over if the host loses power: the server keeps such
-// connections open for a long time.
+// This also limits how many connections the server still counts if the client's host loses
+// power: the server keeps such connections open for a long time.
 func NewShortIdle(name string) httpc.Service {
 	breaker.NoBreakerFor(name)
 	t := Transport()
