--- a/hostlist/client.go
+++ b/hostlist/client.go
@@ -37,7 +37,7 @@
 	Leaving bool   `json:"leaving,omitempty"`
 }
 
-// List is the complete list. Serial increases with each change.
+// List is the complete list. Serial increases with each change of the list.
 type List struct {
 	Serial uint64 `json:"serial"`
 	Hosts  []Host `json:"hosts"`
@@ -79,8 +79,8 @@
 // NewWithClient is like New, with the given HTTP client.
 func NewWithClient(h httpc.Service, base string) *Client { return &Client{base: base, http: h} }
 
-// Read returns the published bytes of the list, or ErrUnchanged if the list still has the
-// serial number after.
+// Read returns the published bytes of the list, or ErrUnchanged if the list's serial
+// number still equals after.
 func (c *Client) Read(ctx context.Context, after uint64) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
