--- a/configservice/client.go
+++ b/configservice/client.go
@@ -16,10 +16,12 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// maxHeadBytes is the maximum size of a head.
+// maxHeadBytes is the maximum size in bytes of a head, which describes a published revision
+// of the fleet file and lists the parts that the file is split into.
 const maxHeadBytes = intent.MaxPart
 
-// callTimeout bounds a call. A watch may take this much longer than its wait.
+// callTimeout bounds a call. A watch, which waits for a change, may take this much longer
+// than the wait given to Watch.
 const callTimeout = 5 * time.Second
 
 // Errors returned by Client.
@@ -42,8 +44,9 @@
 // NewWithClient is like New, with the given HTTP client.
 func NewWithClient(h httpc.Service, base string) *Client { return &Client{base: base, http: h} }
 
-// Watch waits for a head that differs from after and returns ErrUnchanged if there is none
-// within the given wait. With a zero wait it is a plain read.
+// Watch waits for a head of another revision than the one that after identifies, and returns
+// ErrUnchanged if there is none within the given wait. With a zero wait, Watch is a plain
+// read.
 func (c *Client) Watch(ctx context.Context, after intent.Ref, wait time.Duration) (intent.Head, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+callTimeout)
 	defer cancel()
@@ -63,7 +66,7 @@
 	return intent.ParseHead(b)
 }
 
-// Part reads a part and verifies its digest.
+// Part reads the part of a fleet file that has the digest d and verifies the digest.
 func (c *Client) Part(ctx context.Context, d digest.Digest) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
