--- a/weightstore/client.go
+++ b/weightstore/client.go
@@ -1,5 +1,5 @@
 // Package weightstore is a client for the platform's weight store and weight
-// origin, which have the same interface. It is described in docs/PLATFORM.md.
+// origin, which have the same interface. The interface is described in docs/PLATFORM.md.
 package weightstore
 
 import (
@@ -13,7 +13,7 @@
 	"github.com/zeromicro/go-zero/rest/httpc"
 )
 
-// maxManifestBytes is the maximum size of a manifest.
+// maxManifestBytes is the maximum size of a manifest, which lists the chunks of a version.
 const maxManifestBytes = 8 << 20
 
 // Errors returned by Client.
@@ -22,7 +22,7 @@
 	ErrUnavailable = errors.New("weightstore: unavailable")
 )
 
-// Client reads from one source.
+// Client reads from one source: a weight store or the weight origin.
 type Client struct {
 	base string
 	http httpc.Service
