--- a/telemetry/async.go
+++ b/telemetry/async.go
@@ -93,8 +93,8 @@
 	return buf
 }
 
-// Flush waits until the queue is empty, but not longer than limit, and then for the
-// batch in progress.
+// Flush waits until the queue is empty, but not longer than limit, and then 1.5 times
+// asyncBatchDelay for the batch in progress to be written.
 func (a *AsyncWriter) Flush(limit time.Duration) {
 	deadline := time.Now().Add(limit)
 	for len(a.lines) > 0 && time.Now().Before(deadline) {
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -27,7 +27,7 @@
 // ordered.
 const jsonTime = "2006-01-02T15:04:05.000Z07:00"
 
-// partField is the log field for the name of the component.
+// partField is the log field for the name of the component that logs.
 const partField = "part"
 
 // forceQuitAfter replaces the default of 5.5 s after which go-zero kills its process on
