--- a/settings/settings.go
+++ b/settings/settings.go
@@ -187,7 +187,8 @@
 	})
 }
 
-// byteUnits are the size suffixes. Longer suffixes precede those that they end in.
+// byteUnits are the size suffixes. A suffix precedes the shorter ones that it ends in, such as
+// "KiB" before "B", because the first match is used.
 var byteUnits = []struct {
 	suffix string
 	factor int64
