--- a/operator/status.go
+++ b/operator/status.go
@@ -36,7 +36,7 @@
 	Format       int    `json:"format,omitempty"`
 	Revision     uint64 `json:"revision"`
 	Digest       string `json:"digest,omitempty"`
-	Lag          uint64 `json:"lag"` // revisions behind the highest one in force on any host
+	Lag          uint64 `json:"lag"` // number of revisions behind the highest revision that any host uses
 	Pending      uint64 `json:"pending,omitempty"`
 	Rejected     uint64 `json:"rejected,omitempty"`
 	RejectReason string `json:"rejected_for,omitempty"`
@@ -56,7 +56,7 @@
 // Status is the state of the fleet as known to one entry.
 type Status struct {
 	Fleet    string       `json:"fleet"`
-	Revision uint64       `json:"revision"` // highest one in force on any host
+	Revision uint64       `json:"revision"` // highest revision that any host uses
 	Hosts    []HostStatus `json:"hosts"`
 }
 
