--- a/outcome/outcome.go
+++ b/outcome/outcome.go
@@ -1,6 +1,7 @@
-// Package outcome defines the final results of a submission and the reasons for which it
-// is refused or retried. Every layer that refuses requests uses these constants, so that
-// each reason has one counter, one log value and one value in the answer to the caller.
+// Package outcome defines the final results of a submission (a caller's request, with all its
+// retries) and the reasons for which it is refused or retried. Every layer that refuses
+// requests uses these constants, so that each reason has one counter, one log value and one
+// value in the answer to the caller.
 package outcome
 
 import "net/http"
@@ -21,7 +22,7 @@
 // Reason is the cause of a refusal, a retry or an Unknown outcome.
 type Reason string
 
-// Reasons. Text in the table below describes each of them.
+// Reasons. The Text of each entry of the table below describes them.
 const (
 	BadRequest       Reason = "bad-request"
 	NoService        Reason = "no-service"
