--- a/clock/clock.go
+++ b/clock/clock.go
@@ -76,7 +76,7 @@
 	return &processClock{source: s, timeOfDay: timeOfDay, initialOffset: boot - monotonic}
 }
 
-// epoch is the zero of readAt.
+// epoch is the time from which readAt counts.
 var epoch = time.Now()
 
 // Now returns the current time.
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -39,8 +39,9 @@
 }
 
 // Converting a wall-clock time from before a suspension must not shift it by the length of
-// the suspension. With such a shift an agent dated the start of its records of key homes
-// too early, and accepted as new idempotency keys that may have run on another host.
+// the suspension. With such a shift an agent assumed that its records of which hosts had
+// been responsible for idempotency keys went back further than they did, and accepted keys as
+// new that may have run on another host.
 func TestFromWallTimeBeforeASuspension(t *testing.T) {
 	for _, d := range []time.Duration{3 * time.Second, 10 * time.Second, 60 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
--- a/clock/timer.go
+++ b/clock/timer.go
@@ -7,9 +7,10 @@
 )
 
 // timers holds the pending timers. Timers of package time fire too late by the length of a
-// suspension; these are rescheduled when the clock is first read after it. The mesh, which
-// the gateway and sidecar commands run, reads the clock every 15 ms; the control node of
-// the serve commands reads it every 250 ms.
+// suspension; the timers of this package are rescheduled when the clock is first read after
+// the suspension. The mesh (the links between processes), which the gateway and sidecar
+// commands run, reads the clock every 15 ms; the control node of the serve commands reads
+// the clock every 250 ms.
 type timers struct {
 	mu      sync.Mutex
 	pending map[*Timer]struct{}
