--- a/loop/loop.go
+++ b/loop/loop.go
@@ -8,7 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// queueLength is the capacity of the queue. Post and Call block while it is full.
+// queueLength is the capacity of a loop's queue, in functions. Post and Call block while the
+// queue is full.
 const queueLength = 1024
 
 // ErrStopped is returned by Call if the loop has stopped.
