--- a/soak/callers.go
+++ b/soak/callers.go
@@ -86,7 +86,7 @@
 }
 
 // call sends one request with the rotating key of the given number, or with the permanent
-// key if it is 0, and records the outcome.
+// key if the number is 0, and records the outcome.
 func (c *caller) call(ctx context.Context, k kind, key int) Attempt {
 	return c.callBody(ctx, k, key, "")
 }
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -92,8 +92,9 @@
 }
 
 // onceFaults are injected once in a run, each at a random time, in addition to the faults
-// that injectFaults draws at random. They have random number generators of their own, so that adding one does
-// not change the faults that are drawn for a seed.
+// that injectFaults draws at random. They have random number generators of
+// their own, so that adding a kind to this list does not change the faults that are drawn
+// for a seed.
 var onceFaults = []fault{{"request crashes targets", sendCrashingRequests}, {"targets name limits", announceLimits},
 	{"targets say that they leave", announceLeaving}, {"targets ask for rest", requestBackoff}}
 
@@ -143,7 +144,7 @@
 func (c chooser) empty() bool { return len(c.short)+len(c.long) == 0 }
 
 // draw returns a kind of fault and whether it is a long one. Long ones are drawn twice as
-// often as others, because one is skipped while another of its kind is running.
+// often as others, because a long fault is skipped while another of its kind is running.
 func (c chooser) draw(rng *rand.Rand) (x fault, long bool) {
 	i := rng.IntN(len(c.short) + 2*len(c.long))
 	if i < len(c.short) {
@@ -153,7 +154,8 @@
 }
 
 // injectFaults injects faults, one after another and overlapping, for the run's duration
-// and returns how many of each kind were drawn. All are over when it returns.
+// and returns how many of each kind were drawn. All faults are over when injectFaults
+// returns.
 func (f *Fleet) injectFaults(ctx context.Context) map[string]int {
 	count := map[string]int{}
 	busy := map[string]*sync.Mutex{} // by kind: a fault waits for the previous one of its kind, or is skipped if it is long
--- a/soak/fleet.go
+++ b/soak/fleet.go
@@ -79,7 +79,8 @@
 func rotatingKey(n int) string { return fmt.Sprintf("key-%d", n) }
 
 // The programs' ports lie below the kernel's ephemeral ports, so that no outgoing
-// connection takes one between its selection and the start of the program.
+// connection takes a port after it was selected and before the program that listens on it
+// starts.
 const (
 	firstPort = 12000
 	portCount = 18000
@@ -374,8 +375,8 @@
 	return n, nil
 }
 
-// recoveryTimeout limits how long the fleet may take until it serves, after its start and
-// after the faults.
+// recoveryTimeout limits how long the fleet may take until it serves all kinds of request,
+// after its start and after the faults.
 const recoveryTimeout = 30 * time.Second
 
 // awaitService waits until each entry serves each kind of request and each engine has the
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -19,7 +19,7 @@
 	Fault            string // what was wrong with the response
 	Truncated        bool   // the response ended early, detectably for the caller
 	FaultFree        bool   // its entry and targets had no fault, except for a graceful stop of the entry
-	StoreReachable   bool   // its entry had been able to reach the store for storeReachableWindow when it was sent
+	StoreReachable   bool   // its entry had been able to reach the store for storeReachableWindow when the request was sent
 	EntryFaultFree   bool   // its entry had no fault during the attempt, nor in the settleTime before
 	Body             string // set if the same body is sent again with other IDs
 	AnnouncedLeaving string // target incarnation that announced in the response that it is leaving
@@ -116,7 +116,7 @@
 
 // configRegressions returns the attempts that an entry accepted with the key of an older
 // configuration although the same incarnation had accepted the key of a newer one before
-// they were sent. Each configuration accepts exactly one of the rotating keys.
+// the attempts were sent. Each configuration accepts exactly one of the rotating keys.
 func configRegressions(attempts []Attempt) []Attempt {
 	byEntry := map[string][]Attempt{}
 	for _, a := range attempts {
--- a/soak/leaving.go
+++ b/soak/leaving.go
@@ -10,7 +10,7 @@
 
 // Parameters of targets that announce in their responses that they are leaving.
 const (
-	announceLeavingOneIn = 4 // one target in this many announces it
+	announceLeavingOneIn = 4 // one target in this many announces that it is leaving
 	// listedReadyMin and listedReadyMax bound how long such a target remains listed as
 	// ready.
 	listedReadyMin = propagationBound + time.Second
--- a/soak/longfaults.go
+++ b/soak/longfaults.go
@@ -18,9 +18,8 @@
 	cutMin = 2 * time.Second
 	cutMax = 6 * time.Second
 	// configInterval is the mean time between configurations that are published while these
-	// links are broken. It is long enough
-	// for propagationBound to pass for a configuration before recentKeys newer ones are
-	// written.
+	// links are broken. It is long enough for propagationBound to pass for a configuration
+	// before recentKeys newer ones are written.
 	configInterval = 1200 * time.Millisecond
 	// leaveMin and leaveMax bound how long a target serves after it is marked as leaving.
 	leaveMin = 4 * time.Second
@@ -37,7 +36,8 @@
 	lateVersions    = 3
 	// reorderDuration is how long responses of the store are reordered; one target in
 	// reorderLeaveOneIn leaves meanwhile. serveAfterLeaving is how long targets keep serving
-	// after the responses are in order again, or after they leave: until all entries have been able to reach the store again for some time.
+	// after the responses are in order again or, in leaveDomainAfterCut, after the targets
+	// leave: until all entries have been able to reach the store again for some time.
 	reorderDuration   = 4 * time.Second
 	reorderLeaveOneIn = 3
 	serveAfterLeaving = storeReachableWindow + 4*time.Second
@@ -46,7 +46,8 @@
 	silentCutDuration = 6 * time.Second
 	silentCutOneIn    = 3
 	configsMissed     = 3
-	// unannouncedOneIn: one leaving target in this many is removed from the store without being marked as leaving.
+	// unannouncedOneIn: one leaving target in this many is removed from the store without
+	// being marked as leaving.
 	unannouncedOneIn = 3
 )
 
--- a/soak/process.go
+++ b/soak/process.go
@@ -61,7 +61,7 @@
 	exited := make(chan struct{})
 	p.cmd, p.exited = cmd, exited
 	go func() {
-		_ = cmd.Wait() // a failure shows in the attempts of its callers
+		_ = cmd.Wait() // a failure of the process shows in the attempts of its callers
 		unexpected := p.recordExit()
 		close(exited) // from here on those who wait for the exit may start the process again
 		if unexpected {
