--- a/command/platform.go
+++ b/command/platform.go
@@ -35,8 +35,8 @@
 	gcPercent = 30
 	// logFlushTimeout bounds the wait at exit for the last log lines to be written.
 	logFlushTimeout = 500 * time.Millisecond
-	// rosterHold is how long a target that disappeared from the store's list is retained. It must
-	// be less than the 2 s during which a target that left may still get requests.
+	// rosterHold is how long a target that disappeared from the store's list is retained. It
+	// must be less than the 2 s during which a target that left may still get requests.
 	rosterHold = 1300 * time.Millisecond
 	// rosterCatchUp is how long after an outage of the store running targets may be missing
 	// from the store's list: they register again within about 2 s.
