--- a/demo/load.go
+++ b/demo/load.go
@@ -179,8 +179,8 @@
 	c.crossed = !strings.HasPrefix(string(b), c.id+" ")
 }
 
-// readStream reads a streamed answer of an engine and checks each token. It calls first at the
-// first token.
+// readStream reads a streamed answer of an engine and checks each token. It calls the function
+// first when the first token arrives.
 func (l *load) readStream(c *call, resp *http.Response, first func()) {
 	sc := bufio.NewScanner(resp.Body)
 	seen, done, version := 0, false, ""
