--- a/standin/platform.go
+++ b/standin/platform.go
@@ -45,7 +45,7 @@
 }
 
 // NewPlatformHandler returns a platform without a listener and the handler of its calls. URL and
-// Close must not be called.
+// Close must not be called on such a platform.
 func NewPlatformHandler() (*Platform, http.Handler) {
 	p := &Platform{parts: map[digest.Digest][]byte{}, changed: make(chan struct{})}
 	mux := http.NewServeMux()
--- a/standin/source.go
+++ b/standin/source.go
@@ -158,7 +158,7 @@
 	return b
 }
 
-// pause waits for d and returns true, or false if the request is cancelled before.
+// pause waits for d and returns true, or false if the request is cancelled before d has passed.
 func pause(r *http.Request, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
