--- a/caller/request.go
+++ b/caller/request.go
@@ -56,7 +56,8 @@
 var ErrHeader = errors.New("caller: invalid header")
 
 // Parse parses a request. The service is taken from its header or, if the
-// header is missing, from the first path segment, which is then removed from the URI.
+// header is missing, from the first path segment, which is then removed from
+// the URI.
 func Parse(r *http.Request) (Request, error) {
 	req := Request{URI: r.URL.RequestURI(), Repeatable: true, Urgency: defaultUrgency}
 	p := headerParser{h: r.Header}
