--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -63,7 +63,7 @@
 // ConfigureGoZero disables the statistics logger of go-zero, sends its log to l at
 // debug level and removes its limit on the time between SIGTERM and process exit. The
 // library sets up its log only once, when its first server is created; setting it up
-// before that keeps our writer in place.
+// before that keeps the writer set here in place.
 func ConfigureGoZero(l *logrus.Logger) error {
 	proc.SetTimeToForceQuit(forceQuitAfter)
 	if err := logx.SetUp(logx.LogConf{}); err != nil {
