--- a/clock/clock.go
+++ b/clock/clock.go
@@ -30,7 +30,7 @@
 
 // Source reads the clock that includes suspensions and then the one that does not. In this
 // order a delay between the two readings makes a suspension look shorter, which is harmless:
-// the longest one detected is used.
+// the longest total of suspensions that was measured is used.
 type Source func() (boot, monotonic time.Duration)
 
 func kernelClocks() (boot, monotonic time.Duration) {
@@ -66,8 +66,8 @@
 	source        Source
 	timeOfDay     func() time.Time
 	initialOffset time.Duration // offset between the two clocks when this clock was created
-	suspended     atomic.Int64  // total time of suspensions since then, in ns
-	readAt        atomic.Int64  // time of the last reading, in ns
+	suspended     atomic.Int64  // total time of suspensions since this clock was created, in ns
+	readAt        atomic.Int64  // time of the last reading of the kernel clocks, in ns since epoch
 	timers        timers
 }
 
@@ -121,8 +121,8 @@
 }
 
 // FromWallTime converts a wall-clock time, for example one received from another process, to
-// a time of this clock. It subtracts the age of date by the current wall clock from Now, and
-// so is also correct for times before a suspension.
+// a time of this clock. It subtracts the age of the date, measured by the current wall clock,
+// from Now, and so is also correct for times before a suspension.
 func FromWallTime(date time.Time) time.Time {
 	return Now().Add(-current.Load().timeOfDay().Round(0).Sub(date))
 }
