--- a/soak/crash.go
+++ b/soak/crash.go
@@ -25,7 +25,7 @@
 
 // Bounds of InvariantCrashLimit.
 const (
-	crashesToQuarantine  = 3 // targets that a request must have crashed before entries must quarantine (refuse) it
+	crashesToQuarantine  = 3 // targets that a request must have crashed before entries must quarantine it (no longer send it)
 	sendsAfterQuarantine = 3 // times that the request may reach a target after that
 )
 
