--- a/demo/report.go
+++ b/demo/report.go
@@ -75,7 +75,8 @@
 	}
 }
 
-// line prints the numbers of replicas, origin copies and answers. On a terminal it replaces the previous line, elsewhere it is a new one.
+// line prints the numbers of replicas, origin copies and answers. On a terminal the text
+// replaces the previous line, elsewhere it is a new one.
 func (p *progress) line(replicas int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
