--- a/standin/engine.go
+++ b/standin/engine.go
@@ -42,8 +42,9 @@
 }
 
 // Engine is a fake model engine. Chunks of a version's weights are staged, that is, uploaded to
-// it, before a load order makes it serve the version's loadout. It also detects faults of the system under test: it records
-// which requests ran, and load orders for versions whose staged chunks were missing or wrong.
+// it, before a load order makes it serve the version's loadout. The engine also
+// detects faults of the system under test: it records which requests ran, and load orders for
+// versions whose staged chunks were missing or wrong.
 type Engine struct {
 	*server
 	Faults EngineFaults
